--- a/Makefile
+++ b/Makefile
@@ -29,6 +29,10 @@
 $(TOOLS)/gofumpt: tools/go.mod
 	cd tools && go build -o $@ mvdan.cc/gofumpt
 
+# gopls renames an identifier in every use: build/tools/gopls rename -w FILE:LINE:COLUMN NAME
+$(TOOLS)/gopls: tools/gopls/go.mod
+	cd tools/gopls && go build -o $@ golang.org/x/tools/gopls
+
 format: tools
 	$(TOOLS)/gofumpt -w cmd internal pkg platform
 
