--- a/internal/limiter/customer.go
+++ b/internal/limiter/customer.go
@@ -7,108 +7,110 @@
 	"github.com/oriolegw/oriolegw/internal/identifier"
 )
 
-// This file is what an instance knows of one customer, and what it may run without a lease.
-
-// customer is what a Meter knows of one.
+// customer is an instance's view of one customer.
 type customer struct {
-	// tokens are leased until a moment.
-	tokens int
-	until  Stamp
-	// unreported is what has been run and is in no report, sent what is in the one that
-	// has not been answered, ran what is in answered ones.
-	unreported, sent, ran window
-	// waiting is how many operations wait for a lease.
-	waiting int
-	// demand is how many operations a second were asked for, at a moment.
+	// tokens are leased until leasedUntil.
+	tokens      int
+	leasedUntil Stamp
+	// unreported counts operations that are in no report yet, inFlight those in the report that
+	// awaits a reply, reported those in acknowledged reports.
+	unreported, inFlight, reported window
+	// waiters is the number of operations that wait for a lease.
+	waiters int
+	// demand is the requested operations per second as of demandAt.
 	demand   float64
 	demandAt Stamp
-	// tight is until when nothing may be run without a lease.
-	tight Stamp
-	// refused is until when the accountant is not asked again, having had nothing to
-	// lease; more is when it may have.
-	refused, more Stamp
-	// told is when the report was sent of which the rest is the answer; 0 before one.
-	told Stamp
-	// part is what may be run a second while this instance is cut off, saved what may be
-	// run of it without a lease.
-	part    float64
-	saved   float64
-	savedAt Stamp
-	// phase is where between two operations an instance begins that goes by its part;
-	// isolated is set while it does.
+	// leaseRequiredUntil is until when every operation requires a lease.
+	leaseRequiredUntil Stamp
+	// refuseUntil is until when operations are refused without asking the accountant, retryAt when
+	// it expects to have tokens.
+	refuseUntil, retryAt Stamp
+	// grantedAt is when the report was sent whose reply set the lease and fallback rate; 0 without
+	// a reply.
+	grantedAt Stamp
+	// fallbackRate is the assigned fallback rate in operations per second, fallbackTokens the
+	// number of operations that may run without a lease, as of refilledAt.
+	fallbackRate   float64
+	fallbackTokens float64
+	refilledAt     Stamp
+	// phase is the initial fraction of a fallback token, different on each instance; isolated is
+	// set while the instance is isolated.
 	phase    float64
 	isolated bool
 }
 
-// customer returns what is known of a customer, as one that is new where nothing is.
+// customer returns the state of a customer, which is created on first use.
 func (m *Meter) customer(now Stamp, name string, limit identifier.Limit) *customer {
 	if m.customers == nil {
 		m.customers = map[string]*customer{}
 	}
 	c, ok := m.customers[name]
 	if !ok {
-		c = &customer{demandAt: now, savedAt: now, phase: m.phase(name)}
-		c.saved = c.phase
-		if c.phase*float64(m.Instances()) < firstPart*limit.Burst {
-			c.saved = 1
+		c = &customer{demandAt: now, refilledAt: now, phase: m.phase(name)}
+		c.fallbackTokens = c.phase
+		if c.phase*float64(m.Instances()) < startupBurstFraction*limit.Burst {
+			c.fallbackTokens = 1
 		}
 		m.customers[name] = c
 	}
 	return c
 }
 
-// phase is evenly spread from 0 to 1 over the instances.
+// phase returns a number that is uniformly distributed in [0, 1) over the instances.
 func (m *Meter) phase(customer string) float64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(m.Instance + "/" + customer)) // never fails
 	return rand.New(rand.NewPCG(h.Sum64(), m.Run)).Float64()
 }
 
-// isolate begins to go by the instance's part, at a moment. Load pattern: all instances go by
-// their parts at once, when the accountant falls silent. With an operation saved by each, they
-// would run as many as there are in the same moment, many times what a small customer may.
-func (c *customer) isolate(at Stamp) {
-	c.saved = min(c.saved, c.phase)
-	c.savedAt = max(c.savedAt, at)
+// enterIsolation starts admission at the fallback rate. All instances become isolated at the same
+// time if the accountant fails: it limits each to a fraction of a token, since a whole token on
+// each would exceed a small customer's limit.
+func (c *customer) enterIsolation(at Stamp) {
+	c.fallbackTokens = min(c.fallbackTokens, c.phase)
+	c.refilledAt = max(c.refilledAt, at)
 }
 
-// want counts an operation that is asked for.
-func (c *customer) want(now Stamp) {
-	c.demand = decayed(c.demand, now-c.demandAt, demandHalf) + demandStep
+// countDemand adds a requested operation to the demand estimate.
+func (c *customer) countDemand(now Stamp) {
+	c.demand = decayed(c.demand, now-c.demandAt, demandHalfLife) + demandStep
 	c.demandAt = now
 }
 
-// demandStep makes a count that halves in demandHalf a rate a second.
-var demandStep = 0.6931 / demandHalf.Seconds()
+// demandStep is the weight of one operation in the demand estimate: ln 2 / demandHalfLife makes
+// the decaying count a rate per second.
+var demandStep = 0.6931 / demandHalfLife.Seconds()
 
-// rate is this instance's part of a customer's limit, in operations a second. One that isn't
-// expected to run operations has none before an accountant tells it one.
-func (c *customer) rate(limit identifier.Limit, instances int, lends bool) float64 {
-	if c.told == 0 && !lends {
+// currentFallbackRate returns this instance's fallback rate in operations per second. An instance
+// that isn't expected to run operations has none until an accountant assigns one.
+func (c *customer) currentFallbackRate(limit identifier.Limit, instances int, reportExpected bool) float64 {
+	if c.grantedAt == 0 && !reportExpected {
 		return 0
 	}
-	if c.told == 0 {
-		return evenPart * limit.PerSecond / float64(max(1, instances))
+	if c.grantedAt == 0 {
+		return evenShareFraction * limit.PerSecond / float64(max(1, instances))
 	}
-	return min(c.part, limit.PerSecond)
+	return min(c.fallbackRate, limit.PerSecond)
 }
 
-// save adds to what this instance may run of its part. Only one that is cut off saves more
-// than one operation: together with what is leased, all would run too many at once when the
-// accountant dies.
-func (c *customer) save(now Stamp, limit identifier.Limit, instances int, lends bool) {
-	rate, most := c.rate(limit, instances, lends), 1.0
+// refill adds tokens for the time since the last call. Only isolated instances accumulate more
+// than one: together with outstanding leases, all instances would exceed the limit when the
+// accountant fails.
+func (c *customer) refill(now Stamp, limit identifier.Limit, instances int, reportExpected bool) {
+	rate, maxTokens := c.currentFallbackRate(limit, instances, reportExpected), 1.0
 	if c.isolated {
-		most = max(1, rate*isolatedSpan.Seconds())
+		maxTokens = max(1, rate*fallbackBurstSpan.Seconds())
 	}
-	c.saved = min(most, c.saved+rate*max(0, now-c.savedAt).Seconds())
-	c.savedAt = now
+	c.fallbackTokens = min(maxTokens, c.fallbackTokens+rate*max(0, now-c.refilledAt).Seconds())
+	c.refilledAt = now
 }
 
-// now is the demand at a moment.
-func (c *customer) now(now Stamp) float64 { return decayed(c.demand, now-c.demandAt, demandHalf) }
+// currentDemand returns the demand estimate at now.
+func (c *customer) currentDemand(now Stamp) float64 {
+	return decayed(c.demand, now-c.demandAt, demandHalfLife)
+}
 
-// ended reports whether a customer is asked for no more.
-func (c *customer) ended(now Stamp) bool {
-	return c.unreported.sum(now) == 0 && c.waiting == 0 && c.now(now) < leastDemand
+// inactive reports whether the customer has no recent operations and none waiting.
+func (c *customer) inactive(now Stamp) bool {
+	return c.unreported.sum(now) == 0 && c.waiters == 0 && c.currentDemand(now) < minDemand
 }
--- a/internal/limiter/ledger.go
+++ b/internal/limiter/ledger.go
@@ -10,110 +10,111 @@
 )
 
 type (
-	// Ledger keeps the customers' accounts, on the instance that is their accountant. Set the
-	// exported fields before use; its methods may be called from any goroutine.
+	// Ledger keeps the customers' accounts on the accountant. Set the exported fields before use;
+	// its methods are safe for concurrent use.
 	Ledger struct {
 		Tolerance Tolerance
-		// Run tells the lives of this instance apart; it rises each time that accounts are
-		// opened.
+		// Run identifies the incarnation of the accounts; it increases each time they are opened.
 		Run uint64
-		// Expected, when set, lists the instances that run operations. What one may run that
-		// doesn't report here is withheld: it may be cut off, or report to another that takes
-		// itself for the accountant. So several of them share the limits, whatever they know
-		// of each other.
+		// Expected, when set, lists the instances that run operations. The fallback rates of those
+		// that don't report here are reserved: an instance may be isolated or report to another
+		// accountant. So several accountants share the limits without knowing of each other.
 		Expected func() []string
 
-		// began is when this instance became the accountant, earlier who ran operations then.
-		began   Stamp
-		earlier map[string]bool
-		// succeeds is set where a reporter knows of an accountant before this one, which may
-		// still keep accounts for others.
-		succeeds  bool
-		mutex     sync.Mutex
-		accounts  map[string]*account
-		reporters map[string]*reporter
+		// openedAt is when the accounts were opened, initialInstances which instances ran
+		// operations then.
+		openedAt         Stamp
+		initialInstances map[string]bool
+		// hasPredecessor is set if an instance has reported to an earlier accountant, which may
+		// still serve others.
+		hasPredecessor bool
+		mutex          sync.Mutex
+		accounts       map[string]*account
+		reporters      map[string]*reporter
 	}
 
-	// reporter is an instance that reports.
+	// reporter is an instance that reports here.
 	reporter struct {
-		run, number uint64
-		heard       Stamp
-		// expected is set where it is one of the expected instances.
+		incarnation, sequence uint64
+		lastReport            Stamp
+		// expected is set for an instance that Expected lists.
 		expected bool
-		// free is from when the accountant before withholds what this instance may run.
-		free Stamp
-		// told is set once it has told what it ran before these accounts began, left once it
-		// reports to another.
-		told, left bool
+		// reservedFrom is when the previous accountant starts to reserve the instance's fallback
+		// rates.
+		reservedFrom Stamp
+		// synced is set once it has reported its usage from before the accounts were opened,
+		// hasLeft once it reports to another accountant.
+		synced, hasLeft bool
 	}
 
-	// account is one customer's.
+	// account is one customer's token bucket and usage.
 	account struct {
 		limit identifier.Limit
-		// used is what was run in the window, by reports.
+		// used counts the reported operations of the window.
 		used window
-		// flow is what may be run now by the rate, leases included; it is below 0 when more
-		// was run.
-		flow  float64
-		at    Stamp
-		parts map[string]*part
-		// inherited are the parts that reporters were told before these accounts began.
-		inherited map[*reporter]float64
+		// tokens is the balance of the token bucket before outstanding leases, as of updatedAt;
+		// negative after an overrun.
+		tokens    float64
+		updatedAt Stamp
+		shares    map[string]*instanceShare
+		// predecessorRates are the fallback rates that the previous accountant assigned.
+		predecessorRates map[*reporter]float64
 	}
 
-	// part is an instance's part in an account.
-	part struct {
+	// instanceShare is one instance's leases and demand in an account.
+	instanceShare struct {
 		*reporter
-		// leased may be run until a moment. assumed were leased, and count as used since a
-		// moment as nothing was heard of them.
-		leased, assumed  int
-		until, assumedAt Stamp
-		// demand is how many operations a second were asked for at a moment.
-		demand float64
-		told   Stamp
-		// isolatedRate is what the instance may run a second while it is cut off.
-		isolatedRate float64
+		// leased tokens are valid until leasedUntil. assumedUsed are expired leases that count as
+		// used since assumedAt, until a report tells the actual usage.
+		leased, assumedUsed    int
+		leasedUntil, assumedAt Stamp
+		// demand is the requested operations per second as of demandAt.
+		demand   float64
+		demandAt Stamp
+		// fallbackRate is the instance's rate in operations per second while it is isolated.
+		fallbackRate float64
 	}
 
-	// Balance is an account as operators see it.
+	// Balance is an account's state for operators.
 	Balance struct {
 		Customer string
 		Limit    identifier.Limit
-		// Used is what was run in the window; Available may be leased now, Leased is.
+		// Used is the window's usage, Available can be leased now, Leased is outstanding.
 		Used, Available, Leased float64
-		// Demand is how many operations a second all instances were asked for.
+		// Demand is the requested operations per second on all instances.
 		Demand    float64
 		Instances int
 	}
 )
 
-// Begin opens the accounts of all customers, when this instance takes itself for their
-// accountant; others may have before.
+// Begin opens new accounts when this instance becomes the accountant. It keeps the old ones if
+// they have received reports within the window.
 func (l *Ledger) Begin(now Stamp, limits map[string]identifier.Limit) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, r := range l.reporters {
-		if now-r.heard < Slots*slotTime {
+		if now-r.lastReport < Slots*slotTime {
 			return
 		}
 	}
 	l.open(now)
 	for name, limit := range limits {
 		if limit.Limited() {
-			l.account(now, name, limit, absence{})
+			l.account(now, name, limit, fleetStatus{})
 		}
 	}
 }
 
+// open replaces all accounts by empty ones.
 func (l *Ledger) open(now Stamp) {
-	l.accounts, l.reporters, l.earlier, l.began = map[string]*account{}, map[string]*reporter{}, map[string]bool{}, now
-	l.succeeds = false
+	l.accounts, l.reporters, l.initialInstances, l.openedAt = map[string]*account{}, map[string]*reporter{}, map[string]bool{}, now
+	l.hasPredecessor = false
 	l.Run++
 }
 
-// Take takes a report in and answers it. limits returns a customer's limit; one that has none
-// is not answered for.
-func (l *Ledger) Take(now Stamp, r Report, limits func(customer string) identifier.Limit) Answer {
+// Take processes a report and returns the reply. limitOf returns a customer's limit; the reply
+// omits customers without one.
+func (l *Ledger) Take(now Stamp, r Report, limitOf func(customer string) identifier.Limit) Answer {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.accounts == nil {
@@ -124,222 +125,225 @@
 		from = &reporter{}
 		l.reporters[r.Instance] = from
 	}
-	gap := now - from.heard
-	from.heard = now
-	again := from.run == r.Run && r.Number <= from.number
-	if ok && from.run != r.Run {
-		l.ended(now, r.Instance)
+	sinceLast := now - from.lastReport
+	from.lastReport = now
+	duplicate := from.incarnation == r.Run && r.Number <= from.sequence
+	if ok && from.incarnation != r.Run {
+		l.instanceRestarted(now, r.Instance)
 	}
-	if !again {
-		from.run, from.number = r.Run, r.Number
+	if !duplicate {
+		from.incarnation, from.sequence = r.Run, r.Number
 	}
-	from.left = r.Leaves
-	away := l.away(now)
+	from.hasLeft = r.Leaves
+	fleet := l.fleetStatus(now)
 	answer := Answer{Run: l.Run}
-	if !from.told && !r.New {
-		// It has not noticed that these accounts are new, and will tell what ran before.
+	if !from.synced && !r.New {
+		// The instance will resend with its past usage once it sees the new incarnation.
 		return answer
 	}
-	inherits := !from.told
-	if inherits {
-		gap = now // nothing was told here before
+	firstSync := !from.synced
+	if firstSync {
+		sinceLast = now // nothing was reported here before
 	}
-	if inherits && r.Unheard > 0 {
-		from.free = now + silentAfter - min(silentAfter, r.Unheard)
-		l.succeeds = true
+	if firstSync && r.Unheard > 0 {
+		from.reservedFrom = now + silenceTimeout - min(silenceTimeout, r.Unheard)
+		l.hasPredecessor = true
 	}
 	for _, s := range r.Spendings {
-		limit := limits(s.Customer)
+		limit := limitOf(s.Customer)
 		if !limit.Limited() {
 			continue
 		}
-		a := l.account(now, s.Customer, limit, away)
-		if inherits && s.Told {
-			a.inherited[from] = s.Part
+		a := l.account(now, s.Customer, limit, fleet)
+		if firstSync && s.Told {
+			a.predecessorRates[from] = s.Part
 		}
-		if again {
+		if duplicate {
 			s.Used = nil
 		}
-		if r.New && !again {
-			a.remember(now, s.Before, gap)
+		if r.New && !duplicate {
+			a.addPastUsage(now, s.Before, sinceLast)
 		}
-		a.useLate(now, s.Used, gap-silentAfter)
-		answer.Allowances = append(answer.Allowances, a.take(now, r.Instance, from, s, l.Tolerance, away, len(l.reporters)))
+		a.consumeReported(now, s.Used, sinceLast-silenceTimeout)
+		answer.Allowances = append(answer.Allowances, a.grant(now, r.Instance, from, s, l.Tolerance, fleet, len(l.reporters)))
 	}
-	from.told = from.told || r.New
+	from.synced = from.synced || r.New
 	if r.Leaves {
-		l.left(r.Instance)
+		l.instanceLeft(r.Instance)
 	}
 	return answer
 }
 
-// ended takes in that an instance has started again: what it had leased may have been run.
-func (l *Ledger) ended(now Stamp, instance string) {
+// instanceRestarted counts the leases of an instance's previous incarnation as used.
+func (l *Ledger) instanceRestarted(now Stamp, instance string) {
 	for _, a := range l.accounts {
-		if p, ok := a.parts[instance]; ok {
-			a.use(now, p.leased)
-			p.leased, p.assumed = 0, 0
+		if p, ok := a.shares[instance]; ok {
+			a.consume(now, p.leased)
+			p.leased, p.assumedUsed = 0, 0
 		}
 	}
 }
 
-// left takes in that an instance reports to another, which shares out its part.
-func (l *Ledger) left(instance string) {
+// instanceLeft drops the leases of an instance that reports to another accountant.
+func (l *Ledger) instanceLeft(instance string) {
 	for _, a := range l.accounts {
-		if p, ok := a.parts[instance]; ok {
+		if p, ok := a.shares[instance]; ok {
 			p.leased = 0
 		}
 	}
 }
 
-func (l *Ledger) account(now Stamp, customer string, limit identifier.Limit, away absence) *account {
+// account returns a customer's account as of now, which is opened on first use.
+func (l *Ledger) account(now Stamp, customer string, limit identifier.Limit, fleet fleetStatus) *account {
 	a, ok := l.accounts[customer]
 	if !ok {
-		a = &account{flow: freshPart * l.Tolerance.burst(limit), at: now, parts: map[string]*part{}, inherited: map[*reporter]float64{}}
+		a = &account{tokens: initialBurstFraction * l.Tolerance.burst(limit), updatedAt: now, shares: map[string]*instanceShare{}, predecessorRates: map[*reporter]float64{}}
 		l.accounts[customer] = a
 	}
 	a.limit = limit
-	a.advance(now, l.Tolerance, away)
+	a.advance(now, l.Tolerance, fleet)
 	return a
 }
 
-// advance brings an account to a moment.
-func (a *account) advance(now Stamp, t Tolerance, away absence) {
-	for name, p := range a.parts {
-		if p.leased > 0 && now > p.until {
-			// Whoever leased them has been cut off or is gone: they may have been run.
-			a.use(now, p.leased)
-			p.assumed, p.assumedAt = p.assumed+p.leased, now
+// advance refills the token bucket and expires leases and instances.
+func (a *account) advance(now Stamp, t Tolerance, fleet fleetStatus) {
+	for name, p := range a.shares {
+		if p.leased > 0 && now > p.leasedUntil {
+			// The holder has been isolated or removed: it may have used them.
+			a.consume(now, p.leased)
+			p.assumedUsed, p.assumedAt = p.assumedUsed+p.leased, now
 			p.leased = 0
 		}
-		if now-p.heard > forgottenAfter && !slices.Contains(away.silent, name) {
-			delete(a.parts, name)
+		if now-p.lastReport > reporterExpiry && !slices.Contains(fleet.silent, name) {
+			delete(a.shares, name)
 		}
 	}
-	left := 1 - a.withheld(now, away)
-	a.flow = min(left*t.burst(a.limit), a.flow+left*t.rate(a.limit)*(now-a.at).Seconds())
-	a.at = now
+	unreserved := 1 - a.reservedFraction(now, fleet)
+	a.tokens = min(unreserved*t.burst(a.limit), a.tokens+unreserved*t.rate(a.limit)*(now-a.updatedAt).Seconds())
+	a.updatedAt = now
 }
 
-// use takes in that operations were run.
-func (a *account) use(now Stamp, n int) {
+// consume records operations as run now.
+func (a *account) consume(now Stamp, n int) {
 	a.used.add(now, n)
-	a.flow -= float64(n)
+	a.tokens -= float64(n)
 }
 
-// useLate takes in what was run until now, by slots. What ran in the last part of the time was
-// withheld already, while the instance was silent.
-func (a *account) useLate(now Stamp, used []int, withheld time.Duration) {
+// consumeReported records reported operations by slot. Those of the last reserved time are not
+// deducted from the balance: the instance's fallback rate was reserved meanwhile.
+func (a *account) consumeReported(now Stamp, used []int, reserved time.Duration) {
 	a.used.addList(now, used)
 	for i, n := range used {
-		if slotAge(used, i) >= withheld {
-			a.flow -= float64(n)
+		if slotAge(used, i) >= reserved {
+			a.tokens -= float64(n)
 		}
 	}
 }
 
-// remember takes in what an instance has reported to others since it was heard here.
-func (a *account) remember(now Stamp, before []int, unheard time.Duration) {
-	for i, n := range before {
-		age := slotAge(before, i)
-		if age >= unheard {
+// addPastUsage records what an instance has reported to other accountants since its last report
+// here.
+func (a *account) addPastUsage(now Stamp, past []int, sinceLastReport time.Duration) {
+	for i, n := range past {
+		age := slotAge(past, i)
+		if age >= sinceLastReport {
 			continue
 		}
 		a.used.add(now-age, n)
 		if age < time.Second {
-			a.flow -= float64(n)
+			a.tokens -= float64(n)
 		}
 	}
 }
 
-// available is what may be leased now.
-func (a *account) available(now Stamp, t Tolerance, away absence) float64 {
-	leased := a.leased()
-	most := t.most(a.limit) * (1 - a.withheld(now, away))
-	return min(a.flow, most-float64(a.used.sum(now))) - leased
+// available returns how many tokens can be leased now.
+func (a *account) available(now Stamp, t Tolerance, fleet fleetStatus) float64 {
+	leased := a.totalLeased()
+	maxTokens := t.leaseLimit(a.limit) * (1 - a.reservedFraction(now, fleet))
+	return min(a.tokens, maxTokens-float64(a.used.sum(now))) - leased
 }
 
-// now is the demand at the instance: that of one that is cut off goes on as it was.
-func (p *part) now(now Stamp) float64 {
-	if p.away(now) {
+// currentDemand returns the instance's demand. That of an unreachable instance doesn't decay.
+func (p *instanceShare) currentDemand(now Stamp) float64 {
+	if p.unreachable(now) {
 		return p.demand
 	}
-	return decayed(p.demand, now-p.told, demandHalf)
+	return decayed(p.demand, now-p.demandAt, demandHalfLife)
 }
 
-// demand is what all instances were asked for a second.
-func (a *account) demand(now Stamp) float64 {
+// totalDemand returns the requested operations per second on all instances.
+func (a *account) totalDemand(now Stamp) float64 {
 	var sum float64
-	for _, p := range a.parts {
-		sum += p.now(now)
+	for _, p := range a.shares {
+		sum += p.currentDemand(now)
 	}
 	return sum
 }
 
-// leased is what all instances have leased.
-func (a *account) leased() float64 {
+// totalLeased returns the outstanding leases of all instances.
+func (a *account) totalLeased() float64 {
 	var sum float64
-	for _, p := range a.parts {
+	for _, p := range a.shares {
 		sum += float64(p.leased)
 	}
 	return sum
 }
 
-func (a *account) take(now Stamp, instance string, from *reporter, s Spending, t Tolerance, away absence, reporters int) Allowance {
-	p, ok := a.parts[instance]
+// grant processes one customer's usage report and leases tokens to the instance.
+func (a *account) grant(now Stamp, instance string, from *reporter, s Spending, t Tolerance, fleet fleetStatus, reporters int) Allowance {
+	p, ok := a.shares[instance]
 	if !ok {
-		p = &part{reporter: from}
-		a.parts[instance] = p
+		p = &instanceShare{reporter: from}
+		a.shares[instance] = p
 	}
-	if p.assumed > 0 {
-		// It has told what it ran of them.
-		a.used.add(p.assumedAt, -p.assumed)
-		a.flow += float64(p.assumed)
-		p.assumed = 0
+	if p.assumedUsed > 0 {
+		// The report contains the actual usage.
+		a.used.add(p.assumedAt, -p.assumedUsed)
+		a.tokens += float64(p.assumedUsed)
+		p.assumedUsed = 0
 	}
-	p.leased, p.told, p.demand = s.Held, now, s.Demand
-	available := a.available(now, t, away)
-	share := 1.0
-	if all := a.demand(now); all > 0 {
-		share = p.demand / all
+	p.leased, p.demandAt, p.demand = s.Held, now, s.Demand
+	available := a.available(now, t, fleet)
+	demandShare := 1.0
+	if total := a.totalDemand(now); total > 0 {
+		demandShare = p.demand / total
 	}
-	x := Allowance{Customer: s.Customer, Tight: available < tightPart*t.burst(a.limit)+untoldEach*float64(reporters)}
-	p.isolatedRate = a.isolatedRate(p, away, share)
-	x.Part = p.isolatedRate
-	// What waits now may take all there is; what may come, the instance's part of it. An
-	// operation that may not come is leased to nobody: dozens of instances with one each
-	// would hold all that a small customer has.
-	wanted := float64(s.Waiting) + math.Floor(s.Demand*leaseAhead.Seconds()) - float64(s.Held)
-	x.Tokens = max(0, int(min(available, max(share*available, float64(s.Waiting)), wanted)))
+	x := Allowance{Customer: s.Customer, Tight: available < lowBalanceFraction*t.burst(a.limit)+unreportedPerInstance*float64(reporters)}
+	p.fallbackRate = a.fallbackRate(p, fleet, demandShare)
+	x.Part = p.fallbackRate
+	// Waiting operations may take the whole balance, expected ones the instance's share of it.
+	// Fractions of expected operations are not leased: one token on each of many instances would
+	// exhaust a small customer's limit.
+	wanted := float64(s.Waiting) + math.Floor(s.Demand*leaseHorizon.Seconds()) - float64(s.Held)
+	x.Tokens = max(0, int(min(available, max(demandShare*available, float64(s.Waiting)), wanted)))
 	if x.Tokens < s.Waiting {
-		x.Again = comeBack((float64(s.Waiting-x.Tokens) - (available - float64(x.Tokens))) / t.rate(a.limit))
+		x.Again = clampRetryAfter((float64(s.Waiting-x.Tokens) - (available - float64(x.Tokens))) / t.rate(a.limit))
 	}
-	p.leased, p.until = p.leased+x.Tokens, now+leaseTime+leaseGrace
-	if p.leased == 0 && s.Demand < leastDemand {
-		delete(a.parts, instance)
+	p.leased, p.leasedUntil = p.leased+x.Tokens, now+leaseDuration+leaseGrace
+	if p.leased == 0 && s.Demand < minDemand {
+		delete(a.shares, instance)
 	}
 	return x
 }
 
-// leastDemand is the demand a second below which an instance counts as not asked.
-const leastDemand = 0.02
+// minDemand is the demand per second below which a customer counts as inactive on an instance.
+const minDemand = 0.02
 
-// comeBack bounds when a caller is to come back.
-func comeBack(seconds float64) time.Duration {
-	return min(max(time.Duration(seconds*float64(time.Second)), shortestAgain), longestAgain)
+// clampRetryAfter converts seconds to a delay within minRetryAfter and maxRetryAfter.
+func clampRetryAfter(seconds float64) time.Duration {
+	return min(max(time.Duration(seconds*float64(time.Second)), minRetryAfter), maxRetryAfter)
 }
 
-// Balances returns the accounts as they are.
+// Balances returns the current state of all accounts.
 func (l *Ledger) Balances(now Stamp) []Balance {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var list []Balance
-	away := l.away(now)
+	fleet := l.fleetStatus(now)
 	for name, a := range l.accounts {
-		a.advance(now, l.Tolerance, away)
+		a.advance(now, l.Tolerance, fleet)
 		list = append(list, Balance{
-			Customer: name, Limit: a.limit, Used: float64(a.used.sum(now)), Available: a.available(now, l.Tolerance, away),
-			Leased: a.leased(), Demand: a.demand(now), Instances: len(a.parts),
+			Customer: name, Limit: a.limit, Used: float64(a.used.sum(now)), Available: a.available(now, l.Tolerance, fleet),
+			Leased: a.totalLeased(), Demand: a.totalDemand(now), Instances: len(a.shares),
 		})
 	}
 	return list
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -1,35 +1,33 @@
-// Package limiter bounds the operations of each customer over the whole fleet. It has no
-// clock and no network: it is told what was asked, and when.
+// Package limiter enforces customers' rate limits across all instances. It has no clock and no
+// network: the caller passes in every event and its time.
 //
-// Load pattern: a customer sends many times its limit, through all instances at once, while
-// some of them are cut from the others, start again with nothing, or come and go. Counted by
-// each instance for itself, with an even part of the limit, a customer whose callers happen
-// to meet two instances of 80 is refused at a fortieth of its limit; counted by none, it
-// takes what others need.
+// If each instance enforced an even share of a limit, a customer whose callers use only a few
+// instances would be refused far below its limit.
 //
-// One instance, the accountant, keeps the customers' accounts in a Ledger. Those that run
-// operations report what they have run to it, and lease operations to run next. A lease that
-// nobody reports on counts as used. A limit of rate and burst lets rate x w + burst run in any
-// window w. So does the account: it leases no more than that and mostPart of the excess that
-// is tolerated for the counting by many, which is called room:
+// One instance, the accountant, keeps the customers' accounts in a Ledger. Instances that run
+// operations report their usage to it and lease tokens for the operations to come. A lease that
+// expires without a report counts as used. A limit of rate and burst allows rate x w + burst
+// operations in any window w. An account leases at most that plus excessLeaseFraction of the
+// tolerated excess:
 //
-//	run(w) <= rate x w + burst + mostPart x room + first + new + gap
+//	run(w) <= rate x w + burst + excessLeaseFraction x excess + unleased + initial + gap
 //
-// where first is what is run without a lease and reported afterwards, at most one operation an
-// instance; new what an account without a past leases at once, freshPart x (burst + burstPart
-// x room), after all that ran before has been lost with those that ran it; and gap what an
-// instance runs from when it is cut off until it is missed. The rest of room is for these.
+// where unleased is what runs without a lease and is reported afterwards, at most one operation
+// per instance; initial is the balance of a new account, initialBurstFraction x (burst +
+// excessBurstFraction x excess), if all earlier usage is lost; and gap is what an instance that
+// becomes isolated runs until the accountant notices. The rest of the excess covers these.
 //
-// An instance that can't reach the accountant goes by its part of the rate: an even one, of
-// evenPart x rate, and beside it what it was asked for. All parts of an accountant are within
-// the rate, and it withholds those of instances that it doesn't hear. One that takes over
-// withholds what it can't know: the rate less the parts of those that have reported to it. So
-// the sides of a cut share the rate whichever of them keep accounts, and
+// An instance that can't reach the accountant admits operations at a fallback rate: an even share
+// of evenShareFraction x rate, or more where its recent demand was higher and the limit allows it.
+// The fallback rates that an accountant assigns add up to at most the limit, and it reserves those
+// of the instances that it doesn't hear from. A new accountant reserves what it can't know: the
+// rate less the fallback rates of the instances that have reported to it. So the sides of a
+// partition share the limit, whichever of them have an accountant:
 //
-//	leased a second, all sides + parts of those cut off <= rate + burst / window
+//	leased per second, all sides + fallback rates of isolated instances <= rate + burst / window
 //
-// Within the window a flow spreads what is run, so that a customer that sends many times its
-// limit is served evenly and not all at once each window.
+// Within the window, a token bucket spreads the leases, so that a customer above its limit is
+// served evenly instead of in one burst per window.
 package limiter
 
 import (
@@ -41,139 +39,145 @@
 )
 
 const (
-	// mostPart is the part of room that an account leases.
-	mostPart = 0.25
-	// burstPart is the part of room that may be run at once beside the burst.
-	burstPart = 0.35
-	// freshPart is the part of what may be run at once with which an account begins.
-	freshPart = 0.6
-	// firstPart is the part of the burst that all instances together may run of a customer
-	// before they have asked an accountant for the first time.
-	firstPart = 0.25
-	// tightPart is the part of what may be run at once below which nobody runs anything
-	// without a lease.
-	tightPart = 0.25
-	// untoldEach is how many operations are left beside it for each instance that reports:
-	// what each may have run by itself and not told yet.
-	untoldEach = 0.25
-	// leaseTime is how long leased operations may be run, and leaseGrace how much longer the
-	// accountant waits for the report: the way of the answer.
-	leaseTime  = 2 * time.Second
-	leaseGrace = 500 * time.Millisecond
-	// leaseAhead is the time for which operations are leased that may come: one report later
-	// than the next, which may be lost. All that is leased and not needed is missing elsewhere.
-	leaseAhead = 800 * time.Millisecond
-	// restInterval is how often an instance reports that runs nothing.
-	restInterval = 800 * time.Millisecond
-	// forgottenAfter is when an instance that has not reported is gone rather than cut off.
-	forgottenAfter = 30 * time.Second
-	// ReportInterval is how often an instance reports what it has run.
+	// excessLeaseFraction is the fraction of the tolerated excess that an account may lease.
+	excessLeaseFraction = 0.25
+	// excessBurstFraction is the fraction of the tolerated excess that may run at once on top of
+	// the burst.
+	excessBurstFraction = 0.35
+	// initialBurstFraction is the balance of a new account as a fraction of its maximum.
+	initialBurstFraction = 0.6
+	// startupBurstFraction is the fraction of the burst that all instances together may run before
+	// their first report.
+	startupBurstFraction = 0.25
+	// lowBalanceFraction is the fraction of an account's maximum balance below which every
+	// operation requires a lease.
+	lowBalanceFraction = 0.25
+	// unreportedPerInstance raises this threshold by a number of operations per reporting
+	// instance, for those that it has run without a lease and not reported yet.
+	unreportedPerInstance = 0.25
+	// leaseDuration is how long a lease is valid, leaseGrace how much longer the accountant waits
+	// for the report on it, to allow for the latency of its reply.
+	leaseDuration = 2 * time.Second
+	leaseGrace    = 500 * time.Millisecond
+	// leaseHorizon is the time for which expected demand is leased ahead. It covers one lost
+	// report; tokens leased beyond need are unavailable to other instances.
+	leaseHorizon = 800 * time.Millisecond
+	// idleReportInterval is the report interval of an instance without operations.
+	idleReportInterval = 800 * time.Millisecond
+	// reporterExpiry is the time without reports after which an instance counts as removed rather
+	// than isolated.
+	reporterExpiry = 30 * time.Second
+	// ReportInterval is how often an instance reports its usage.
 	ReportInterval = 500 * time.Millisecond
-	// isolatedAfter is how long an instance must have got no answer until it goes by its
-	// part of the limits.
-	isolatedAfter = 800 * time.Millisecond
-	// AskTime is how long an operation may wait for the accountant's answer: twice the way
-	// between regions and back, and a busy machine.
+	// isolationTimeout is the time without a reply after which an instance admits operations at
+	// its fallback rate.
+	isolationTimeout = 800 * time.Millisecond
+	// AskTime is how long an operation may wait for a lease: two round trips between regions, and
+	// scheduling delays.
 	AskTime = 100 * time.Millisecond
-	// tightFor is how long an account that was tight is taken to be so.
-	tightFor = 3 * time.Second
-	// refusedFor is how long the accountant is not asked again at most after it had nothing
-	// to lease: a limit may be raised meanwhile.
-	refusedFor = 300 * time.Millisecond
-	// demandHalf is the time in which what is known of an instance's demand counts half.
-	demandHalf = 2 * time.Second
-	// isolatedSpan is for how much of its part an instance that is cut off may save up.
-	isolatedSpan = time.Second
-	// shortestAgain and longestAgain bound when a refused caller is to come back.
-	shortestAgain = 50 * time.Millisecond
-	longestAgain  = 5 * time.Second
+	// leaseRequiredDuration is how long an instance treats an account as low on tokens after the
+	// accountant reported it so.
+	leaseRequiredDuration = 3 * time.Second
+	// refusalDuration bounds how long operations are refused without a new request after the
+	// accountant had no tokens: the limit may be raised meanwhile.
+	refusalDuration = 300 * time.Millisecond
+	// demandHalfLife is the half-life of the demand estimate.
+	demandHalfLife = 2 * time.Second
+	// fallbackBurstSpan is the time for which an isolated instance may accumulate unused tokens of
+	// its fallback rate.
+	fallbackBurstSpan = time.Second
+	// minRetryAfter and maxRetryAfter bound the delay after which a refused caller may retry.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
 )
 
 type (
-	// Stamp is a moment, as in tracker.
+	// Stamp is a point in time, as in package tracker.
 	Stamp = tracker.Stamp
 
-	// Tolerance is how much more than its limit allows a customer may run in a window, since
-	// many instances count.
+	// Tolerance is how far a customer may exceed its limit in a window because of distributed
+	// counting.
 	Tolerance struct {
 		Window         time.Duration
 		Overage, Slack float64
 	}
 
-	// Spending is what an instance reports of one customer.
+	// Spending is an instance's usage report for one customer.
 	Spending struct {
 		Customer string
-		// Used is what it has run since the last report that was answered, by slots of
-		// slotTime, the newest last. Before is what it had run by then: told to an accountant
-		// that is new to it.
+		// Used counts the operations run since the last acknowledged report, in slots of slotTime,
+		// newest last. Before counts those of acknowledged reports, for an accountant that is new
+		// to the instance.
 		Used, Before []int
-		// Held is how many leased ones are left.
+		// Held is the number of unused leased tokens.
 		Held int
-		// Waiting is how many wait for a lease.
+		// Waiting is the number of operations that wait for a lease.
 		Waiting int
-		// Demand is how many were asked for a second, lately.
+		// Demand is the recent number of requested operations per second.
 		Demand float64
-		// Part is what the accountant before this one has told that the instance may run a
-		// second while it is cut off; Told is set where one has.
+		// Part is the fallback rate that the previous accountant assigned, in operations per
+		// second; Told is set if it assigned one.
 		Part float64
 		Told bool
 	}
 
-	// Report is one instance's.
+	// Report is one instance's usage report.
 	Report struct {
-		// Instance is where it is reached, Run tells its lives apart.
+		// Instance is the instance's address, Run identifies its process incarnation.
 		Instance string
 		Run      uint64
-		// Number rises with each report; one that comes twice counts once.
+		// Number increases with each report; duplicates are ignored.
 		Number uint64
-		// New is set on reports to an accountant that is new to the instance.
+		// New is set if the accountant is new to the instance.
 		New bool
 		// Leaves is set on the last report to an accountant.
 		Leaves bool
-		// Unheard, on a New report, is for how long the accountant before can't have heard of
-		// the instance: it doesn't withhold the instance's parts sooner. 0 where there was none.
+		// Unheard, if New is set, is the time since the previous accountant last received a
+		// report, or 0 without one. That accountant reserves the instance's fallback rates once it
+		// has missed reports for long enough.
 		Unheard   time.Duration
 		Spendings []Spending
 	}
 
-	// Answer is the accountant's.
+	// Answer is the accountant's reply to a report.
 	Answer struct {
-		// Run tells the accountant's lives apart: one that has started again knows nothing.
+		// Run identifies the accountant's incarnation: a new one has no accounts.
 		Run        uint64
 		Allowances []Allowance
 	}
 
-	// Allowance is the answer for one customer.
+	// Allowance is the reply for one customer.
 	Allowance struct {
 		Customer string
-		// Tokens is how many operations are leased beside those held, all for leaseTime after
-		// the report was sent.
+		// Tokens is the number of operations leased in addition to the unused ones. All leases of
+		// the customer are valid for leaseDuration after the report was sent.
 		Tokens int
-		// Tight is set when nothing may be run without a lease.
+		// Tight is set if every operation requires a lease.
 		Tight bool
-		// Part is how many operations a second the instance may run while it is cut off.
+		// Part is the instance's fallback rate in operations per second.
 		Part float64
-		// Again is when there may be more, where Tokens are fewer than waited for.
+		// Again is when more tokens may be available, if fewer were leased than requested.
 		Again time.Duration
 	}
 )
 
-// room is how much more than rate and burst may run in a window.
-func (t Tolerance) room(l identifier.Limit) float64 {
+// excess returns how many operations above rate and burst are tolerated in a window.
+func (t Tolerance) excess(l identifier.Limit) float64 {
 	return t.Overage*(l.PerSecond*t.Window.Seconds()+l.Burst) + t.Slack
 }
 
-// most is how many operations an account leases in a window.
-func (t Tolerance) most(l identifier.Limit) float64 {
-	return max(1, l.PerSecond*t.Window.Seconds()+l.Burst+mostPart*t.room(l))
+// leaseLimit returns how many operations an account may lease in a window.
+func (t Tolerance) leaseLimit(l identifier.Limit) float64 {
+	return max(1, l.PerSecond*t.Window.Seconds()+l.Burst+excessLeaseFraction*t.excess(l))
 }
 
-// burst is how many it leases at once.
+// burst returns the maximum balance of an account.
 func (t Tolerance) burst(l identifier.Limit) float64 {
-	return max(1, l.Burst+burstPart*t.room(l))
+	return max(1, l.Burst+excessBurstFraction*t.excess(l))
 }
 
-// rate is how many it leases a second in the long run: what most allows in a window.
+// rate returns the refill rate of an account per second, so that a window's refill stays within
+// rate and burst.
 func (t Tolerance) rate(l identifier.Limit) float64 {
 	if t.Window <= 0 {
 		return l.PerSecond
@@ -181,7 +185,7 @@
 	return l.PerSecond + l.Burst/t.Window.Seconds()
 }
 
-// decayed returns what is left of a count after a time in which it halves.
-func decayed(n float64, past, half time.Duration) float64 {
-	return n * math.Exp2(-float64(max(0, past))/float64(half))
+// decayed returns what remains of n after a time, given its half-life.
+func decayed(n float64, elapsed, halfLife time.Duration) float64 {
+	return n * math.Exp2(-float64(max(0, elapsed))/float64(halfLife))
 }
--- a/internal/limiter/meter.go
+++ b/internal/limiter/meter.go
@@ -10,62 +10,63 @@
 
 // Verdicts on an operation.
 const (
-	// Admit: it may run.
+	// Admit allows the operation.
 	Admit Verdict = iota
-	// Refuse: it is over the limit.
+	// Refuse rejects it as over the limit.
 	Refuse
-	// Ask: the accountant must be asked first.
+	// Ask requires a report to the accountant before the next decision.
 	Ask
 )
 
 // Turns of an operation.
 const (
-	// First is when it is asked for.
+	// First is the decision when the operation is requested.
 	First Turn = iota
-	// Waiting is after an answer of the accountant's has come.
+	// Waiting is a decision after a reply of the accountant.
 	Waiting
-	// Last is when it can wait no longer.
+	// Last is the decision when the operation's wait has timed out.
 	Last
 )
 
 type (
-	// Turn says how far an operation has got.
+	// Turn is the stage of an operation's admission.
 	Turn uint8
 
-	// Verdict is what is decided about an operation.
+	// Verdict is the decision on an operation.
 	Verdict uint8
 
-	// Meter counts the operations that one instance runs, and decides which may. Set the
-	// exported fields before use; its methods may be called from any goroutine.
+	// Meter counts the operations that one instance runs and decides which to admit. Set the
+	// exported fields before use; its methods are safe for concurrent use.
 	Meter struct {
-		// Instance is where this one is reached, Run tells its lives apart.
+		// Instance is this instance's address, Run identifies its process incarnation.
 		Instance string
 		Run      uint64
-		// Instances is how many instances run operations, at least 1.
+		// Instances returns how many instances run operations, at least 1.
 		Instances func() int
-		// Lends reports whether the accountant expects this instance to report.
+		// Lends reports whether the accountant expects reports from this instance.
 		Lends func() bool
 
 		mutex     sync.Mutex
 		customers map[string]*customer
-		number    uint64
-		// sent is the report that has not been answered.
-		sent *Report
-		// known is the life of the accountant that has answered, 0 while none has: a new one is
-		// told what ran before.
-		known uint64
-		// answered is when a report that was answered was sent, asked when the first one
-		// since then was.
-		answered, asked Stamp
-		// before is when the last report was sent that the accountant before has answered.
-		before Stamp
+		sequence  uint64
+		// pending is the report that awaits a reply.
+		pending *Report
+		// accountantIncarnation identifies the accountant that replied last, 0 before the first
+		// reply. A new accountant needs the past usage.
+		accountantIncarnation uint64
+		// lastAcked is when the last acknowledged report was sent, unackedSince when the first
+		// report after it was sent.
+		lastAcked, unackedSince Stamp
+		// predecessorAcked is when the last report was sent that the previous accountant
+		// acknowledged.
+		predecessorAcked Stamp
 	}
 )
 
-// Decide decides about an operation of a customer. After Ask, Wait is to be called and the
-// answer to a report be waited for; then it is decided anew. again is when a refused caller is
-// to come back.
-func (m *Meter) Decide(now Stamp, name string, limit identifier.Limit, turn Turn) (v Verdict, again time.Duration) {
+// Decide decides on an operation of a customer. After Ask, the caller calls Wait, waits for the
+// reply to a report, and calls Decide again. again is the delay after which a refused caller may
+// retry.
+func (m *Meter) Decide(now Stamp, name string, limit identifier.Limit, turn Turn) (v Verdict, retryAfter time.Duration) {
 	if !limit.Limited() {
 		return Admit, 0
 	}
@@ -73,28 +74,27 @@
 	defer m.mutex.Unlock()
 	c := m.customer(now, name, limit)
 	if turn == First {
-		c.want(now)
+		c.countDemand(now)
 	}
 	isolated := m.isolated(now)
 	if isolated && !c.isolated {
-		c.isolate(m.asked + isolatedAfter)
+		c.enterIsolation(m.unackedSince + isolationTimeout)
 	}
 	c.isolated = isolated
-	c.save(now, limit, m.Instances(), m.Lends())
+	c.refill(now, limit, m.Instances(), m.Lends())
 	switch {
-	case c.tokens > 0 && now < c.until:
+	case c.tokens > 0 && now < c.leasedUntil:
 		c.tokens--
-	case (isolated || now >= c.tight) && c.saved >= 1:
-		// Of a customer whose account is not known to be short, one operation a report is
-		// told afterwards. Each of dozens of instances would ask for most operations of small
-		// customers otherwise, a round trip each.
-		c.saved--
+	case (isolated || now >= c.leaseRequiredUntil) && c.fallbackTokens >= 1:
+		// While the balance isn't low, one operation per report runs without a lease. Otherwise
+		// many instances would need a round trip for most operations of small customers.
+		c.fallbackTokens--
 	case isolated:
-		return Refuse, comeBack((1 - c.saved) / max(c.rate(limit, m.Instances(), m.Lends()), leastDemand))
-	case now < c.refused:
-		return Refuse, max(c.more-now, shortestAgain)
+		return Refuse, clampRetryAfter((1 - c.fallbackTokens) / max(c.currentFallbackRate(limit, m.Instances(), m.Lends()), minDemand))
+	case now < c.refuseUntil:
+		return Refuse, max(c.retryAt-now, minRetryAfter)
 	case turn == Last:
-		return Refuse, shortestAgain
+		return Refuse, minRetryAfter
 	default:
 		return Ask, 0
 	}
@@ -102,7 +102,7 @@
 	return Admit, 0
 }
 
-// Undo takes back an operation that was admitted and has not run.
+// Undo takes back an admitted operation that has not run.
 func (m *Meter) Undo(now Stamp, name string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -111,165 +111,164 @@
 	}
 }
 
-// Wait notes that operations of a customer wait for the accountant's answer; by is 1 when one
-// begins to wait and -1 when it ends.
+// Wait changes the number of operations that wait for a lease: by is 1 when one starts to wait and
+// -1 when it stops.
 func (m *Meter) Wait(now Stamp, name string, by int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if c, ok := m.customers[name]; ok {
-		c.waiting = max(0, c.waiting+by)
+		c.waiters = max(0, c.waiters+by)
 	}
 }
 
-// isolated reports whether the accountant has not answered for long.
+// isolated reports whether the accountant has not replied within isolationTimeout.
 func (m *Meter) isolated(now Stamp) bool {
-	return m.asked != 0 && m.asked > m.answered && now-m.asked > isolatedAfter
+	return m.unackedSince != 0 && m.unackedSince > m.lastAcked && now-m.unackedSince > isolationTimeout
 }
 
-// Due reports whether there is something to report, and whether that should not wait for
-// ReportInterval.
+// Due reports whether a report is due, and whether it should be sent before ReportInterval has
+// passed.
 func (m *Meter) Due(now Stamp) (due, soon bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, c := range m.customers {
-		if c.waiting > 0 {
+		if c.waiters > 0 {
 			return true, true
 		}
 		due = due || c.unreported.sum(now) > 0
 	}
-	return due || now-m.answered > restInterval && (len(m.customers) > 0 || m.Lends()), false
+	return due || now-m.lastAcked > idleReportInterval && (len(m.customers) > 0 || m.Lends()), false
 }
 
-// Report returns what is to be sent to the accountant now: the last report again, until it is
-// answered.
+// Report returns the next report for the accountant. An unacknowledged report is repeated.
 func (m *Meter) Report(now Stamp) Report {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.asked <= m.answered {
-		m.asked = now
+	if m.unackedSince <= m.lastAcked {
+		m.unackedSince = now
 	}
-	if m.sent != nil {
-		return m.again(now)
+	if m.pending != nil {
+		return m.resend(now)
 	}
-	m.number++
-	r := Report{Instance: m.Instance, Run: m.Run, Number: m.number, New: m.known == 0, Unheard: m.unheard(now)}
+	m.sequence++
+	r := Report{Instance: m.Instance, Run: m.Run, Number: m.sequence, New: m.accountantIncarnation == 0, Unheard: m.sincePredecessorAck(now)}
 	for name, c := range m.customers {
-		ended := c.ended(now)
-		if !ended && c.unreported.sum(now) == 0 && c.waiting == 0 && !(r.New && (c.told != 0 || c.ran.sum(now) > 0)) {
+		inactive := c.inactive(now)
+		if !inactive && c.unreported.sum(now) == 0 && c.waiters == 0 && !(r.New && (c.grantedAt != 0 || c.reported.sum(now) > 0)) {
 			continue
 		}
-		s := Spending{Customer: name, Used: c.unreported.list(now), Waiting: c.waiting, Demand: c.now(now)}
-		if now < c.until && !ended {
+		s := Spending{Customer: name, Used: c.unreported.list(now), Waiting: c.waiters, Demand: c.currentDemand(now)}
+		if now < c.leasedUntil && !inactive {
 			s.Held = c.tokens
 		}
 		if r.New {
-			s.Before, s.Part, s.Told = c.ran.list(now), c.part, c.told != 0
+			s.Before, s.Part, s.Told = c.reported.list(now), c.fallbackRate, c.grantedAt != 0
 		}
 		r.Spendings = append(r.Spendings, s)
-		c.sent, c.unreported = c.unreported, window{}
-		if ended {
+		c.inFlight, c.unreported = c.unreported, window{}
+		if inactive {
 			delete(m.customers, name)
 		}
 	}
-	m.sent = &r
+	m.pending = &r
 	return r
 }
 
-// unheard is for how long the accountant before can't have heard of this instance, 0 where
-// there was none.
-func (m *Meter) unheard(now Stamp) time.Duration {
-	if m.before == 0 {
+// sincePredecessorAck returns the time since the previous accountant acknowledged a report, 0
+// without a previous accountant.
+func (m *Meter) sincePredecessorAck(now Stamp) time.Duration {
+	if m.predecessorAcked == 0 {
 		return 0
 	}
-	return max(1, now-m.before)
+	return max(1, now-m.predecessorAcked)
 }
 
-// again returns the report that has not been answered, with what it tells as old as it is now.
-func (m *Meter) again(now Stamp) Report {
-	r := *m.sent
-	r.Unheard = m.unheard(now)
+// resend returns the unacknowledged report with its slots and ages updated to now.
+func (m *Meter) resend(now Stamp) Report {
+	r := *m.pending
+	r.Unheard = m.sincePredecessorAck(now)
 	r.Spendings = slices.Clone(r.Spendings)
 	for i := range r.Spendings {
 		s := &r.Spendings[i]
 		if c, ok := m.customers[s.Customer]; ok {
-			s.Used = c.sent.list(now)
+			s.Used = c.inFlight.list(now)
 			if r.New {
-				s.Before = c.ran.list(now)
+				s.Before = c.reported.list(now)
 			}
 		}
 	}
 	return r
 }
 
-// Answer takes in the accountant's answer to a report that was sent at a moment. Leases count
-// from then, so they end here before they end at the accountant.
+// Answer processes the reply to the report sent at sent. Leases count from then, so they expire
+// here before they expire at the accountant.
 func (m *Meter) Answer(sent Stamp, x Answer) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	// One that has answered anew is told what ran before it began.
-	told := m.sent != nil && m.sent.New
-	if m.sent != nil {
-		m.reported(sent)
+	// A new incarnation is known once it has acknowledged the past usage.
+	pastReported := m.pending != nil && m.pending.New
+	if m.pending != nil {
+		m.markReported(sent)
 	}
-	m.sent, m.answered = nil, max(sent, m.asked)
-	if told || m.known == x.Run {
-		m.known = x.Run
+	m.pending, m.lastAcked = nil, max(sent, m.unackedSince)
+	if pastReported || m.accountantIncarnation == x.Run {
+		m.accountantIncarnation = x.Run
 	} else {
-		m.known = 0
+		m.accountantIncarnation = 0
 	}
 	for _, a := range x.Allowances {
 		c, ok := m.customers[a.Customer]
 		if !ok {
 			continue
 		}
-		if sent >= c.until {
+		if sent >= c.leasedUntil {
 			c.tokens = 0
 		}
-		c.tokens, c.until = c.tokens+a.Tokens, sent+leaseTime
-		c.told, c.part = sent, a.Part
-		c.tight = 0
+		c.tokens, c.leasedUntil = c.tokens+a.Tokens, sent+leaseDuration
+		c.grantedAt, c.fallbackRate = sent, a.Part
+		c.leaseRequiredUntil = 0
 		if a.Tight {
-			c.tight = sent + tightFor
+			c.leaseRequiredUntil = sent + leaseRequiredDuration
 		} else {
-			c.saved = max(c.saved, 1)
+			c.fallbackTokens = max(c.fallbackTokens, 1)
 		}
-		c.refused = 0
+		c.refuseUntil = 0
 		if a.Again > 0 {
-			c.refused, c.more = sent+min(a.Again, refusedFor), sent+a.Again
+			c.refuseUntil, c.retryAt = sent+min(a.Again, refusalDuration), sent+a.Again
 		}
 	}
 }
 
-// Restart begins with another accountant: what the one before has counted is not known there.
-// It returns what tells the one before that nothing is run at its word any more.
+// Restart switches to another accountant, which has none of this instance's usage. It returns the
+// final report for the previous one.
 func (m *Meter) Restart(now Stamp) Report {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.known, m.before = 0, m.answered
-	m.number++
-	last := Report{Instance: m.Instance, Run: m.Run, Number: m.number, Leaves: true}
+	m.accountantIncarnation, m.predecessorAcked = 0, m.lastAcked
+	m.sequence++
+	last := Report{Instance: m.Instance, Run: m.Run, Number: m.sequence, Leaves: true}
 	for _, c := range m.customers {
 		c.tokens = 0
 	}
-	if m.sent == nil {
+	if m.pending == nil {
 		return last
 	}
-	for _, s := range m.sent.Spendings {
+	for _, s := range m.pending.Spendings {
 		if c, ok := m.customers[s.Customer]; ok {
-			c.unreported.merge(now, &c.sent)
-			c.sent = window{}
+			c.unreported.merge(now, &c.inFlight)
+			c.inFlight = window{}
 		}
 	}
-	m.sent = nil
+	m.pending = nil
 	return last
 }
 
-// reported takes in that the accountant knows what the last report told.
-func (m *Meter) reported(now Stamp) {
-	for _, s := range m.sent.Spendings {
+// markReported moves the operations of the acknowledged report to the reported ones.
+func (m *Meter) markReported(now Stamp) {
+	for _, s := range m.pending.Spendings {
 		if c, ok := m.customers[s.Customer]; ok {
-			c.ran.merge(now, &c.sent)
-			c.sent = window{}
+			c.reported.merge(now, &c.inFlight)
+			c.inFlight = window{}
 		}
 	}
 }
