--- a/internal/lender/conn.go
+++ b/internal/lender/conn.go
@@ -1,6 +1,6 @@
-// Package lender keeps connections to the members of a group and lends each to
-// one session at a time. Connections are scarce: a member takes a fixed number
-// from all instances together, and each new one costs it a slot for a moment.
+// Package lender pools connections to the members of a group and lends each to one session at a
+// time. A member accepts a limited number of connections from all instances together, and each
+// opening occupies one of its execution slots for a moment.
 package lender
 
 import (
@@ -19,12 +19,11 @@
 )
 
 const (
-	// preparedKept is how many prepared statements a connection keeps before it is
-	// reset. Callers use a few shapes; the bound keeps a caller that invents shapes
-	// from filling a member's memory.
-	preparedKept = 64
-	// writeTimeout bounds the sending of commands, which fit a socket's buffer
-	// unless the member has stopped reading.
+	// maxPreparedStatements is the number of prepared statements on a connection above which it is
+	// reset, to bound the member's memory.
+	maxPreparedStatements = 64
+	// writeTimeout bounds the sending of commands, which fit into the socket's buffer unless the
+	// member has stopped reading.
 	writeTimeout = time.Second
 )
 
@@ -32,19 +31,19 @@
 	// Values are a session's values by name.
 	Values map[string]string
 
-	// Prepared is a prepared statement's shape.
+	// Prepared is the shape of a prepared statement.
 	Prepared struct {
 		Writes bool
 		Shape  string
 	}
 
-	// Conn is a connection to a member. One goroutine uses it at a time.
+	// Conn is a connection to a member. It is not safe for concurrent use.
 	Conn struct {
 		Member string
-		// Born tells which of the member's lives it was opened to.
+		// Born identifies the incarnation of the member that it was opened to.
 		Born int64
-		// Customer is for whom the member was told that it was opened, "" for nobody: the
-		// member takes it for whoever is named at its start.
+		// Customer is the customer that the member was told at the start of the connection, ""
+		// without one.
 		Customer string
 
 		net      net.Conn
@@ -52,27 +51,28 @@
 		replies  messenger.Replies
 		values   Values
 		prepared map[Prepared]string
-		// owed is how many replies have not been read yet.
-		owed     int
-		buffer   []byte
-		lentAt   time.Time
-		idleFrom time.Time
-		// usedAt is when a statement of a caller's last got it.
-		usedAt time.Time
-		// fresh is set until it is lent for the first time.
+		// unreadReplies is the number of outstanding replies.
+		unreadReplies int
+		buffer        []byte
+		lentAt        time.Time
+		idleSince     time.Time
+		// lastUsed is when it was last lent for a caller's statement.
+		lastUsed time.Time
+		// fresh is set until it is first lent.
 		fresh bool
-		// long and short say what it is lent for, none of them for a question.
-		long, short bool
-		broken      bool
+		// forTransaction and forStatement tell what it is lent for; neither is set for a status
+		// query.
+		forTransaction, forStatement bool
+		broken                       bool
 
-		// giveBack is set on a connection that another instance has lent; noRoom and ran
-		// are what it is told at the end.
-		giveBack    func(LoanEnd)
-		noRoom, ran bool
+		// giveBack is set if another instance has lent the connection; refusedBusy and ran are
+		// reported to it in the end.
+		giveBack         func(LoanEnd)
+		refusedBusy, ran bool
 	}
 )
 
-// ErrBroken is returned for an answer that the connection can't have given.
+// ErrBroken is returned for a reply that violates the protocol.
 var ErrBroken = errors.New("connection broken")
 
 // RefusedError is a member's refusal of a new connection.
@@ -84,7 +84,7 @@
 // Error implements error.
 func (e *RefusedError) Error() string { return "member refused: " + e.Code.String() + " " + e.Detail }
 
-// Connect opens a connection to a member within the context's time.
+// Connect opens a connection to a member before the context's deadline.
 func Connect(ctx context.Context, n networker.Network, codec messenger.MemberCodec, m tracker.Member, who string) (*Conn, error) {
 	raw, err := n.Dial(ctx, m.Address)
 	if err != nil {
@@ -110,13 +110,13 @@
 	return c, nil
 }
 
-// Close ends the connection; what was open on it is rolled back by the member.
+// Close closes the connection; the member rolls back open transactions.
 func (c *Conn) Close() {
 	c.broken = true
 	_ = c.net.Close()
 }
 
-// End says goodbye and closes.
+// End sends the end command and closes the connection.
 func (c *Conn) End() {
 	if c.broken {
 		return
@@ -126,12 +126,12 @@
 	c.Close()
 }
 
-// Fit returns the commands that give the connection a session's values and its
-// prepared statement, if one is needed, and the statement's name there. Inside a
-// transaction, open, state is only added: Fit was called before it began.
+// Fit returns the commands that establish a session's values and, if needed, its prepared
+// statement, and the statement's name on the connection. Inside a transaction, if open is set,
+// state is only added: Fit was called before it began.
 func (c *Conn) Fit(values Values, need *Prepared, open bool) ([]messenger.Command, string) {
 	var commands []messenger.Command
-	if !open && c.foreign(values, need) {
+	if !open && c.needsReset(values, need) {
 		c.values = nil
 		clear(c.prepared)
 		commands = append(commands, messenger.Command{Kind: messenger.KindReset})
@@ -158,27 +158,27 @@
 	return commands, name
 }
 
-// foreign reports whether the connection has state that has to be cleared: values
-// that the session doesn't have, or too many prepared statements.
-func (c *Conn) foreign(values Values, need *Prepared) bool {
+// needsReset reports whether the connection has values that the session doesn't have, or too many
+// prepared statements.
+func (c *Conn) needsReset(values Values, need *Prepared) bool {
 	for name := range c.values {
 		if _, ok := values[name]; !ok {
 			return true
 		}
 	}
-	return need != nil && c.prepared[*need] == "" && len(c.prepared) >= preparedKept
+	return need != nil && c.prepared[*need] == "" && len(c.prepared) >= maxPreparedStatements
 }
 
-// Forget drops the record of prepared statements after the member said that it
-// knows none of a name; the next Fit prepares them under new state.
+// Forget drops the record of the connection's state after the member reported an unknown prepared
+// statement; the next Fit establishes it again.
 func (c *Conn) Forget() {
 	c.values = Values{"": ""}
 	clear(c.prepared)
 }
 
-// Exchange sends commands in one write and reads their replies until the
-// deadline. After a timeout, Finish can read the rest; after any other error the
-// connection is of no more use. sent is false when no byte can have been sent.
+// Exchange sends commands in one write and reads their replies until the deadline. After a
+// timeout, Finish can read the rest; after any other error the connection is unusable. sent is
+// false if no byte can have been sent.
 func (c *Conn) Exchange(commands []messenger.Command, deadline time.Time) (replies []messenger.Reply, sent bool, err error) {
 	c.buffer = c.buffer[:0]
 	for _, x := range commands {
@@ -189,12 +189,12 @@
 		c.Close()
 		return nil, n > 0, errors.Wrap(err, "send")
 	}
-	c.owed = len(commands)
+	c.unreadReplies = len(commands)
 	replies, err = c.read(deadline)
 	return replies, true, err
 }
 
-// Finish reads the replies that a timeout left over.
+// Finish reads the replies that are outstanding after a timeout.
 func (c *Conn) Finish(deadline time.Time) error {
 	_, err := c.read(deadline)
 	return err
@@ -202,8 +202,8 @@
 
 func (c *Conn) read(deadline time.Time) ([]messenger.Reply, error) {
 	_ = c.net.SetReadDeadline(deadline)
-	replies := make([]messenger.Reply, 0, c.owed)
-	for c.owed > 0 {
+	replies := make([]messenger.Reply, 0, c.unreadReplies)
+	for c.unreadReplies > 0 {
 		r, err := c.replies.Reply()
 		if err != nil {
 			if !IsTimeout(err) {
@@ -211,27 +211,26 @@
 			}
 			return replies, errors.Wrap(err, "receive")
 		}
-		c.owed--
+		c.unreadReplies--
 		replies = append(replies, r)
 	}
 	if c.replies.Buffered() {
 		c.Close()
-		return replies, errors.Wrap(ErrBroken, "an answer too many")
+		return replies, errors.Wrap(ErrBroken, "unexpected reply")
 	}
 	return replies, nil
 }
 
-// IsTimeout reports whether an error is that of a deadline.
+// IsTimeout reports whether an error is an exceeded deadline.
 func IsTimeout(err error) bool {
 	var n net.Error
 	return errors.As(err, &n) && n.Timeout()
 }
 
-// silent reports whether an idle connection is as it should be: open, with
-// nothing to read. A write sent on one that its member has closed would have an
-// unknown outcome although it never ran.
-func (c *Conn) silent() bool {
-	if c.broken || c.owed > 0 || c.replies.Buffered() {
+// healthy reports whether an idle connection is open and has no unread input. A write on one that
+// the member has closed would have an unknown outcome although it never ran.
+func (c *Conn) healthy() bool {
+	if c.broken || c.unreadReplies > 0 || c.replies.Buffered() {
 		return false
 	}
 	s, ok := c.net.(syscall.Conn)
@@ -242,15 +241,13 @@
 	if err != nil {
 		return false
 	}
-	// Not raw.Read: it fails once the deadline of the last exchange has passed, and a
-	// connection that nobody had used for a moment would be taken for one that is closed.
-	quiet := false
-	err = raw.Control(func(fd uintptr) { quiet = nothingToRead(int(fd)) })
-	return err == nil && quiet
+	// raw.Read would fail once the deadline of the last exchange has passed.
+	idle := false
+	err = raw.Control(func(fd uintptr) { idle = nothingToRead(int(fd)) })
+	return err == nil && idle
 }
 
-// nothingToRead reports whether a socket is open and has neither bytes nor an end to
-// read.
+// nothingToRead reports whether a socket is open and has neither unread bytes nor EOF.
 func nothingToRead(fd int) bool {
 	var b [1]byte
 	for {
--- a/internal/lender/evict_test.go
+++ b/internal/lender/evict_test.go
@@ -17,7 +17,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// directory has n customers without limits, c0 and on.
+// directory returns n customers without limits, named c0, c1, and so on.
 func directory(n int) *identifier.Directory {
 	var list []identifier.Customer
 	for i := range n {
@@ -28,8 +28,8 @@
 
 func name(n int) string { return fmt.Sprint("c", n) }
 
-// work runs a statement for a customer, with a value and a prepared statement of its own.
-func work(ctx context.Context, p *lender.Pool, customer, value, text string) (string, error) {
+// runCustomerStatement runs a statement of a customer with a session value.
+func runCustomerStatement(ctx context.Context, p *lender.Pool, customer, value, text string) (string, error) {
 	c, err := p.Borrow(ctx, lender.Request{Choose: primary, Customer: customer, Until: time.Now().Add(5 * time.Second)})
 	if err != nil {
 		return "", err
@@ -44,14 +44,12 @@
 	return replies[len(replies)-1].Rows[0], nil
 }
 
-// One instance holds a member's 16 connections for 40 customers, of which a few have most of
-// the work. Statements run at random moments, connections are cut and members start again
-// meanwhile: each runs on a connection of its customer, with its own session's value, and the
-// member never has more connections than it takes.
-func TestConnectionsKeepToTheirCustomer(t *testing.T) {
+// Guards against statements that run on another customer's connection or with another session's
+// values, and against more connections than the member accepts.
+func TestConnectionsServeOneCustomer(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			playShared(t, &liner.Group{Connections: 16}, 1, 1, func(t *testing.T, s *stage) {
+			runSharedPools(t, &liner.Group{Connections: 16}, 1, 1, func(t *testing.T, s *testGroup) {
 				p := s.pools[0]
 				p.Configure(16, directory(40))
 				var running sync.WaitGroup
@@ -61,7 +59,7 @@
 						for i := range 30 {
 							customer := name(int(40 * random.Float64() * random.Float64()))
 							value := fmt.Sprint(caller, "-", i)
-							row, err := work(t.Context(), p, customer, value, "FETCH "+customer)
+							row, err := runCustomerStatement(t.Context(), p, customer, value, "FETCH "+customer)
 							if err == nil {
 								must.StrHasSuffix(t, "who="+value, row)
 							}
@@ -88,11 +86,10 @@
 	}
 }
 
-// Forty customers before a member with 24 places, a fifth of them with four fifths of the
-// work, as customers are. Held for those who come soonest, most statements find a connection;
-// opened for each, connections would hold the member's two slots for longer than statements.
-func TestMostStatementsFindTheirConnection(t *testing.T) {
-	playShared(t, &liner.Group{Connections: 24, Slots: 2, Queue: 16, Handshake: 12 * time.Millisecond}, 1, 1, func(t *testing.T, s *stage) {
+// Guards against opening a connection for most statements, when the most frequent customers' could
+// be reused.
+func TestConnectionReuseAcrossCustomers(t *testing.T) {
+	runSharedPools(t, &liner.Group{Connections: 24, Slots: 2, Queue: 16, Handshake: 12 * time.Millisecond}, 1, 1, func(t *testing.T, s *testGroup) {
 		p := s.pools[0]
 		p.Configure(24, directory(40))
 		random := rand.New(rand.NewPCG(1, 1))
@@ -108,7 +105,7 @@
 			if i >= 100 {
 				statements++
 			}
-			_, err := work(t.Context(), p, name(n), "v", "FETCH k")
+			_, err := runCustomerStatement(t.Context(), p, name(n), "v", "FETCH k")
 			must.NoError(t, err)
 		}
 		_, _, _, opened := p.Load()
@@ -116,13 +113,13 @@
 	})
 }
 
-// A customer that is gone from the configuration keeps no connection.
-func TestCustomerGone(t *testing.T) {
-	play(t, 16, 1, func(t *testing.T, s *stage) {
+// Guards against connections that are kept for customers that are no longer configured.
+func TestRemovedCustomerLosesConnections(t *testing.T) {
+	runPools(t, 16, 1, func(t *testing.T, s *testGroup) {
 		p := s.pools[0]
 		p.Configure(16, directory(3))
 		_, before, _, _ := p.Load()
-		_, err := work(t.Context(), p, name(2), "v", "FETCH k")
+		_, err := runCustomerStatement(t.Context(), p, name(2), "v", "FETCH k")
 		must.NoError(t, err)
 		_, idle, _, _ := p.Load()
 		must.Eq(t, before+1, idle)
@@ -132,22 +129,19 @@
 	})
 }
 
-// One customer sends 7.5 times its usual to a member whose slots are full, and nothing limits
-// it; 20 others send what they always do. These wait for what runs and for each other, not
-// behind its backlog: their p99 stays within a tenth, and a statement's time, of what it is
-// without the hot one, and none is refused.
+// Guards against a customer with a large backlog delaying the others' requests.
 func TestHotCustomerDelaysNoOther(t *testing.T) {
-	calm, _ := p99Beside(t, 0)
-	beside, hot := p99Beside(t, 40)
+	calm, _ := calmP99(t, 0)
+	beside, hot := calmP99(t, 40)
 	must.Positive(t, hot)
 	must.LessEq(t, calm+calm/10+20*time.Millisecond, beside)
 }
 
-// p99Beside returns the p99 of the calm customers' waits for a connection beside a number of
-// callers of a hot one that never pause, and how much these had served.
-func p99Beside(t *testing.T, hotCallers int) (p99 time.Duration, hotServed int) {
+// calmP99 returns the p99 of the calm customers' waits for a connection while hotCallers send
+// statements of another customer without a pause, and how many of these were served.
+func calmP99(t *testing.T, hotCallers int) (p99 time.Duration, hotServed int) {
 	group := &liner.Group{Connections: 80, Slots: 2, Queue: 64, Handshake: 12 * time.Millisecond}
-	playShared(t, group, 1, 1, func(t *testing.T, s *stage) {
+	runSharedPools(t, group, 1, 1, func(t *testing.T, s *testGroup) {
 		p := s.pools[0]
 		p.Configure(80, directory(21))
 		var mutex sync.Mutex
@@ -157,7 +151,7 @@
 		for range hotCallers {
 			running.Go(func() {
 				for time.Now().Before(until) {
-					if _, err := work(t.Context(), p, name(0), "v", "FETCH k"); err == nil {
+					if _, err := runCustomerStatement(t.Context(), p, name(0), "v", "FETCH k"); err == nil {
 						mutex.Lock()
 						hotServed++
 						mutex.Unlock()
--- a/internal/lender/idle_test.go
+++ b/internal/lender/idle_test.go
@@ -14,9 +14,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// answer is a member on a real socket that says yes to everything; it returns how many
-// connections it has taken so far.
-func answer(t *testing.T) (address string, taken chan struct{}) {
+// startEchoMember starts a member on a TCP socket that completes every command. Each accepted
+// connection is sent to taken.
+func startEchoMember(t *testing.T) (address string, taken chan struct{}) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -51,19 +51,17 @@
 	return l.Addr().String(), taken
 }
 
-// Callers come once a second, each try with a deadline that passes before the next
-// caller comes. The connection of the first is open and silent, so the second gets it.
-// Taken for closed because of the old deadline, each caller costs the member a new
-// connection, which holds one of its slots as long as a statement does.
-func TestIdleOutlivesDeadline(t *testing.T) {
-	address, taken := answer(t)
+// Guards against taking an idle connection for a closed one because the deadline of its last
+// exchange has passed, which would open a connection for each caller.
+func TestExpiredDeadlineKeepsIdleConnection(t *testing.T) {
+	address, taken := startEchoMember(t)
 	g := &tracker.Group{Name: "g", Zone: "a", Near: func(string) bool { return true }}
 	g.Members([]tracker.Member{{ID: "g-1", Group: "g", Address: address, Zone: "a", Slots: 3}})
 	p := &lender.Pool{
 		Group: g, Network: networker.TCP{}, Codec: platform.Lines{}, Who: "test",
 		Clock: func() tracker.Stamp { return time.Hour },
 	}
-	// Run is what closes connections for want of use; without it only their state decides.
+	// Run is not called: it would close connections that idle for too long.
 	c, err := lender.Connect(t.Context(), networker.TCP{}, platform.Lines{}, tracker.Member{ID: "g-1", Group: "g", Address: address}, "test")
 	must.NoError(t, err)
 	<-taken
--- a/internal/lender/lend.go
+++ b/internal/lender/lend.go
@@ -5,42 +5,39 @@
 	"time"
 )
 
-// This file hands connections out and takes them back; the pool's mutex is held, but for
-// Return.
-
-// take returns an idle connection to the first of the members that has one, and room.
-func (p *Pool) take(ids []string, r *Request) *Conn {
+// takeIdle takes an idle connection to the first member that has one and accepts the request. The
+// caller holds the mutex.
+func (p *Pool) takeIdle(ids []string, r *Request) *Conn {
 	for _, id := range ids {
 		m := p.members[id]
-		if m == nil || !r.Question && m.pace.Wait(time.Now()) > 0 || !p.fits(m, r) {
+		if m == nil || !r.Question && m.pace.Wait(time.Now()) > 0 || !p.hasCapacityFor(m, r) {
 			continue
 		}
 		for i := len(m.idle) - 1; i >= 0; i-- {
 			c := m.idle[i]
-			if !c.suits(r) {
+			if !c.usableFor(r) {
 				continue
 			}
 			m.idle = slices.Delete(m.idle, i, i+1)
-			if c.silent() {
-				m.lend(c, r, p.NoteLent)
+			if c.healthy() {
+				m.markLent(c, r, p.NoteLent)
 				return c
 			}
-			p.lost(m, c)
+			p.discardBroken(m, c)
 		}
 	}
 	return nil
 }
 
-// suits reports whether a request may have the connection. A question of the instance's own
-// runs nothing of a caller's, so any will do.
-func (c *Conn) suits(r *Request) bool { return r.Question || c.Customer == r.Customer }
+// usableFor reports whether a request may use the connection. A status query may use any.
+func (c *Conn) usableFor(r *Request) bool { return r.Question || c.Customer == r.Customer }
 
-// lost ends an idle connection that the member, or something on the way, has ended.
-func (p *Pool) lost(m *place, c *Conn) {
+// discardBroken closes an idle connection that the member or the network has closed.
+func (p *Pool) discardBroken(m *memberPool, c *Conn) {
 	m.open--
 	c.Close()
 	if p.NoteLost != nil {
-		p.NoteLost(c.Member, time.Since(c.idleFrom))
+		p.NoteLost(c.Member, time.Since(c.idleSince))
 	}
 }
 
@@ -53,92 +50,93 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if !c.lentAt.IsZero() {
-		took := time.Since(c.lentAt)
-		if p.usual == 0 {
-			p.usual = took
+		loanTime := time.Since(c.lentAt)
+		if p.averageLoan == 0 {
+			p.averageLoan = loanTime
 		}
-		p.usual += time.Duration(lendWeight * float64(took-p.usual))
-		p.place(c.Member).takeBack(c)
+		p.averageLoan += time.Duration(loanTimeWeight * float64(loanTime-p.averageLoan))
+		p.member(c.Member).markReturned(c)
 	}
-	p.put(c)
+	p.addIdle(c)
 }
 
-func (p *Pool) put(c *Conn) {
-	m := p.place(c.Member)
-	if c.broken || c.owed > 0 || p.closed || c.Born < m.born {
+// addIdle lends a connection to a waiting request or keeps it idle. An unusable one is closed.
+func (p *Pool) addIdle(c *Conn) {
+	m := p.member(c.Member)
+	if c.broken || c.unreadReplies > 0 || p.closed || c.Born < m.born {
 		m.open--
 		c.Close()
-		p.serve()
+		p.serveWaiting()
 		return
 	}
 	if p.customers != nil {
-		// In the order of turns: an idle connection may give way to one of another customer.
-		c.idleFrom = time.Now()
+		// serveWaiting lends in queue order, and may evict an idle connection of another customer.
+		c.idleSince = time.Now()
 		m.idle = append(m.idle, c)
-		p.serve()
+		p.serveWaiting()
 		return
 	}
-	room := m.pace.Wait(time.Now()) == 0
+	capacity := m.pace.Wait(time.Now()) == 0
 	for i, w := range p.waiting {
-		if (room || w.Question) && c.suits(&w.Request) && slices.Contains(p.choose(&w.Request), c.Member) {
+		if (capacity || w.Question) && c.usableFor(&w.Request) && slices.Contains(p.choose(&w.Request), c.Member) {
 			p.waiting = slices.Delete(p.waiting, i, i+1)
-			m.lend(c, &w.Request, p.NoteLent)
-			w.lent <- c
+			m.markLent(c, &w.Request, p.NoteLent)
+			w.local <- c
 			return
 		}
 	}
-	c.idleFrom = time.Now()
+	c.idleSince = time.Now()
 	m.idle = append(m.idle, c)
 }
 
-// lend notes that a connection is lent.
-func (m *place) lend(c *Conn, r *Request, noteLent func(opened bool)) {
+// markLent records that a connection is lent.
+func (m *memberPool) markLent(c *Conn, r *Request, noteLent func(opened bool)) {
 	c.lentAt = time.Now()
-	m.usedAt = c.lentAt
-	add(&m.lent, c.Customer, 1)
-	c.long, c.short = r.Long, !r.Long && !r.Question
+	m.lastUsed = c.lentAt
+	addCount(&m.lentByCustomer, c.Customer, 1)
+	c.forTransaction, c.forStatement = r.Long, !r.Long && !r.Question
 	switch {
-	case c.long:
-		add(&m.long, c.Customer, 1)
-	case c.short:
-		m.short++
+	case c.forTransaction:
+		addCount(&m.longLoansByCustomer, c.Customer, 1)
+	case c.forStatement:
+		m.shortLoans++
 	}
 	if !r.Question {
 		if noteLent != nil {
 			noteLent(c.fresh)
 		}
 		c.fresh = false
-		c.usedAt = c.lentAt
-		m.uses.add(c.lentAt, c.Customer)
+		c.lastUsed = c.lentAt
+		m.usage.add(c.lentAt, c.Customer)
 		m.pace.Sent(c.lentAt)
 	}
 }
 
-// takeBack notes that a connection is lent no more.
-func (m *place) takeBack(c *Conn) {
-	add(&m.lent, c.Customer, -1)
+// markReturned records that a connection is returned.
+func (m *memberPool) markReturned(c *Conn) {
+	addCount(&m.lentByCustomer, c.Customer, -1)
 	switch {
-	case c.long:
-		add(&m.long, c.Customer, -1)
-	case c.short:
-		m.short--
+	case c.forTransaction:
+		addCount(&m.longLoansByCustomer, c.Customer, -1)
+	case c.forStatement:
+		m.shortLoans--
 	}
-	c.long, c.short = false, false
+	c.forTransaction, c.forStatement = false, false
 }
 
-// serve gives idle connections to those that wait, and opens more for the rest.
-func (p *Pool) serve() {
+// serveWaiting lends idle connections to waiting requests and opens more for the rest.
+func (p *Pool) serveWaiting() {
 	for i := 0; i < len(p.waiting); {
 		w := p.waiting[i]
 		ids := p.choose(&w.Request)
-		if c := p.take(ids, &w.Request); c != nil {
+		if c := p.takeIdle(ids, &w.Request); c != nil {
 			p.waiting = slices.Delete(p.waiting, i, i+1)
-			p.turns.Reach(w.start)
-			w.lent <- c
+			p.fairQueue.Reach(w.virtualStart)
+			w.local <- c
 			continue
 		}
-		if time.Since(w.arrived) >= growAfter || !p.expects(ids, w.Customer) {
-			p.connectFor(ids, &w.Request)
+		if time.Since(w.arrived) >= openAfterWait || !p.mayReturnSoon(ids, w.Customer) {
+			p.openFor(ids, &w.Request)
 		}
 		i++
 	}
--- a/internal/lender/overload.go
+++ b/internal/lender/overload.go
@@ -2,48 +2,46 @@
 
 import "time"
 
-// This file holds work back from members that have no room for it.
-
-// NoRoom takes in that a member refused a statement for want of room: new work waits,
-// or goes to other members.
+// NoRoom records that a member refused a statement because of overload: new work is paced or goes
+// to other members.
 func (p *Pool) NoRoom(member string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
-	m := p.place(member)
-	m.silent = 0
+	m := p.member(member)
+	m.timeouts = 0
 	if m.pace.Free() && p.NoteRoom != nil {
 		p.NoteRoom(member, false)
 	}
 	m.pace.Refused(now)
-	p.resumeLater(m, now)
+	p.scheduleResume(m, now)
 }
 
-// resumeLater has those who wait for a member's room served when it may have some.
-func (p *Pool) resumeLater(m *place, now time.Time) {
-	if wait := m.pace.Wait(now); wait > 0 && len(p.waiting) > 0 && m.resume == nil {
-		m.resume = time.AfterFunc(wait, func() { p.roomAgain(m) })
+// scheduleResume serves the waiting requests when the member's pacer allows new work.
+func (p *Pool) scheduleResume(m *memberPool, now time.Time) {
+	if wait := m.pace.Wait(now); wait > 0 && len(p.waiting) > 0 && m.resumeTimer == nil {
+		m.resumeTimer = time.AfterFunc(wait, func() { p.resume(m) })
 	}
 }
 
-// roomAgain serves those who have waited until a member may have room.
-func (p *Pool) roomAgain(m *place) {
+// resume serves the waiting requests after a pause.
+func (p *Pool) resume(m *memberPool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	m.resume = nil
+	m.resumeTimer = nil
 	if p.closed {
 		return
 	}
-	p.serve()
-	p.resumeLater(m, time.Now())
+	p.serveWaiting()
+	p.scheduleResume(m, time.Now())
 }
 
-// Room takes in that a member ran a statement.
+// Room records that a member ran a statement.
 func (p *Pool) Room(member string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	m := p.place(member)
-	m.silent = 0
+	m := p.member(member)
+	m.timeouts = 0
 	paced := !m.pace.Free()
 	m.pace.Served()
 	if paced && m.pace.Free() && p.NoteRoom != nil {
--- a/internal/lender/pool.go
+++ b/internal/lender/pool.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	// TendInterval is how often idle connections are looked through.
+	// TendInterval is the interval between calls of Tend.
 	TendInterval = 50 * time.Millisecond
-	// largestPart is the part of a member's connections that one instance may hold.
-	// A hot instance gets several times the mean, and can't take all.
-	largestPart = 0.5
-	// lendWeight is the part of a new sample in the usual time of a loan.
-	lendWeight = 0.05
+	// maxInstanceFraction is the fraction of a member's connections that one instance may hold, so
+	// that an instance with high load can't take all of them.
+	maxInstanceFraction = 0.5
+	// loanTimeWeight is the weight of a new sample in the moving average of loan times.
+	loanTimeWeight = 0.05
 )
 
 // Errors of Borrow.
 var (
-	// ErrFull means that the wait for a connection would be too long.
-	ErrFull = errors.New("no connection in time")
-	// ErrNobody means that no member fits.
-	ErrNobody = errors.New("no member fits")
-	// ErrLocal is Central's: the instance's own connections are to be used.
-	ErrLocal = errors.New("own connections are used")
+	// ErrFull means that no connection becomes available in time.
+	ErrFull = errors.New("no connection available in time")
+	// ErrNobody means that no member is eligible.
+	ErrNobody = errors.New("no eligible member")
+	// ErrLocal is returned by Pool.Central if the instance must use its own connections.
+	ErrLocal = errors.New("the instance's own connections must be used")
 )
 
-// LimitError refuses an operation of a customer that is over its limit.
+// LimitError rejects an operation of a customer that is over its rate limit.
 type LimitError struct {
 	Customer string
-	// Again is when there may be room for one.
+	// Again is the delay after which the caller may retry.
 	Again time.Duration
 }
 
@@ -48,137 +48,137 @@
 type (
 	// Request asks for a connection.
 	Request struct {
-		// Choose names the members that fit, the best first. It is asked again when
-		// something has changed while the request waits.
+		// Choose returns the eligible members, best first. It is called again when the state of
+		// the members has changed while the request waits.
 		Choose func() []string
-		// Customer is for whom the connection must have been opened, "" where callers are
-		// not told apart.
+		// Customer is the customer that the connection must have been opened for, "" without
+		// customers.
 		Customer string
-		// Priority orders requests that wait; 0 goes first.
+		// Priority orders waiting requests; 0 goes first.
 		Priority int
-		// Until is when the request is of no more use.
+		// Until is the deadline of the wait.
 		Until time.Time
-		// Question is set for a question of the instance's own. It takes next to nothing
-		// at the member and is not held back where there is no room.
+		// Question is set for a status query of the instance itself. It costs the member little
+		// and is sent to overloaded members, too.
 		Question bool
 		// Long is set for a transaction, which keeps its connection until the caller ends it.
 		Long bool
-		// Counts is set for a new operation of the customer's, which its limit counts.
+		// Counts is set for a new operation that counts against the customer's rate limit.
 		Counts bool
-		// Own is set when only a connection of this instance's own will do.
+		// Own requires a connection that this instance holds itself.
 		Own bool
 	}
 
-	// Pool lends the connections of one group. Set the exported fields, then call
-	// Run; Borrow and Return may be called from any goroutine.
+	// Pool lends the connections of one group. Set the exported fields, then call Run; Borrow and
+	// Return are safe for concurrent use.
 	Pool struct {
 		Group   *tracker.Group
 		Network networker.Network
 		Codec   messenger.MemberCodec
-		// Who is how this instance names itself to members.
+		// Who is the name of this instance in connection starts.
 		Who string
-		// Clock gives stamps for Group.
+		// Clock returns the current time for Group.
 		Clock func() tracker.Stamp
-		// Sharers, when set, says how many instances hold connections to a member.
+		// Sharers, when set, returns how many instances hold connections to a member.
 		Sharers func(group, member string) int
 		// Carry, when set, borrows a connection through another instance.
 		Carry func(ctx context.Context, group string, members []string, r Request) (*Conn, error)
-		// Central, when set, borrows from the instance that holds connections to the group's
-		// members for others; Elsewhere reports that there is one for a member and that it
-		// isn't this.
+		// Central, when set, borrows from the instance that holds the connections to the group's
+		// members for others. Elsewhere reports whether another instance holds those to a member.
 		Central   func(ctx context.Context, group string, r Request) (*Conn, error)
 		Elsewhere func(group, member string) bool
-		// Admit, when set, decides whether a new operation of a customer may run on one of
-		// this instance's connections; Undo takes one back that has not.
+		// Admit, when set, decides whether a new operation of a customer may run on one of this
+		// instance's connections; Undo takes back an admitted operation that has not run.
 		Admit func(ctx context.Context, customer string) error
 		Undo  func(customer string)
-		// NoteLent, when set, is told of each connection that is lent to callers' work, and
-		// whether it was opened for it.
+		// NoteLent, when set, is called for each connection lent to a caller, with whether it was
+		// newly opened.
 		NoteLent func(opened bool)
-		// Note, when set, is told of connections won and lost.
+		// Note, when set, is called with the result of each opening.
 		Note func(member string, err error)
-		// Tended is set when the owner calls Tend in place of Run, for many pools at once.
+		// Tended is set if the owner calls Tend instead of Run, for many pools at once.
 		Tended bool
-		// NoteLost, when set, is told of each idle connection that was found broken, and for
-		// how long it had idled.
+		// NoteLost, when set, is called for each idle connection found broken, with its idle time.
 		NoteLost func(member string, idle time.Duration)
-		// NoteRoom, when set, is told when new work to a member begins to be held back for
-		// want of room there, and when it no longer is.
+		// NoteRoom, when set, is called with false when new work to a member starts to be paced
+		// because the member is overloaded, and with true when pacing ends.
 		NoteRoom func(member string, room bool)
 
 		mutex sync.Mutex
-		// connections is how many a member takes from all instances, limit how many of
-		// them this one may hold.
-		connections, limit int
-		// customers are those in force, nil where callers are not told apart.
-		customers *identifier.Directory
-		members   map[string]*place
-		waiting   []*waiter
-		usual     time.Duration
-		ctx       context.Context
-		closed    bool
-		// turns orders the customers' work that waits, flows are their places in it.
-		turns fairer.Turns
-		flows map[string]*fairer.Flow
-		// working are the openings and questions under way.
-		working sync.WaitGroup
-		// opened counts connections made, for metrics.
-		opened int
+		// memberConnections is how many connections a member accepts from all instances,
+		// instanceLimit how many of them this instance may hold.
+		memberConnections, instanceLimit int
+		// customers are the configured customers, nil if connections are not per customer.
+		customers   *identifier.Directory
+		members     map[string]*memberPool
+		waiting     []*waiter
+		averageLoan time.Duration
+		ctx         context.Context
+		closed      bool
+		// fairQueue orders waiting work of customers, flows are their positions in it.
+		fairQueue fairer.Turns
+		flows     map[string]*fairer.Flow
+		// background counts running openings and status queries.
+		background sync.WaitGroup
+		// openedTotal counts openings, for metrics.
+		openedTotal int
 	}
 
-	place struct {
+	// memberPool holds the connections to one member.
+	memberPool struct {
 		id string
-		// born tells which of the member's lives the rest is about.
-		born       int64
-		idle       []*Conn
-		open       int
-		connecting int
-		// lent and expected are how many connections of a customer are lent, and are being
+		// born identifies the incarnation of the member that the other fields are about.
+		born    int64
+		idle    []*Conn
+		open    int
+		opening int
+		// lentByCustomer and openingByCustomer count a customer's lent connections and those being
 		// opened.
-		lent, expected map[string]int
-		// uses is how often each customer needs a connection to it.
-		uses usage
-		// short counts the connections that are lent for single statements, long those that
-		// are for each customer's transactions.
-		short     int
-		long      map[string]int
-		backoff   time.Duration
-		notBefore time.Time
-		// fullAt is when the member last said that it takes no more connections.
-		fullAt time.Time
-		// pace holds new work back while the member has no room.
+		lentByCustomer, openingByCustomer map[string]int
+		// usage is how often each customer uses a connection to the member.
+		usage usage
+		// shortLoans counts connections lent for single statements, longLoansByCustomer those lent
+		// for a customer's transactions.
+		shortLoans          int
+		longLoansByCustomer map[string]int
+		backoff             time.Duration
+		retryAt             time.Time
+		// lastFull is when the member last refused a connection because it has too many.
+		lastFull time.Time
+		// pace limits the rate of new work while the member is overloaded.
 		pace pacer.Pacer
-		// resume is set while work waits for it.
-		resume *time.Timer
-		// usedAt is when a connection to it was last lent, or when it was first known.
-		usedAt time.Time
-		// roomyAt is when it last said that it has places left.
-		roomyAt time.Time
-		// connectingSince is when the openings under way began, unreached whether the last
-		// one failed on the way there.
-		connectingSince time.Time
-		unreached       bool
-		// silent counts the exchanges in a row that got no answer.
-		silent int
+		// resumeTimer is set while waiting requests are paced.
+		resumeTimer *time.Timer
+		// lastUsed is when a connection was last lent, or when the member became known.
+		lastUsed time.Time
+		// capacityCheckedAt is when the member last reported free connections.
+		capacityCheckedAt time.Time
+		// openingSince is when the running openings began. noResponse is set if the last one
+		// got no response.
+		openingSince time.Time
+		noResponse   bool
+		// timeouts counts consecutive exchanges without a reply.
+		timeouts int
 	}
 
+	// waiter is a request that waits for a connection.
 	waiter struct {
 		Request
-		lent    chan *Conn
+		local   chan *Conn
 		arrived time.Time
-		// rank is the customer's priority, start the turn of this piece of its work.
-		rank  int
-		start float64
-		// carried receives a connection that another instance lends; carrying is set while
-		// one is asked for.
-		carried  chan *Conn
-		carrying bool
-		// left is set once nobody waits any more.
-		left bool
+		// customerPriority is the customer's priority, virtualStart its start in the fair queue.
+		customerPriority int
+		virtualStart     float64
+		// remote receives a connection that another instance lends; remotePending is set while one
+		// is requested.
+		remote        chan *Conn
+		remotePending bool
+		// abandoned is set once the request no longer waits.
+		abandoned bool
 	}
 )
 
-// Run keeps connections ready until the context ends.
+// Run maintains the connections until the context ends.
 func (p *Pool) Run(ctx context.Context) error {
 	p.mutex.Lock()
 	p.ctx = ctx
@@ -193,7 +193,7 @@
 		select {
 		case <-ctx.Done():
 			p.close()
-			p.working.Wait()
+			p.background.Wait()
 			return ctx.Err()
 		case now := <-ticks:
 			p.Tend(now)
@@ -201,29 +201,29 @@
 	}
 }
 
-// Configure sets how many connections a member takes from all instances, and which
-// customers there are.
+// Configure sets how many connections a member accepts from all instances, and the configured
+// customers.
 func (p *Pool) Configure(connections int, customers *identifier.Directory) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.connections, p.limit = connections, max(1, int(float64(connections)*largestPart))
+	p.memberConnections, p.instanceLimit = connections, max(1, int(float64(connections)*maxInstanceFraction))
 	p.customers = customers
-	p.dropStrangers()
+	p.dropUnknownCustomers()
 }
 
-// Changed has waiting requests choose again, after members or the primary changed.
+// Changed has waiting requests choose again after the members or the primary changed.
 func (p *Pool) Changed() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for id, m := range p.members {
 		if x, ok := p.Group.Member(id); ok && x.Born > m.born {
-			p.restarted(m, x.Born)
+			p.resetMember(m, x.Born)
 		}
 	}
-	p.serve()
+	p.serveWaiting()
 }
 
-// Load returns how many connections are open, idle, and waited for.
+// Load returns the numbers of open and idle connections, waiting requests and openings so far.
 func (p *Pool) Load() (open, idle, waiting, opened int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -231,10 +231,10 @@
 		open += m.open
 		idle += len(m.idle)
 	}
-	return open, idle, len(p.waiting), p.opened
+	return open, idle, len(p.waiting), p.openedTotal
 }
 
-// Held adds to a count how many connections there are for each customer.
+// Held adds the number of connections of each customer to byCustomer.
 func (p *Pool) Held(byCustomer map[string]int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -242,14 +242,14 @@
 		for _, c := range m.idle {
 			byCustomer[c.Customer]++
 		}
-		for customer, n := range m.lent {
+		for customer, n := range m.lentByCustomer {
 			byCustomer[customer] += n
 		}
 	}
 }
 
-// Borrow lends a connection to the best member that fits. The error is ErrFull, ErrNobody or
-// a LimitError, or that of the context.
+// Borrow lends a connection to the best eligible member. The error is ErrFull, ErrNobody, a
+// LimitError, or that of the context.
 func (p *Pool) Borrow(ctx context.Context, r Request) (*Conn, error) {
 	if !r.Own && p.Central != nil {
 		if c, err := p.Central(ctx, p.Group.Name, r); !errors.Is(err, ErrLocal) {
@@ -269,47 +269,47 @@
 	return c, err
 }
 
-// borrow lends one of this instance's own connections, or one that another carries.
+// borrow lends one of this instance's connections, or one through another instance.
 func (p *Pool) borrow(ctx context.Context, r Request) (*Conn, error) {
 	p.mutex.Lock()
 	ids := p.choose(&r)
-	if c := p.take(ids, &r); c != nil {
+	if c := p.takeIdle(ids, &r); c != nil {
 		p.mutex.Unlock()
 		return c, nil
 	}
-	w := &waiter{Request: r, lent: make(chan *Conn, 1), carried: make(chan *Conn, 1), arrived: time.Now()}
-	i := p.queue(w)
-	if p.hopeless(w, i) {
+	w := &waiter{Request: r, local: make(chan *Conn, 1), remote: make(chan *Conn, 1), arrived: time.Now()}
+	i := p.enqueuePosition(w)
+	if p.wouldTimeOut(w, i) {
 		p.mutex.Unlock()
 		return nil, ErrFull
 	}
-	if !p.expects(ids, r.Customer) {
-		p.connectFor(ids, &r)
+	if !p.mayReturnSoon(ids, r.Customer) {
+		p.openFor(ids, &r)
 	}
 	p.waiting = slices.Insert(p.waiting, i, w)
 	for _, id := range ids {
-		p.resumeLater(p.place(id), w.arrived)
+		p.scheduleResume(p.member(id), w.arrived)
 	}
 	p.mutex.Unlock()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	p.carry(ctx, w)
-	defer p.leave(w)
+	p.borrowRemote(ctx, w)
+	defer p.abandon(w)
 
 	t := time.NewTimer(time.Until(r.Until))
 	defer t.Stop()
-	grow := time.NewTimer(growAfter)
-	defer grow.Stop()
+	retry := time.NewTimer(openAfterWait)
+	defer retry.Stop()
 	for {
 		select {
-		case c := <-w.lent:
+		case c := <-w.local:
 			return c, nil
-		case c := <-w.carried:
+		case c := <-w.remote:
 			return c, nil
-		case <-grow.C:
-			p.grow(w)
-			p.carry(ctx, w)
-			grow.Reset(carryAgain)
+		case <-retry.C:
+			p.openForWaiter(w)
+			p.borrowRemote(ctx, w)
+			retry.Reset(remoteRetryInterval)
 		case <-t.C:
 			if len(ids) == 0 {
 				return nil, ErrNobody
@@ -321,27 +321,27 @@
 	}
 }
 
-// elsewhere reports whether another instance holds the connections to a member.
-func (p *Pool) elsewhere(member string) bool {
+// heldElsewhere reports whether another instance holds the connections to a member.
+func (p *Pool) heldElsewhere(member string) bool {
 	return p.Elsewhere != nil && p.Elsewhere(p.Group.Name, member)
 }
 
-// sharers is how many instances hold connections to a member, at least 1; 0 where that isn't
-// known.
-func (p *Pool) sharers(member string) int {
+// holders returns how many instances hold connections to a member, at least 1, or 0 if unknown.
+func (p *Pool) holders(member string) int {
 	if p.Sharers == nil {
 		return 0
 	}
 	return max(1, p.Sharers(p.Group.Name, member))
 }
 
-func (p *Pool) place(id string) *place {
+// member returns the state of a member, which is created on first use.
+func (p *Pool) member(id string) *memberPool {
 	m, ok := p.members[id]
 	if !ok {
 		if p.members == nil {
-			p.members = map[string]*place{}
+			p.members = map[string]*memberPool{}
 		}
-		m = &place{id: id}
+		m = &memberPool{id: id}
 		if x, ok := p.Group.Member(id); ok {
 			m.born = x.Born
 		}
--- a/internal/lender/remote.go
+++ b/internal/lender/remote.go
@@ -10,42 +10,38 @@
 	"github.com/oriolegw/oriolegw/internal/messenger"
 )
 
-// This file borrows connections through other instances.
-//
-// Load pattern: a cut leaves some instances without a way to a member that others reach; if
-// it leads the group, all their callers' writes and most reads wait for it in vain. What
-// the others hold is shared with them instead, in the same order as their own work.
+// Connections through other instances. During a partition, some instances may be unable to reach a
+// member that others reach. They borrow the others' connections, in the same queue as the others'
+// own requests.
 
 const (
-	// silentLimit is how many exchanges in a row must have got no answer until a member
-	// counts as cut off: where a fifth of all answers is lost, three in a row are 0.8%.
-	silentLimit = 3
-	// slowOpening is how long the opening of the first connection takes when the member
-	// may be cut off: three times what it usually takes, 51 ms.
-	slowOpening = 150 * time.Millisecond
+	// unreachableTimeouts is the number of consecutive timeouts after which a member counts as
+	// unreachable; single replies may be lost.
+	unreachableTimeouts = 3
+	// slowOpenTime is how long the opening of the first connection may take until the member
+	// counts as unreachable.
+	slowOpenTime = 150 * time.Millisecond
 )
 
 type (
-	// State is what a session has left on a connection: its values and prepared
-	// statements.
+	// State is the session state on a connection: its values and prepared statements.
 	State struct {
 		Values   Values
 		Prepared map[Prepared]string
 	}
 
-	// LoanEnd says how a connection that another instance has lent is given back.
+	// LoanEnd describes the return of a connection that another instance has lent.
 	LoanEnd struct {
-		// Broken connections are of no more use.
+		// Broken is set if the connection is unusable.
 		Broken bool
-		// NoRoom is set when the member refused a statement for want of room, Ran when
-		// it ran one.
+		// NoRoom is set if the member refused a statement because of overload, Ran if it ran one.
 		NoRoom, Ran bool
 		State       State
 	}
 )
 
-// Carried makes a connection of what another instance lends; giveBack is called once, when
-// it is returned.
+// Carried wraps a connection that another instance lends. giveBack is called once, when it is
+// returned.
 func Carried(n net.Conn, codec messenger.MemberCodec, member string, born int64, s State, giveBack func(LoanEnd)) *Conn {
 	return &Conn{
 		Member: member, Born: born, net: n, codec: codec, replies: codec.Replies(n),
@@ -53,36 +49,37 @@
 	}
 }
 
-// Raw is the connection to the member, for bytes that another instance exchanges on it.
+// Raw returns the network connection to the member, for relaying bytes of another instance.
 func (c *Conn) Raw() net.Conn { return c.net }
 
-// State returns what sessions have left on the connection.
+// State returns a copy of the session state on the connection.
 func (c *Conn) State() State {
 	return State{Values: maps.Clone(c.values), Prepared: maps.Clone(c.prepared)}
 }
 
-// SetState takes in what a session of another instance has left on the connection.
+// SetState sets the session state that another instance's session has left.
 func (c *Conn) SetState(s State) { c.values, c.prepared = s.Values, s.Prepared }
 
-// returnLoan gives a connection back to the instance that has lent it.
+// returnLoan returns a connection to the instance that has lent it.
 func (c *Conn) returnLoan() {
-	broken := c.broken || c.owed > 0
-	c.giveBack(LoanEnd{Broken: broken, NoRoom: c.noRoom, Ran: c.ran, State: State{Values: c.values, Prepared: c.prepared}})
+	broken := c.broken || c.unreadReplies > 0
+	c.giveBack(LoanEnd{Broken: broken, NoRoom: c.refusedBusy, Ran: c.ran, State: State{Values: c.values, Prepared: c.prepared}})
 }
 
-// Silent takes in that a member did not answer what was sent on a connection.
+// Silent records that a member did not reply to what was sent on a connection.
 func (p *Pool) Silent(c *Conn) {
 	if c.giveBack != nil {
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	m := p.place(c.Member)
-	m.silent++
-	if m.silent < silentLimit {
+	m := p.member(c.Member)
+	m.timeouts++
+	if m.timeouts < unreachableTimeouts {
 		return
 	}
-	// New connections show whether the member is reached; these may be silent for good.
+	// Close the idle connections, which may be dead; new ones show whether the member is
+	// reachable.
 	for _, c := range m.idle {
 		m.open--
 		c.Close()
@@ -90,76 +87,77 @@
 	m.idle = nil
 }
 
-// cutOff reports whether the member seems not to be reached from here.
-func (m *place) cutOff(now time.Time) bool {
-	if m.silent >= silentLimit {
+// unreachable reports whether the member seems to be unreachable from this instance.
+func (m *memberPool) unreachable(now time.Time) bool {
+	if m.timeouts >= unreachableTimeouts {
 		return true
 	}
-	return m.open == 0 && (m.unreached || m.connecting > 0 && now.Sub(m.connectingSince) > slowOpening)
+	return m.open == 0 && (m.noResponse || m.opening > 0 && now.Sub(m.openingSince) > slowOpenTime)
 }
 
-// allCutOff reports whether none of the members seems to be reached from here.
-func (p *Pool) allCutOff(ids []string) bool {
+// allUnreachable reports whether all members seem to be unreachable from this instance.
+func (p *Pool) allUnreachable(ids []string) bool {
 	now := time.Now()
 	for _, id := range ids {
-		if m := p.members[id]; m == nil || !m.cutOff(now) {
+		if m := p.members[id]; m == nil || !m.unreachable(now) {
 			return false
 		}
 	}
 	return len(ids) > 0
 }
 
-// Reached returns those of the members that seem to be reached from here, in their order.
+// Reached returns the members that seem to be reachable from this instance, in the given order.
 func (p *Pool) Reached(ids []string) []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.reached(ids)
+	return p.reachable(ids)
 }
 
-// choose asks a request for the members that fit; the mutex is held.
+// choose returns the eligible members of a request; the caller holds the mutex.
 func (p *Pool) choose(r *Request) []string {
 	if r.Own {
-		return p.reached(r.Choose())
+		return p.reachable(r.Choose())
 	}
 	return r.Choose()
 }
 
-func (p *Pool) reached(ids []string) []string {
+// reachable is Reached with the mutex held.
+func (p *Pool) reachable(ids []string) []string {
 	now := time.Now()
-	var reached []string
+	var reachable []string
 	for _, id := range ids {
-		if _, ok := p.Group.Member(id); ok && !p.place(id).cutOff(now) {
-			reached = append(reached, id)
+		if _, ok := p.Group.Member(id); ok && !p.member(id).unreachable(now) {
+			reachable = append(reachable, id)
 		}
 	}
-	return reached
+	return reachable
 }
 
-// carry borrows a connection through another instance for a request that waits, if its
-// members seem not to be reached from here. The result comes on the channel; a connection
-// that nobody waits for any more is given back.
-func (p *Pool) carry(ctx context.Context, w *waiter) {
+// borrowRemote requests a connection through another instance for a waiting request whose members
+// all seem to be unreachable. The result is sent to w.remote, or returned if the request no longer
+// waits.
+func (p *Pool) borrowRemote(ctx context.Context, w *waiter) {
 	p.mutex.Lock()
 	ids := p.choose(&w.Request)
-	due := p.Carry != nil && !w.Own && !w.carrying && p.allCutOff(ids)
+	due := p.Carry != nil && !w.Own && !w.remotePending && p.allUnreachable(ids)
 	if due {
-		w.carrying = true
-		p.working.Add(1)
+		w.remotePending = true
+		p.background.Add(1)
 	}
 	p.mutex.Unlock()
 	if !due {
 		return
 	}
 	go func() {
-		defer p.working.Done()
+		defer p.background.Done()
 		c, err := p.Carry(ctx, p.Group.Name, ids, w.Request)
 		p.mutex.Lock()
-		late := w.left
+		late := w.abandoned
 		switch {
 		case err != nil:
-			w.carrying = false // another try may follow, one connection at most
+			w.remotePending = false // a retry may follow; at most one connection is pending
 		case !late:
-			w.carried <- c
+			w.remote <- c
 		}
 		p.mutex.Unlock()
 		if err == nil && late {
@@ -168,30 +166,30 @@
 	}()
 }
 
-// leave ends a request's wait: what comes for it from now on, or has come unused, is given
-// back.
-func (p *Pool) leave(w *waiter) {
+// abandon removes a request from the queue and returns connections that it didn't use.
+func (p *Pool) abandon(w *waiter) {
 	p.mutex.Lock()
-	w.left = true
+	w.abandoned = true
 	p.waiting = slices.DeleteFunc(p.waiting, func(x *waiter) bool { return x == w })
 	p.mutex.Unlock()
 	select {
-	case c := <-w.lent:
+	case c := <-w.local:
 		p.Return(c)
 	default:
 	}
 	select {
-	case c := <-w.carried:
+	case c := <-w.remote:
 		c.returnLoan()
 	default:
 	}
 }
 
-// Ran takes in whether the member had room for what was sent on a connection.
+// Ran records whether the member ran what was sent on a connection or refused it because of
+// overload.
 func (p *Pool) Ran(c *Conn, room bool) {
 	switch {
 	case c.giveBack != nil:
-		c.noRoom, c.ran = c.noRoom || !room, c.ran || room
+		c.refusedBusy, c.ran = c.refusedBusy || !room, c.ran || room
 	case room:
 		p.Room(c.Member)
 	default:
