--- a/internal/accountant/accountant.go
+++ b/internal/accountant/accountant.go
@@ -1,6 +1,6 @@
-// Package accountant carries customers' limits between instances: it asks the instance that
-// keeps the accounts for what this one may run, and answers others where it is this one.
-// What is decided is decided by the limiter package.
+// Package accountant exchanges rate limit reports between instances: it sends this instance's
+// reports to the accountant, and answers reports if this instance is the accountant. Package
+// limiter makes the decisions.
 package accountant
 
 import (
@@ -18,57 +18,57 @@
 )
 
 const (
-	// callTimeout bounds a report: it takes a round trip between regions, 16 ms, and three
-	// more where a connection must be opened.
+	// callTimeout bounds a report: one round trip between regions, or four if a connection must be
+	// opened.
 	callTimeout = 300 * time.Millisecond
-	// tickInterval is how often it is looked whether something is to be reported,
-	// restInterval while no customer has a limit, and shortestPause the least time between two reports: callers that wait for one come
-	// together in the next.
-	tickInterval  = 100 * time.Millisecond
-	restInterval  = 2 * time.Second
-	shortestPause = 10 * time.Millisecond
-	// milli is how rates are sent: in thousandths a second.
-	milli = 1000
+	// tickInterval is how often Run checks whether a report is due, inactiveInterval how often it
+	// does without customers. minReportPause is the least time between reports, so that waiting
+	// operations are combined.
+	tickInterval     = 100 * time.Millisecond
+	inactiveInterval = 2 * time.Second
+	minReportPause   = 10 * time.Millisecond
+	// rateScale converts operations per second to the thousandths that are sent on the wire.
+	rateScale = 1000
 )
 
-// Accountant reports and answers. Set the exported fields, then call Run; its other methods
-// may be called from any goroutine.
+// Accountant sends and answers reports. Set the exported fields, then call Run; its other methods
+// are safe for concurrent use.
 type Accountant struct {
 	Meter  *limiter.Meter
 	Ledger *limiter.Ledger
 	Links  *linker.Client
 	Clock  func() tracker.Stamp
-	// Limit returns a customer's limit as it is in force.
+	// Limit returns a customer's current limit.
 	Limit func(customer string) identifier.Limit
-	// Active reports whether callers are told apart, Limits returns all customers' limits.
+	// Active reports whether customers are configured, Limits returns the limits of all customers.
 	Active func() bool
 	Limits func() map[string]identifier.Limit
-	// Keeper returns where the instance is reached that keeps the accounts, "" where nobody is
-	// known to; self is set where it is this one.
+	// Keeper returns the accountant's address, "" if unknown; self is set if this instance is the
+	// accountant.
 	Keeper func() (address string, self bool)
-	// Failed is told of an instance that did not answer.
+	// Failed is called with the address of an instance that did not reply.
 	Failed func(address string)
-	// Log is called with the fields of a line.
+	// Log is called with the fields of a log line.
 	Log func(fields ...any)
 
 	mutex sync.Mutex
-	// answered is closed at each answer.
-	answered chan struct{}
-	wake     chan struct{}
-	// keeper is who was reported to last; keeping is set while this instance keeps the
-	// accounts. Only Run uses them.
-	keeper  string
-	keeping bool
+	// replied is closed at each reply.
+	replied chan struct{}
+	wake    chan struct{}
+	// accountantAddress is the receiver of the last report; isAccountant is set if this instance
+	// is the accountant. Only Run uses them.
+	accountantAddress string
+	isAccountant      bool
 }
 
-// Open prepares the accountant.
+// Open initializes the accountant.
 func (a *Accountant) Open() *Accountant {
-	a.answered, a.wake = make(chan struct{}), make(chan struct{}, 1)
+	a.replied, a.wake = make(chan struct{}), make(chan struct{}, 1)
 	return a
 }
 
-// Wake has Run look at once, after a configuration has come: an instance that has just started
-// would run operations for seconds without asking whoever keeps the accounts.
+// Wake makes Run check immediately, such as after a configuration change: a starting instance
+// should report before it runs operations for long.
 func (a *Accountant) Wake() {
 	select {
 	case a.wake <- struct{}{}:
@@ -76,7 +76,7 @@
 	}
 }
 
-// Run reports until the context ends.
+// Run sends reports until the context ends.
 func (a *Accountant) Run(ctx context.Context) error {
 	tick := time.NewTimer(0)
 	defer tick.Stop()
@@ -89,16 +89,16 @@
 		case <-a.wake:
 		}
 		if !a.Active() {
-			tick.Reset(restInterval)
+			tick.Reset(inactiveInterval)
 			continue
 		}
 		tick.Reset(tickInterval)
-		a.follow(ctx)
+		a.updateAccountant(ctx)
 		due, soon := a.Meter.Due(a.Clock())
 		if !due || !soon && time.Since(last) < limiter.ReportInterval {
 			continue
 		}
-		if err := pauser.Pause(ctx, shortestPause-time.Since(last)); err != nil {
+		if err := pauser.Pause(ctx, minReportPause-time.Since(last)); err != nil {
 			return err
 		}
 		last = time.Now()
@@ -106,113 +106,115 @@
 	}
 }
 
-// follow takes in who keeps the accounts now.
-func (a *Accountant) follow(ctx context.Context) {
+// updateAccountant reacts to a change of the accountant.
+func (a *Accountant) updateAccountant(ctx context.Context) {
 	address, self := a.Keeper()
-	if self != a.keeping {
-		a.keeping = self
+	if self != a.isAccountant {
+		a.isAccountant = self
 		a.Ledger.Begin(a.Clock(), a.Limits())
 		a.Log("event", "accounts-kept", "here", self)
 	}
-	if address != a.keeper {
-		a.leave(ctx, a.Meter.Restart(a.Clock()))
-		a.keeper = address
+	if address != a.accountantAddress {
+		a.sendFinalReport(ctx, a.Meter.Restart(a.Clock()))
+		a.accountantAddress = address
 		a.Log("event", "accountant", "address", address)
 	}
 }
 
-// leave tells the accountant before that this instance reports to another. One that can't be
-// reached withholds what this instance may run, as it must.
-func (a *Accountant) leave(ctx context.Context, last limiter.Report) {
-	if a.keeper == "" {
+// sendFinalReport tells the previous accountant that this instance reports to another one. If it
+// can't be reached, it reserves the instance's fallback rates.
+func (a *Accountant) sendFinalReport(ctx context.Context, last limiter.Report) {
+	if a.accountantAddress == "" {
 		return
 	}
-	if _, ok := a.ask(ctx, last); !ok {
-		a.Log("event", "accountant-not-left", "address", a.keeper)
+	if _, ok := a.send(ctx, last); !ok {
+		a.Log("event", "accountant-not-left", "address", a.accountantAddress)
 	}
 }
 
-// report sends one report and takes the answer in.
+// report sends one report and processes the reply.
 func (a *Accountant) report(ctx context.Context) {
 	sent := a.Clock()
 	r := a.Meter.Report(sent)
-	x, ok := a.ask(ctx, r)
+	x, ok := a.send(ctx, r)
 	if !ok {
 		return
 	}
 	a.Meter.Answer(sent, x)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	close(a.answered)
-	a.answered = make(chan struct{})
+	close(a.replied)
+	a.replied = make(chan struct{})
 }
 
-func (a *Accountant) ask(ctx context.Context, r limiter.Report) (limiter.Answer, bool) {
+// send sends a report to the accountant, which may be this instance, and returns the reply.
+func (a *Accountant) send(ctx context.Context, r limiter.Report) (limiter.Answer, bool) {
 	switch {
-	case a.keeping:
+	case a.isAccountant:
 		return a.Ledger.Take(a.Clock(), r, a.Limit), true
-	case a.keeper == "":
+	case a.accountantAddress == "":
 		return limiter.Answer{}, false
 	}
-	var answer *wire.AccountReply
-	err := a.Links.Call(ctx, callTimeout, a.keeper, func(ctx context.Context, l *linker.Link) (err error) {
-		answer, err = wire.NewDRPCNeighboursClient(l.Conn()).Account(ctx, toReport(r))
+	var reply *wire.AccountReply
+	err := a.Links.Call(ctx, callTimeout, a.accountantAddress, func(ctx context.Context, l *linker.Link) (err error) {
+		reply, err = wire.NewDRPCNeighboursClient(l.Conn()).Account(ctx, toReport(r))
 		return err
 	})
 	if err != nil {
 		if ctx.Err() == nil {
-			a.Log("event", "accountant-unanswered", "address", a.keeper, "cause", err)
-			a.Failed(a.keeper)
+			a.Log("event", "accountant-unanswered", "address", a.accountantAddress, "cause", err)
+			a.Failed(a.accountantAddress)
 		}
 		return limiter.Answer{}, false
 	}
-	return fromReply(answer), true
+	return fromReply(reply), true
 }
 
-// Answer answers a peer's report, whoever this instance takes for the accountant: those that
-// don't agree who it is share the limits.
+// Answer answers another instance's report, whether or not this instance considers itself the
+// accountant: accountants that don't agree share the limits.
 func (a *Accountant) Answer(r *wire.AccountRequest) *wire.AccountReply {
 	return toReply(a.Ledger.Take(a.Clock(), fromReport(r), a.Limit))
 }
 
-// Admit decides whether an operation of a customer may run; the error is a
-// lender.LimitError when it may not. It implements lender.Pool's Admit.
+// Admit decides whether an operation of a customer may run; otherwise the error is a
+// lender.LimitError. It implements lender.Pool's Admit.
 func (a *Accountant) Admit(ctx context.Context, customer string) error {
 	limit := a.Limit(customer)
-	until := time.Now().Add(limiter.AskTime)
+	deadline := time.Now().Add(limiter.AskTime)
 	for turn := limiter.First; ; turn = limiter.Waiting {
-		if !time.Now().Before(until) {
+		if !time.Now().Before(deadline) {
 			turn = limiter.Last
 		}
-		next := a.nextAnswer()
-		v, again := a.Meter.Decide(a.Clock(), customer, limit, turn)
+		next := a.nextReply()
+		v, retryAfter := a.Meter.Decide(a.Clock(), customer, limit, turn)
 		switch v {
 		case limiter.Admit:
 			return nil
 		case limiter.Refuse:
-			return &lender.LimitError{Customer: customer, Again: again}
+			return &lender.LimitError{Customer: customer, Again: retryAfter}
 		}
-		if err := a.wait(ctx, customer, next, until); err != nil {
+		if err := a.awaitReply(ctx, customer, next, deadline); err != nil {
 			return err
 		}
 	}
 }
 
-func (a *Accountant) nextAnswer() <-chan struct{} {
+// nextReply returns a channel that is closed at the next reply.
+func (a *Accountant) nextReply() <-chan struct{} {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.answered
+	return a.replied
 }
 
-// wait waits for the next answer of the accountant's.
-func (a *Accountant) wait(ctx context.Context, customer string, answered <-chan struct{}, until time.Time) error {
+// awaitReply waits for the accountant's next reply.
+func (a *Accountant) awaitReply(ctx context.Context, customer string, replied <-chan struct{}, deadline time.Time) error {
 	a.Meter.Wait(a.Clock(), customer, 1)
 	defer func() { a.Meter.Wait(a.Clock(), customer, -1) }()
 	a.Wake()
-	t := time.NewTimer(time.Until(until))
+	t := time.NewTimer(time.Until(deadline))
 	defer t.Stop()
 	select {
-	case <-answered:
+	case <-replied:
 	case <-t.C:
 	case <-ctx.Done():
 		return ctx.Err()
@@ -220,6 +222,5 @@
 	return nil
 }
 
-// Undo takes back an operation that was admitted and has not run. It implements
-// lender.Pool's Undo.
+// Undo takes back an admitted operation that has not run. It implements lender.Pool's Undo.
 func (a *Accountant) Undo(customer string) { a.Meter.Undo(a.Clock(), customer) }
--- a/internal/accountant/page.go
+++ b/internal/accountant/page.go
@@ -8,30 +8,30 @@
 	"github.com/go-faster/errors"
 )
 
-// PathCustomers is where an instance on the users' platform shows its customers, beside its
-// metrics.
+// PathCustomers is the HTTP path of the page that lists an instance's customers.
 const PathCustomers = "/customers"
 
 type (
-	// State is what one instance knows of a customer.
+	// State is one instance's view of a customer.
 	State struct {
 		Customer string
-		// PerSecond and Burst are its limit; 0 is none.
+		// PerSecond and Burst are the customer's limit, 0 without one.
 		PerSecond, Burst float64
-		// Keys is how many it holds.
+		// Keys is the number of the customer's API keys.
 		Keys int
-		// Kept is set where this instance keeps the customer's account: Used operations ran in
-		// the last 6 s, Available may be leased now, Leased are, and all instances together
-		// were asked for Demand a second.
+		// Kept is set if this instance is the accountant. Then Used is the number of operations in
+		// the limiter's window, Available can be leased now, Leased is outstanding, and Demand is
+		// the requested operations per second on all instances.
 		Kept                            bool
 		Used, Available, Leased, Demand float64
-		// Connections is how many connections to members this instance has for it.
+		// Connections is the number of this instance's connections for the customer.
 		Connections int
-		// Refused is how many operations this instance has refused for its limit.
+		// Refused is the number of operations that this instance has refused as over the limit.
 		Refused int64
 	}
 
-	wireState struct {
+	// jsonState is the JSON form of State.
+	jsonState struct {
 		Customer    string  `json:"customer"`
 		PerSecond   float64 `json:"per-second"`
 		Burst       float64 `json:"burst"`
@@ -46,34 +46,34 @@
 	}
 )
 
-// EncodeStates writes the page.
+// EncodeStates encodes the page.
 func EncodeStates(list []State) []byte {
-	wire := make([]wireState, len(list))
+	rows := make([]jsonState, len(list))
 	for i, s := range list {
-		wire[i] = wireState(s)
+		rows[i] = jsonState(s)
 	}
-	text, err := json.Marshal(wire)
+	text, err := json.Marshal(rows)
 	if err != nil {
-		panic("accountant: page: " + err.Error())
+		panic("accountant: encode customers page: " + err.Error())
 	}
 	return text
 }
 
-// DecodeStates reads the page.
+// DecodeStates decodes the page.
 func DecodeStates(text []byte) ([]State, error) {
-	var wire []wireState
-	if err := json.Unmarshal(text, &wire); err != nil {
+	var rows []jsonState
+	if err := json.Unmarshal(text, &rows); err != nil {
 		return nil, errors.Wrap(err, "customers")
 	}
-	list := make([]State, len(wire))
-	for i, w := range wire {
+	list := make([]State, len(rows))
+	for i, w := range rows {
 		list[i] = State(w)
 	}
 	return list, nil
 }
 
-// MergeStates makes one list of those of many instances: what is counted by each is added,
-// an account is that of whoever keeps it.
+// MergeStates merges the lists of several instances: counts are added, and the account's fields
+// are taken from the accountant.
 func MergeStates(lists ...[]State) []State {
 	byName := map[string]State{}
 	for _, list := range lists {
--- a/internal/accountant/page_test.go
+++ b/internal/accountant/page_test.go
@@ -9,9 +9,9 @@
 )
 
 func ExampleMergeStates() {
-	keeper := []accountant.State{{Customer: "north", PerSecond: 10, Kept: true, Used: 30, Demand: 6, Connections: 2}}
-	other := []accountant.State{{Customer: "north", PerSecond: 10, Connections: 3, Refused: 1}, {Customer: "south"}}
-	for _, s := range accountant.MergeStates(other, keeper) {
+	accountantStates := []accountant.State{{Customer: "north", PerSecond: 10, Kept: true, Used: 30, Demand: 6, Connections: 2}}
+	peerStates := []accountant.State{{Customer: "north", PerSecond: 10, Connections: 3, Refused: 1}, {Customer: "south"}}
+	for _, s := range accountant.MergeStates(peerStates, accountantStates) {
 		fmt.Println(s.Customer, s.Used, s.Connections, s.Refused)
 	}
 	// Output:
@@ -19,11 +19,11 @@
 	// south 0 0 0
 }
 
-func TestStatesComeBack(t *testing.T) {
+func TestStatesRoundTrip(t *testing.T) {
 	want := []accountant.State{{Customer: "north", PerSecond: 10, Burst: 20, Keys: 2, Kept: true, Used: 1, Available: 2, Leased: 3, Demand: 4, Connections: 5, Refused: 6}}
 	got, err := accountant.DecodeStates(accountant.EncodeStates(want))
 	must.NoError(t, err)
 	must.Eq(t, want, got)
-	_, err = accountant.DecodeStates([]byte("no page"))
+	_, err = accountant.DecodeStates([]byte("not JSON"))
 	must.Error(t, err)
 }
--- a/internal/accountant/wire.go
+++ b/internal/accountant/wire.go
@@ -12,8 +12,8 @@
 	w := &wire.AccountRequest{Instance: r.Instance, Run: r.Run, Number: r.Number, New: r.New, Leaves: r.Leaves, UnheardMs: toMillis(r.Unheard)}
 	for _, s := range r.Spendings {
 		x := &wire.Spending{
-			Customer: s.Customer, Before: fromCounts(s.Before), Held: uint32(s.Held), Waiting: uint32(s.Waiting), DemandMilli: uint32(s.Demand * milli),
-			Told: s.Told, PartMilli: uint32(s.Part * milli),
+			Customer: s.Customer, Before: fromCounts(s.Before), Held: uint32(s.Held), Waiting: uint32(s.Waiting), DemandMilli: uint32(s.Demand * rateScale),
+			Told: s.Told, PartMilli: uint32(s.Part * rateScale),
 		}
 		for _, n := range s.Used {
 			x.Used += uint32(n)
@@ -30,8 +30,8 @@
 	r := limiter.Report{Instance: w.Instance, Run: w.Run, Number: w.Number, New: w.New, Leaves: w.Leaves, Unheard: time.Duration(w.UnheardMs) * time.Millisecond}
 	for _, s := range w.Spendings {
 		x := limiter.Spending{
-			Customer: s.Customer, Used: toCounts(s.UsedSlots), Before: toCounts(s.Before), Held: int(s.Held), Waiting: int(s.Waiting), Demand: float64(s.DemandMilli) / milli,
-			Told: s.Told, Part: float64(s.PartMilli) / milli,
+			Customer: s.Customer, Used: toCounts(s.UsedSlots), Before: toCounts(s.Before), Held: int(s.Held), Waiting: int(s.Waiting), Demand: float64(s.DemandMilli) / rateScale,
+			Told: s.Told, Part: float64(s.PartMilli) / rateScale,
 		}
 		if len(x.Used) == 0 && s.Used > 0 {
 			x.Used = []int{int(s.Used)}
@@ -45,7 +45,7 @@
 	w := &wire.AccountReply{Run: x.Run}
 	for _, a := range x.Allowances {
 		w.Allowances = append(w.Allowances, &wire.Allowance{
-			Customer: a.Customer, Tokens: uint32(a.Tokens), Tight: a.Tight, PartMilli: uint32(a.Part * milli), AgainMs: uint32(a.Again.Milliseconds()),
+			Customer: a.Customer, Tokens: uint32(a.Tokens), Tight: a.Tight, PartMilli: uint32(a.Part * rateScale), AgainMs: uint32(a.Again.Milliseconds()),
 		})
 	}
 	return w
@@ -55,13 +55,13 @@
 	x := limiter.Answer{Run: w.Run}
 	for _, a := range w.Allowances {
 		x.Allowances = append(x.Allowances, limiter.Allowance{
-			Customer: a.Customer, Tokens: int(a.Tokens), Tight: a.Tight, Part: float64(a.PartMilli) / milli, Again: time.Duration(a.AgainMs) * time.Millisecond,
+			Customer: a.Customer, Tokens: int(a.Tokens), Tight: a.Tight, Part: float64(a.PartMilli) / rateScale, Again: time.Duration(a.AgainMs) * time.Millisecond,
 		})
 	}
 	return x
 }
 
-// toCounts reads counts by slots; more than a window has are ignored.
+// toCounts decodes counts by slot and ignores more slots than a window has.
 func toCounts(w []uint32) (counts []int) {
 	for _, n := range w[max(0, len(w)-limiter.Slots):] {
 		counts = append(counts, int(n))
@@ -76,7 +76,7 @@
 	return w
 }
 
-// toMillis keeps a time that is not 0 from becoming 0.
+// toMillis rounds a positive duration below 1 ms up, since 0 means unset.
 func toMillis(d time.Duration) uint32 {
 	if d <= 0 {
 		return 0
