--- a/internal/concentrator/concentrator.go
+++ b/internal/concentrator/concentrator.go
@@ -1,40 +1,35 @@
-// Package concentrator decides who holds the connections to a group's members: each instance
-// its own, one instance of each availability zone for its zone, or one instance beside each
-// member for the whole fleet; and which one that is. It has no clock and no network.
+// Package concentrator decides which instances hold the connections to a group's members: all
+// instances, one per availability zone, or one per member. It has no clock and no network.
 //
-// Load pattern: 83 instances before 25 places at each member. None can keep a connection,
-// so nearly each statement needs a new one, whose opening holds one of the member's two
-// slots for 12 ms, longer than the statement: with 83,296 requests 70,726 were opened and
-// 172,745 refused for want of a place, and a queue of many instances has no order. With one
-// holder a zone, six instances share the 25 places, and one queue sees all of a zone's work.
-// Where each instance can keep its own, a holder would only be one more hop.
+// If a member accepts fewer connections than there are instances, most statements would need a new
+// connection, whose opening occupies one of the member's slots for longer than the statement. With
+// one holder per zone, few instances share the connections, and the holder's queue orders the
+// zone's work.
 //
-// Load pattern: 85 customers before 32 places at each member, each connection one customer's.
-// A holder in each of 6 zones has 5 places for 85 customers, and opens a connection for most
-// statements. One holder a member has all 32, knows which customers come soonest, and orders
-// all that waits for the member. Beside the member, it is on the way there: a statement
-// crosses regions once, as it would without.
+// If each connection serves one customer, the holders of the zones may have too few connections
+// for all customers. With one holder per member, it has all of the member's connections and evicts
+// those of the least active customers. It runs near the member, so that statements cross regions
+// only once.
 package concentrator
 
 import "github.com/oriolegw/oriolegw/internal/ranker"
 
 const (
-	// fewPlaces and enoughPlaces are how many places at a member there must be for each
-	// instance until connections are concentrated, and until they no longer are. Below
-	// one, instances take each other's places all the time; the gap keeps the few that
-	// come and go from changing it to and fro.
-	fewPlaces, enoughPlaces = 1.0, 1.3
+	// minConnectionsPerHolder is the number of a member's connections per holder and customer below
+	// which fewer holders are used, restoreConnectionsPerHolder the number that restores more
+	// holders. The hysteresis avoids flapping when few instances come and go.
+	minConnectionsPerHolder, restoreConnectionsPerHolder = 1.0, 1.3
 )
 
-// Placement says who holds the connections to a group's members.
+// Placement is the choice of the instances that hold a group's connections.
 type Placement uint8
 
 const (
-	// PlaceOwn: each instance holds its own.
+	// PlaceOwn lets each instance hold its own connections.
 	PlaceOwn Placement = iota
-	// PlaceZone: one instance of each availability zone holds the zone's.
+	// PlaceZone lets one instance per availability zone hold the zone's connections.
 	PlaceZone
-	// PlaceMember: one instance beside each member holds the fleet's.
+	// PlaceMember lets one instance per member hold the connections of all instances.
 	PlaceMember
 )
 
@@ -43,31 +38,31 @@
 // String returns the placement's name in logs.
 func (p Placement) String() string { return placementNames[p] }
 
-// Fleet is what a placement is decided from.
+// Fleet is the input of Switch.Decide.
 type Fleet struct {
-	// Connections is how many a member takes from all instances.
+	// Connections is how many connections a member accepts from all instances.
 	Connections      int
 	Instances, Zones int
-	// Customers is how many customers' connections are told apart, 1 where none are.
+	// Customers is the number of customers with connections of their own, 1 without customers.
 	Customers int
 }
 
-// Switch remembers a group's placement.
+// Switch holds a group's current placement.
 type Switch struct{ placement Placement }
 
-// Placement returns what was decided last.
+// Placement returns the last decision.
 func (s *Switch) Placement() Placement { return s.placement }
 
-// Decide takes in how the fleet is now. The fewest holders that a placement needs must each
-// have a place for each customer at each member.
+// Decide updates the placement: the one with the most holders for which a member has enough
+// connections for each holder and customer.
 func (s *Switch) Decide(f Fleet) Placement {
 	customers := max(1, f.Customers)
 	switch {
 	case f.Connections <= 0:
 		s.placement = PlaceOwn
-	case s.enough(PlaceOwn, f.Connections, f.Instances*customers):
+	case s.enoughConnections(PlaceOwn, f.Connections, f.Instances*customers):
 		s.placement = PlaceOwn
-	case s.enough(PlaceZone, f.Connections, f.Zones*customers):
+	case s.enoughConnections(PlaceZone, f.Connections, f.Zones*customers):
 		s.placement = PlaceZone
 	default:
 		s.placement = PlaceMember
@@ -75,34 +70,27 @@
 	return s.placement
 }
 
-// enough reports whether there are places enough for a placement, more of them where
-// connections are concentrated further now.
-func (s *Switch) enough(p Placement, connections, needed int) bool {
-	limit := fewPlaces
+// enoughConnections reports whether a member has enough connections for a placement. The threshold
+// is higher for a return from a more concentrated one.
+func (s *Switch) enoughConnections(p Placement, connections, needed int) bool {
+	threshold := minConnectionsPerHolder
 	if s.placement > p {
-		limit = enoughPlaces
+		threshold = restoreConnectionsPerHolder
 	}
-	return float64(connections) >= limit*float64(needed)
+	return float64(connections) >= threshold*float64(needed)
 }
 
 // Candidate is an instance that may hold a group's connections.
 type Candidate struct {
 	Name string
-	// Millicores is what it may use of a processor, in thousandths of a core; 0 where that
-	// isn't known.
+	// Millicores is its CPU limit in thousandths of a core, 0 if unknown.
 	Millicores int
 }
 
-// Holders ranks the instances of a zone as holders of a group's connections, the first the
-// one that should be. Who comes or goes changes the holder of only those groups that it
-// holds, and each instance finds the same without asking.
-//
-// Load pattern: a zone of 3 instances with 0.8 of a core and 46 with 0.192, before 20
-// groups. A holder does the zone's work of whole groups beside its own. Chosen without
-// regard to size, nearly all are small, and the busiest uses 43% of its processor at 60% of
-// the usual load. The weight is the square of the size: a group is the
-// same load wherever it goes, and takes a smaller part of a larger instance, which has
-// more to spare as well.
+// Holders ranks a zone's instances as holders of a group's connections, best first. It uses
+// weighted rendezvous hashing: each instance computes the same ranking, and a removed instance
+// changes the holder only of its own groups. The weight is the square of the CPU limit, because
+// the same load is a smaller fraction of a larger instance, which also has more idle capacity.
 func Holders(group string, instances []Candidate) []string {
 	smallest := 0
 	for _, c := range instances {
--- a/internal/concentrator/concentrator_test.go
+++ b/internal/concentrator/concentrator_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// 9 instances before 16 places keep their own connections, 83 before 25 don't; one that
-// comes or goes at the border changes nothing.
+// Guards against a wrong placement by connections per instance, and against flapping at the
+// threshold.
 func TestDecide(t *testing.T) {
 	var s concentrator.Switch
 	decide := func(connections, instances int) concentrator.Placement {
@@ -27,9 +27,8 @@
 	must.Eq(t, concentrator.PlaceOwn, decide(0, 52))
 }
 
-// 32 places are enough for 5 customers in each of 6 zones, not for 85; 600 are, and 9
-// instances before 800 places keep their own. Customers that come and go at the border
-// change nothing.
+// Guards against a wrong placement by connections per customer, and against flapping at the
+// threshold.
 func TestDecideByCustomers(t *testing.T) {
 	var s concentrator.Switch
 	decide := func(connections, instances, customers int) concentrator.Placement {
@@ -44,8 +43,8 @@
 	must.Eq(t, concentrator.PlaceOwn, decide(1000, 9, 85))
 }
 
-// Groups spread over a zone's instances; when one goes, only its groups have another
-// holder, and that is the one that came second.
+// Guards against an uneven distribution of groups, and against a removed instance changing the
+// holders of other groups.
 func TestHolders(t *testing.T) {
 	var all []concentrator.Candidate
 	for n := range 14 {
@@ -64,48 +63,46 @@
 	}
 }
 
-// Twenty groups in a zone of 3 large instances and 46 small ones, of which some don't say
-// how large they are. Each group's work is a tenth of what a small instance can do and a
-// fortieth of a large one's. By size the busiest does less of what it can do than the
-// busiest of a choice without regard to it, and one that doesn't say counts as small.
-func TestHoldersBySize(t *testing.T) {
-	const smallCores, largeCores, groups = 192, 800, 20
+// Guards against a ranking that overloads small instances or that takes an unknown CPU limit for a
+// large one.
+func TestHoldersWeightedBySize(t *testing.T) {
+	const smallMillicores, largeMillicores, groups = 192, 800, 20
 	var sized, unsized []concentrator.Candidate
-	cores := map[string]int{}
+	millicores := map[string]int{}
 	for n := range 49 {
-		c := concentrator.Candidate{Name: fmt.Sprintf("edge-a-%d", n), Millicores: smallCores}
+		c := concentrator.Candidate{Name: fmt.Sprintf("edge-a-%d", n), Millicores: smallMillicores}
 		if n < 3 {
-			c.Millicores = largeCores
+			c.Millicores = largeMillicores
 		}
-		cores[c.Name] = c.Millicores
+		millicores[c.Name] = c.Millicores
 		unsized = append(unsized, concentrator.Candidate{Name: c.Name})
 		if n%5 == 4 {
 			c.Millicores = 0
 		}
 		sized = append(sized, c)
 	}
-	// busiest returns how much of what it can do the busiest instance does in the mean of
-	// many sets of groups, for a group's work of a tenth of a small one; large how many
-	// groups large ones hold.
-	busiest := func(list []concentrator.Candidate) (mean float64, large int) {
+	// busiest returns the mean over many sets of groups of the highest relative load of an
+	// instance, where a group takes a tenth of a small instance, and the number of groups on large
+	// instances.
+	busiest := func(list []concentrator.Candidate) (mean float64, onLarge int) {
 		const sets = 50
 		for set := range sets {
 			load := map[string]float64{}
-			most := 0.0
+			highest := 0.0
 			for g := range groups {
 				h := concentrator.Holders(fmt.Sprint("g", set, "-", g), list)[0]
-				load[h] += 0.1 * smallCores / float64(cores[h])
-				most = max(most, load[h])
-				if cores[h] == largeCores {
-					large++
+				load[h] += 0.1 * smallMillicores / float64(millicores[h])
+				highest = max(highest, load[h])
+				if millicores[h] == largeMillicores {
+					onLarge++
 				}
 			}
-			mean += most / sets
+			mean += highest / sets
 		}
-		return mean, large / sets
+		return mean, onLarge / sets
 	}
-	bySize, large := busiest(sized)
+	bySize, onLarge := busiest(sized)
 	byName, _ := busiest(unsized)
 	must.Less(t, byName, bySize)
-	must.Between(t, 8, large, 14)
+	must.Between(t, 8, onLarge, 14)
 }
