--- a/internal/fairer/fairer.go
+++ b/internal/fairer/fairer.go
@@ -1,42 +1,41 @@
-// Package fairer orders the work of flows that share something scarce, by start-time fair
-// queuing. It has no clock and no network.
+// Package fairer implements start-time fair queuing of flows that share a resource. It has no
+// clock and no network.
 //
-// Load pattern: one customer sends many times what the others do. In the order of arrival,
-// these wait behind all of its backlog; here behind what is running and at most one piece of
-// each other flow.
+// In FIFO order, a customer with a large backlog would delay all others. Here their work waits for
+// what is running and for at most one item of each other flow.
 package fairer
 
 type (
-	// Turns is the virtual time that flows share. The zero value is ready.
+	// Turns is the virtual time of the queue. The zero value is ready to use.
 	Turns struct{ virtual float64 }
 
-	// Flow is one party's place in it. The zero value is one that has had nothing yet; a flow
-	// that was idle starts at the present and has no claim on the time that it did not use.
+	// Flow is one party's position in the queue. The zero value has had no work. A flow that was
+	// idle starts at the current virtual time and gets no credit for the past.
 	Flow struct{ finish float64 }
 )
 
-// Next returns the virtual time at which a flow's next piece of work starts.
+// Next returns the virtual start of the flow's next item.
 func (t *Turns) Next(f *Flow) float64 { return max(f.finish, t.virtual) }
 
-// Start takes in that a piece of work of a flow starts.
+// Start advances the virtual time to the start of the flow's next item.
 func (t *Turns) Start(f *Flow) {
 	f.finish = t.Next(f)
 	t.virtual = f.finish
 }
 
-// Reach takes in that work which was to start at a virtual time has started.
+// Reach advances the virtual time to the virtual start of an item that has started.
 func (t *Turns) Reach(start float64) { t.virtual = max(t.virtual, start) }
 
-// Queue returns when a piece of work of a flow is to start that is queued now, at a cost over
-// the flow's share.
+// Queue returns the virtual start of a new item with the given cost, for a flow with the given
+// share.
 func (t *Turns) Queue(f *Flow, cost, share float64) float64 {
 	start := t.Next(f)
 	f.finish = start + cost/share
 	return start
 }
 
-// Charge adds a cost over the flow's share; a negative one settles what was charged before.
+// Charge adds a cost divided by the flow's share; a negative cost corrects an earlier charge.
 func (f *Flow) Charge(cost, share float64) { f.finish += cost / share }
 
-// Finish is the virtual time at which the flow's work so far ends.
+// Finish returns the virtual finish of the flow's last item.
 func (f *Flow) Finish() float64 { return f.finish }
--- a/internal/fairer/fairer_test.go
+++ b/internal/fairer/fairer_test.go
@@ -24,22 +24,20 @@
 	// calm 0
 }
 
-// A customer queues 100 pieces of work; then ten others come with one each. All ten are
-// served among the first eleven; the hot one has the rest, and one of twice the share two
-// pieces to another's one.
-func TestOthersDontWaitBehindABacklog(t *testing.T) {
+// Guards against a flow with a large backlog delaying the others, and against ignored shares.
+func TestBacklogDoesNotDelayOtherFlows(t *testing.T) {
 	var turns fairer.Turns
-	type piece struct {
+	type item struct {
 		customer int
 		start    float64
 	}
 	flows := map[int]*fairer.Flow{}
-	var queue []piece
+	var queue []item
 	add := func(customer int, share float64) {
 		if flows[customer] == nil {
 			flows[customer] = &fairer.Flow{}
 		}
-		queue = append(queue, piece{customer, turns.Queue(flows[customer], 1, share)})
+		queue = append(queue, item{customer, turns.Queue(flows[customer], 1, share)})
 	}
 	for range 100 {
 		add(0, 1)
@@ -47,23 +45,23 @@
 	for c := range 10 {
 		add(c+1, 1)
 	}
-	slices.SortStableFunc(queue, func(a, b piece) int { return cmp.Compare(a.start, b.start) })
-	seen := map[int]bool{}
+	slices.SortStableFunc(queue, func(a, b item) int { return cmp.Compare(a.start, b.start) })
+	served := map[int]bool{}
 	for _, p := range queue[:11] {
-		seen[p.customer] = true
+		served[p.customer] = true
 	}
-	must.MapLen(t, 11, seen)
+	must.MapLen(t, 11, served)
 	queue = nil
 	for range 20 {
 		add(20, 2)
 		add(21, 1)
 	}
-	slices.SortStableFunc(queue, func(a, b piece) int { return cmp.Compare(a.start, b.start) })
-	double := 0
+	slices.SortStableFunc(queue, func(a, b item) int { return cmp.Compare(a.start, b.start) })
+	doubleShare := 0
 	for _, p := range queue[:15] {
 		if p.customer == 20 {
-			double++
+			doubleShare++
 		}
 	}
-	must.Between(t, 9, double, 11)
+	must.Between(t, 9, doubleShare, 11)
 }
