--- a/internal/accountant/accountant.go
+++ b/internal/accountant/accountant.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// sendFinalReport tells the previous accountant that this instance reports to another one. If it
+// sendFinalReport informs the previous accountant that this instance reports to another one. If it
 // can't be reached, it reserves the instance's fallback rates.
 func (a *Accountant) sendFinalReport(ctx context.Context, last limiter.Report) {
 	if a.accountantAddress == "" {
--- a/internal/lender/conn.go
+++ b/internal/lender/conn.go
@@ -42,8 +42,8 @@
 		Member string
 		// Born identifies the incarnation of the member that it was opened to.
 		Born int64
-		// Customer is the customer that the member was told at the start of the connection, ""
-		// without one.
+		// Customer is the customer named to the member at the start of the connection, "" without
+		// one.
 		Customer string
 
 		net      net.Conn
@@ -60,7 +60,7 @@
 		lastUsed time.Time
 		// fresh is set until it is first lent.
 		fresh bool
-		// forTransaction and forStatement tell what it is lent for; neither is set for a status
+		// forTransaction and forStatement record what it is lent for; neither is set for a status
 		// query.
 		forTransaction, forStatement bool
 		broken                       bool
--- a/internal/lender/evict.go
+++ b/internal/lender/evict.go
@@ -34,8 +34,8 @@
 	// maxIdleTime is how long a customer's idle connection is kept. It is shorter than the
 	// members' idle timeout.
 	maxIdleTime = 20 * time.Second
-	// usageHalfLife is the half-life of a customer's usage count. It tells customers that send
-	// statements every few seconds from those that do every minute.
+	// usageHalfLife is the half-life of a customer's usage count, long enough to distinguish
+	// customers that send statements every few seconds from those that do every minute.
 	usageHalfLife = 10 * time.Second
 )
 
--- a/internal/lender/pool.go
+++ b/internal/lender/pool.go
@@ -102,7 +102,7 @@
 		NoteLost func(member string, idle time.Duration)
 		// NoteRoom, when set, is called with false when new work to a member starts to be paced
 		// because the member is overloaded, and with true when pacing ends.
-		NoteRoom func(member string, room bool)
+		NoteRoom func(member string, hasCapacity bool)
 
 		mutex sync.Mutex
 		// memberConnections is how many connections a member accepts from all instances,
--- a/internal/lender/remote.go
+++ b/internal/lender/remote.go
@@ -186,11 +186,11 @@
 
 // Ran records whether the member ran what was sent on a connection or refused it because of
 // overload.
-func (p *Pool) Ran(c *Conn, room bool) {
+func (p *Pool) Ran(c *Conn, served bool) {
 	switch {
 	case c.giveBack != nil:
-		c.refusedBusy, c.ran = c.refusedBusy || !room, c.ran || room
-	case room:
+		c.refusedBusy, c.ran = c.refusedBusy || !served, c.ran || served
+	case served:
 		p.Room(c.Member)
 	default:
 		p.NoRoom(c.Member)
--- a/internal/limiter/ledger.go
+++ b/internal/limiter/ledger.go
@@ -65,7 +65,7 @@
 	instanceShare struct {
 		*reporter
 		// leased tokens are valid until leasedUntil. assumedUsed are expired leases that count as
-		// used since assumedAt, until a report tells the actual usage.
+		// used since assumedAt, until a report contains the actual usage.
 		leased, assumedUsed    int
 		leasedUntil, assumedAt Stamp
 		// demand is the requested operations per second as of demandAt.
