--- /dev/null
+++ b/internal/lender/remote.go
@@ -0,0 +1,198 @@
+package lender
+
+import (
+	"context"
+	"maps"
+	"net"
+	"slices"
+	"time"
+
+	"github.com/oriolegw/oriolegw/internal/messenger"
+)
+
+// Connections through other instances. During a partition, some instances may be unable to reach a
+// member that others reach. They borrow the others' connections, in the same queue as the others'
+// own requests.
+
+const (
+	// unreachableTimeouts is the number of consecutive timeouts after which a member counts as
+	// unreachable; single replies may be lost.
+	unreachableTimeouts = 3
+	// slowOpenTime is how long the opening of the first connection may take until the member
+	// counts as unreachable.
+	slowOpenTime = 150 * time.Millisecond
+)
+
+type (
+	// State is the session state on a connection: its values and prepared statements.
+	State struct {
+		Values   Values
+		Prepared map[Prepared]string
+	}
+
+	// LoanEnd describes the return of a connection that another instance has lent.
+	LoanEnd struct {
+		// Broken is set if the connection is unusable.
+		Broken bool
+		// NoRoom is set if the member refused a statement because of overload, Ran if it ran one.
+		NoRoom, Ran bool
+		State       State
+	}
+)
+
+// Carried wraps a connection that another instance lends. giveBack is called once, when it is
+// returned.
+func Carried(n net.Conn, codec messenger.MemberCodec, member string, born int64, s State, giveBack func(LoanEnd)) *Conn {
+	return &Conn{
+		Member: member, Born: born, net: n, codec: codec, replies: codec.Replies(n),
+		values: s.Values, prepared: s.Prepared, giveBack: giveBack,
+	}
+}
+
+// Raw returns the network connection to the member, for relaying bytes of another instance.
+func (c *Conn) Raw() net.Conn { return c.net }
+
+// State returns a copy of the session state on the connection.
+func (c *Conn) State() State {
+	return State{Values: maps.Clone(c.values), Prepared: maps.Clone(c.prepared)}
+}
+
+// SetState sets the session state that another instance's session has left.
+func (c *Conn) SetState(s State) { c.values, c.prepared = s.Values, s.Prepared }
+
+// returnLoan returns a connection to the instance that has lent it.
+func (c *Conn) returnLoan() {
+	broken := c.broken || c.unreadReplies > 0
+	c.giveBack(LoanEnd{Broken: broken, NoRoom: c.refusedBusy, Ran: c.ran, State: State{Values: c.values, Prepared: c.prepared}})
+}
+
+// Silent records that a member did not reply to what was sent on a connection.
+func (p *Pool) Silent(c *Conn) {
+	if c.giveBack != nil {
+		return
+	}
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	m := p.member(c.Member)
+	m.timeouts++
+	if m.timeouts < unreachableTimeouts {
+		return
+	}
+	// Close the idle connections, which may be dead; new ones show whether the member is
+	// reachable.
+	for _, c := range m.idle {
+		m.open--
+		c.Close()
+	}
+	m.idle = nil
+}
+
+// unreachable reports whether the member seems to be unreachable from this instance.
+func (m *memberPool) unreachable(now time.Time) bool {
+	if m.timeouts >= unreachableTimeouts {
+		return true
+	}
+	return m.open == 0 && (m.noResponse || m.opening > 0 && now.Sub(m.openingSince) > slowOpenTime)
+}
+
+// allUnreachable reports whether all members seem to be unreachable from this instance.
+func (p *Pool) allUnreachable(ids []string) bool {
+	now := time.Now()
+	for _, id := range ids {
+		if m := p.members[id]; m == nil || !m.unreachable(now) {
+			return false
+		}
+	}
+	return len(ids) > 0
+}
+
+// Reached returns the members that seem to be reachable from this instance, in the given order.
+func (p *Pool) Reached(ids []string) []string {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.reachable(ids)
+}
+
+// choose returns the eligible members of a request; the caller holds the mutex.
+func (p *Pool) choose(r *Request) []string {
+	if r.Own {
+		return p.reachable(r.Choose())
+	}
+	return r.Choose()
+}
+
+// reachable is Reached with the mutex held.
+func (p *Pool) reachable(ids []string) []string {
+	now := time.Now()
+	var reachable []string
+	for _, id := range ids {
+		if _, ok := p.Group.Member(id); ok && !p.member(id).unreachable(now) {
+			reachable = append(reachable, id)
+		}
+	}
+	return reachable
+}
+
+// borrowRemote requests a connection through another instance for a waiting request whose members
+// all seem to be unreachable. The result is sent to w.remote, or returned if the request no longer
+// waits.
+func (p *Pool) borrowRemote(ctx context.Context, w *waiter) {
+	p.mutex.Lock()
+	ids := p.choose(&w.Request)
+	due := p.Carry != nil && !w.Own && !w.remotePending && p.allUnreachable(ids)
+	if due {
+		w.remotePending = true
+		p.background.Add(1)
+	}
+	p.mutex.Unlock()
+	if !due {
+		return
+	}
+	go func() {
+		defer p.background.Done()
+		c, err := p.Carry(ctx, p.Group.Name, ids, w.Request)
+		p.mutex.Lock()
+		late := w.abandoned
+		switch {
+		case err != nil:
+			w.remotePending = false // a retry may follow; at most one connection is pending
+		case !late:
+			w.remote <- c
+		}
+		p.mutex.Unlock()
+		if err == nil && late {
+			c.returnLoan()
+		}
+	}()
+}
+
+// abandon removes a request from the queue and returns connections that it didn't use.
+func (p *Pool) abandon(w *waiter) {
+	p.mutex.Lock()
+	w.abandoned = true
+	p.waiting = slices.DeleteFunc(p.waiting, func(x *waiter) bool { return x == w })
+	p.mutex.Unlock()
+	select {
+	case c := <-w.local:
+		p.Return(c)
+	default:
+	}
+	select {
+	case c := <-w.remote:
+		c.returnLoan()
+	default:
+	}
+}
+
+// Ran records whether the member ran what was sent on a connection or refused it because of
+// overload.
+func (p *Pool) Ran(c *Conn, served bool) {
+	switch {
+	case c.giveBack != nil:
+		c.refusedBusy, c.ran = c.refusedBusy || !served, c.ran || served
+	case served:
+		p.Room(c.Member)
+	default:
+		p.NoRoom(c.Member)
+	}
+}
