--- a/internal/tracker/group.go
+++ b/internal/tracker/group.go
@@ -11,78 +11,73 @@
 )
 
 const (
-	// proofSpacing is how far apart kept proofs are. At 100 ms the oldest one that
-	// a read may use is at most 100 ms younger than it could be, and 3 s of them
-	// are 30 entries.
-	proofSpacing = 100 * time.Millisecond
-	// proofsKept is how long proofs are kept: longer than the stalest read of the
-	// users' routes, 2.5 s.
-	proofsKept = 4 * time.Second
-	// behindFirst is how long a replica that lacked a position is left alone by reads
-	// that need it. Replicas are usually 20 to 150 ms behind. Each further time
-	// in a row doubles it up to behindLast: one that is seconds behind is asked in vain
-	// by every read otherwise, 24 ms and a connection each.
-	behindFirst = 60 * time.Millisecond
-	behindLast  = 480 * time.Millisecond
-	// failedFor is how long a member is asked last after a connection to it failed.
-	// Probes of the group's keeper find it well again sooner.
-	failedFor = 400 * time.Millisecond
-	// latencyWeight is the part of a new sample in a member's latency.
+	// proofInterval is the minimum time between two retained proofs.
+	proofInterval = 100 * time.Millisecond
+	// proofRetention exceeds the longest staleness bound of a route.
+	proofRetention = 4 * time.Second
+	// minLagBackoff and maxLagBackoff bound the exponential backoff before a lagging
+	// replica is tried again for a position that it lacked.
+	minLagBackoff = 60 * time.Millisecond
+	maxLagBackoff = 480 * time.Millisecond
+	// failurePenaltyDuration is how long a member is the last read candidate after a
+	// failure, unless a health probe succeeds sooner.
+	failurePenaltyDuration = 400 * time.Millisecond
+	// latencyWeight is the weight of a new sample in a member's moving average latency.
 	latencyWeight = 0.1
-	// baseFall and baseRise are the parts of a new sample in a member's base latency,
-	// when it is below and above: near the latency without a queue, and slow to take a
-	// queue for what is usual.
-	baseFall, baseRise = 0.1, 0.002
-	// queuedFactor is how many times its base a member's latency is when most of it is
-	// waiting there. Work of the users' routes varies by half around its mean.
-	queuedFactor = 2.5
-	// restingDecay is how much of the excess latency of a member that isn't used
-	// remains after a second: one slow spell must not keep it unused for good.
-	restingDecay = 0.5
+	// baselineFallWeight and baselineRiseWeight are the weights of samples below and above
+	// the baseline latency. The baseline rises slowly, so that it excludes queueing.
+	baselineFallWeight, baselineRiseWeight = 0.1, 0.002
+	// queueingLatencyRatio is the ratio of latency to baseline above which statements are
+	// considered to queue at the member.
+	queueingLatencyRatio = 2.5
+	// idleLatencyDecay is the part of an unused member's excess latency that remains after
+	// each second, so that a slow member is eventually tried again.
+	idleLatencyDecay = 0.5
 )
 
 type (
-	// Group is what is known of one group. Its methods may be called from any
-	// goroutine.
+	// Group tracks the members of a replication group, its primary and the replication
+	// progress. It is safe for concurrent use.
 	Group struct {
 		Name string
-		// Zone is this instance's; Near tells which zones are in its region.
+		// Zone is the availability zone of this instance. Near reports whether a zone is in
+		// the same region.
 		Zone string
 		Near func(zone string) bool
 
 		mutex   sync.Mutex
 		members map[string]*member
 		primary string
-		// claim is the store's revision at which the primary's entry first said so.
-		claim int64
-		// term is the newest one that any member has shown.
+		// primaryRevision is the store revision at which the primary registered as such.
+		primaryRevision int64
+		// term is the highest term that any member has reported.
 		term   uint64
 		proofs []Proof
-		// lives counts the members that have started again under their ID, and noted how
-		// many of them Restarted knew of at restartedAt.
-		lives, noted int
-		restartedAt  Stamp
+		// restarts counts the member restarts, observedRestarts those that were included in
+		// restartedAt.
+		restarts, observedRestarts int
+		restartedAt                Stamp
 	}
 
 	member struct {
 		Member
-		// position is the end of the member's log when it last answered.
-		position orderer.Position
-		// behind is a position that the member lacked at behindAt.
-		behind    orderer.Position
-		behindAt  Stamp
-		behindFor time.Duration
-		failedAt  Stamp
-		failed    bool
-		latency   time.Duration
-		// base is the latency while nothing waits at the member.
-		base     time.Duration
-		sampled  Stamp
-		inFlight int
+		// lastPosition is the end of the member's log as last reported.
+		lastPosition orderer.Position
+		// missingPosition is a position that the member's log had not reached at missingAt.
+		missingPosition orderer.Position
+		missingAt       Stamp
+		lagBackoff      time.Duration
+		failedAt        Stamp
+		failed          bool
+		latency         time.Duration
+		// baselineLatency approximates the latency without queueing at the member.
+		baselineLatency time.Duration
+		sampledAt       Stamp
+		inFlight        int
 	}
 )
 
-// Members takes in the members as registered now, in place of what was known.
+// Members replaces the set of members with the registered ones.
 func (g *Group) Members(list []Member) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -94,17 +89,17 @@
 		}
 		x, ok := old[m.ID]
 		if ok && m.Born > x.Born && x.Born != 0 {
-			g.restarted(m.ID)
+			g.handleRestart(m.ID)
 			ok = false
 		}
 		if !ok {
 			x = &member{}
 		}
-		claimed := ok && x.Primary
+		wasPrimary := ok && x.Primary
 		x.Member = m
 		g.members[m.ID] = x
-		if m.Primary && !claimed && m.Revision > g.claim {
-			g.primary, g.claim = m.ID, m.Revision
+		if m.Primary && !wasPrimary && m.Revision > g.primaryRevision {
+			g.primary, g.primaryRevision = m.ID, m.Revision
 		}
 	}
 	if _, ok := g.members[g.primary]; !ok {
@@ -112,40 +107,38 @@
 	}
 }
 
-// restarted forgets what is known of a member that has started again under its ID: what
-// it held, how fast it was, and that it led. Believed to lead on, it would be sent writes
-// that it refuses until somebody asks it.
-func (g *Group) restarted(id string) {
-	g.lives++
+// handleRestart discards the state of a member that restarted under the same ID. A
+// restarted primary is no longer the primary and would reject writes.
+func (g *Group) handleRestart(id string) {
+	g.restarts++
 	if g.primary == id {
 		g.primary, g.proofs = "", nil
 	}
 }
 
-// Restarted returns when a member was last seen to have started again, 0 if none was. What
-// such a member had acknowledged before may be on it no more. It counts from the first
-// call after the restart, so it is later than the restart and never earlier.
+// Restarted returns when a member restart was last detected, 0 if none was. It is never
+// earlier than the restart itself. The member may have lost what it acknowledged before.
 func (g *Group) Restarted(now Stamp) Stamp {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.restart(now)
+	return g.observeRestarts(now)
 }
 
-func (g *Group) restart(now Stamp) Stamp {
-	if g.lives != g.noted {
-		g.noted, g.restartedAt = g.lives, now
+func (g *Group) observeRestarts(now Stamp) Stamp {
+	if g.restarts != g.observedRestarts {
+		g.observedRestarts, g.restartedAt = g.restarts, now
 	}
 	return g.restartedAt
 }
 
-// Primary returns the member that is believed to be the primary, "" if none.
+// Primary returns the ID of the presumed primary, "" if there is none.
 func (g *Group) Primary() string {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.primary
 }
 
-// Member returns what a member registered.
+// Member returns the registration of a member.
 func (g *Group) Member(id string) (Member, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -156,7 +149,7 @@
 	return m.Member, true
 }
 
-// IDs returns the members' identities, in order.
+// IDs returns the sorted IDs of the members.
 func (g *Group) IDs() []string {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -168,16 +161,16 @@
 	return ids
 }
 
-// Saw takes in a member's status that was asked for at a moment. It returns
-// whether the belief who is primary changed.
-func (g *Group) Saw(asked Stamp, id string, s messenger.Status) bool {
+// Saw records a member's status that was requested at the given time. It reports
+// whether the presumed primary changed.
+func (g *Group) Saw(requested Stamp, id string, s messenger.Status) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	m, ok := g.members[id]
 	if !ok {
 		return false
 	}
-	m.position, m.failed = s.Received, false
+	m.lastPosition, m.failed = s.Received, false
 	if !s.Primary {
 		if g.primary == id && s.Term >= g.term {
 			g.term = s.Term
@@ -190,14 +183,14 @@
 		return false
 	}
 	g.term = s.Term
-	g.prove(Proof{At: asked, Position: s.Received})
+	g.addProof(Proof{At: requested, Position: s.Received})
 	changed := g.primary != id
 	g.primary = id
 	return changed
 }
 
-// Lost takes in that the believed primary said it is none. The next entry or
-// status that names a primary is believed.
+// Lost records that a member denied being the primary. Unless another one is presumed
+// already, the next registration or status that names a primary is accepted.
 func (g *Group) Lost(id string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -206,38 +199,31 @@
 	}
 }
 
-// Prove takes in that the primary was at a position at or after a moment.
+// Prove adds a proof of the primary's position.
 func (g *Group) Prove(p Proof) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.prove(p)
+	g.addProof(p)
 }
 
-// Hear takes in a proof that another instance has got from the primary, with its moment on
-// this instance's clock, and reports whether it was of use.
-//
-// Load pattern: 295 instances before 20 groups that each ask every primary for themselves,
-// up to 5,900 questions a second beside 3,900 requests. One that asks for all is enough,
-// because a proof says what was so at a moment: passing it on makes it older, never false,
-// as long as the moment is not taken for later than it was. A primary that has been deposed
-// since changes nothing about that moment. Only what a member held before it started again
-// with nothing is no proof any more: a log of its new life that reaches the position needn't
-// hold what the old one held.
+// Hear adds a proof that another instance obtained, with its time converted to the local
+// clock, and reports whether it was newer. A proof stays valid after a failover, but not
+// after a member restart: the new log may reach the position without the old commits.
 func (g *Group) Hear(now Stamp, p Proof) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	// A moment that is still to come can only be a mistake, and would hide younger proofs.
-	if at := g.restart(now); at != 0 && p.At <= at || p.At > now {
+	// A time in the future is an error and would mask newer proofs.
+	if at := g.observeRestarts(now); at != 0 && p.At <= at || p.At > now {
 		return false
 	}
 	if n := len(g.proofs); n > 0 && p.At <= g.proofs[n-1].At {
 		return false
 	}
-	g.prove(p)
+	g.addProof(p)
 	return true
 }
 
-// FromPrimary returns the newest proof that the primary has given.
+// FromPrimary returns the newest proof that was obtained from the primary.
 func (g *Group) FromPrimary() (Proof, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -249,7 +235,7 @@
 	return Proof{}, false
 }
 
-func (g *Group) prove(p Proof) {
+func (g *Group) addProof(p Proof) {
 	if p.Position.IsZero() {
 		return
 	}
@@ -258,19 +244,19 @@
 	if n > 0 && p.At < g.proofs[n-1].At {
 		return
 	}
-	// The newest one is replaced until it is far enough from the one before it.
-	if n > 1 && g.proofs[n-1].At-g.proofs[n-2].At < proofSpacing {
+	// Replaces the newest proof while it is within proofInterval of its predecessor.
+	if n > 1 && g.proofs[n-1].At-g.proofs[n-2].At < proofInterval {
 		g.proofs = g.proofs[:n-1]
 	}
 	g.proofs = append(g.proofs, p)
 	i := 0
-	for p.At-g.proofs[i].At > proofsKept {
+	for p.At-g.proofs[i].At > proofRetention {
 		i++
 	}
 	g.proofs = slices.Delete(g.proofs, 0, i)
 }
 
-// Freshest returns the newest proof.
+// Freshest returns the newest proof of any origin.
 func (g *Group) Freshest() (Proof, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -280,12 +266,9 @@
 	return g.proofs[len(g.proofs)-1], true
 }
 
-// Need returns the position that a log must hold to answer a read that arrived
-// at a moment, on a route that is not RulePrimary. It is false when nothing known
-// is young enough; only the primary can answer then.
-//
-// The oldest proof that is young enough asks the least of replicas: one that lags
-// by a second still serves reads that may be older.
+// Need returns the minimum log position for a replica to serve a read that arrived at
+// the given time, on a route other than RulePrimary. It uses the oldest proof within the
+// staleness bound, and returns false if there is none: only the primary can serve then.
 func (g *Group) Need(arrived Stamp, r Route, own Floor) (orderer.Position, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -299,9 +282,8 @@
 	if r.Rule != RuleOwnWrites || own.Position.IsZero() || need.At >= own.At {
 		return need.Position, true
 	}
-	// A commit's answer may show a place behind the commit, which a promotion has
-	// rolled back since. A proof that is younger than the commit covers it, and can
-	// be reached.
+	// A failover may have rolled back the reported position of a commit. A proof newer
+	// than the commit covers it with a position that replicas can reach.
 	for _, p := range g.proofs[i:] {
 		if p.At >= own.At && own.Position.Compare(p.Position) > 0 {
 			return p.Position, true
@@ -310,75 +292,76 @@
 	return orderer.Max(need.Position, own.Position), true
 }
 
-// Readers returns the members that may hold a position, the best first. Members
-// that leave come only when no other is left; so do those known to lack it.
+// Readers returns the members that may have reached a position, by expected latency. It
+// omits members that are draining or known to lag behind the position.
 func (g *Group) Readers(now Stamp, need orderer.Position) []string {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	type choice struct {
-		id   string
-		cost time.Duration
+	type candidate struct {
+		id              string
+		expectedLatency time.Duration
 	}
-	var choices []choice
+	var candidates []candidate
 	for id, m := range g.members {
-		if m.Leaving || g.lacks(now, m, need) {
+		if m.Leaving || g.lacksPosition(now, m, need) {
 			continue
 		}
-		choices = append(choices, choice{id, g.cost(now, m)})
+		candidates = append(candidates, candidate{id, g.expectedLatency(now, m)})
 	}
-	slices.SortFunc(choices, func(a, b choice) int {
-		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.id, b.id))
+	slices.SortFunc(candidates, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(a.expectedLatency, b.expectedLatency), cmp.Compare(a.id, b.id))
 	})
-	ids := make([]string, len(choices))
-	for i, c := range choices {
+	ids := make([]string, len(candidates))
+	for i, c := range candidates {
 		ids[i] = c.id
 	}
 	return ids
 }
 
-// lacks reports whether a member is known, or was just seen, to lack a position.
-func (g *Group) lacks(now Stamp, m *member, need orderer.Position) bool {
-	if m.position.AtLeast(need) || m.behind.IsZero() {
+// lacksPosition reports whether a member lacked the position recently and is not yet due
+// for another try.
+func (g *Group) lacksPosition(now Stamp, m *member, need orderer.Position) bool {
+	if m.lastPosition.AtLeast(need) || m.missingPosition.IsZero() {
 		return false
 	}
-	return need.AtLeast(m.behind) && now-m.behindAt < m.behindFor
+	return need.AtLeast(m.missingPosition) && now-m.missingAt < m.lagBackoff
 }
 
 const (
-	// nearCost, farCost: what a member is taken to need before it has answered, in
-	// its own zone or region, and in another.
-	nearCost = 5 * time.Millisecond
-	farCost  = 30 * time.Millisecond
-	// failedCost puts a member that has just failed behind all others.
-	failedCost = time.Minute
+	// defaultLocalLatency and defaultRemoteLatency are the assumed latencies of members
+	// without samples, inside and outside the region.
+	defaultLocalLatency  = 5 * time.Millisecond
+	defaultRemoteLatency = 30 * time.Millisecond
+	// failurePenalty ranks a member that failed recently behind all others.
+	failurePenalty = time.Minute
 )
 
-// cost is how long a statement is expected to take at a member: what others took,
-// and its part of the queue that this instance has made there.
-func (g *Group) cost(now Stamp, m *member) time.Duration {
-	usual := farCost
+// expectedLatency estimates the latency of a statement at a member from past samples and
+// the statements in flight.
+func (g *Group) expectedLatency(now Stamp, m *member) time.Duration {
+	defaultLatency := defaultRemoteLatency
 	if m.Zone == g.Zone || g.Near(m.Zone) {
-		usual = nearCost
+		defaultLatency = defaultLocalLatency
 	}
-	latency := usual
-	if m.latency > usual {
+	latency := defaultLatency
+	if m.latency > defaultLatency {
 		latency = m.latency
-		if rest := now - m.sampled; rest > 0 {
-			excess := float64(m.latency - usual)
-			for ; rest > time.Second; rest -= time.Second {
-				excess *= restingDecay
+		if idle := now - m.sampledAt; idle > 0 {
+			excess := float64(m.latency - defaultLatency)
+			for ; idle > time.Second; idle -= time.Second {
+				excess *= idleLatencyDecay
 			}
-			latency = usual + time.Duration(excess)
+			latency = defaultLatency + time.Duration(excess)
 		}
 	}
 	c := latency + latency*time.Duration(m.inFlight)/time.Duration(max(1, m.Slots))
-	if m.failed && now-m.failedAt < failedFor {
-		c += failedCost
+	if m.failed && now-m.failedAt < failurePenaltyDuration {
+		c += failurePenalty
 	}
 	return c
 }
 
-// Sent takes in that a statement goes to a member.
+// Sent records that a statement was sent to a member.
 func (g *Group) Sent(id string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -387,9 +370,8 @@
 	}
 }
 
-// Answered takes in a member's answer to a statement: how long it took, and where
-// the member's log ends.
-func (g *Group) Answered(now Stamp, id string, took time.Duration, p orderer.Position) {
+// Answered records a response of a member, with its latency and the member's log position.
+func (g *Group) Answered(now Stamp, id string, elapsed time.Duration, p orderer.Position) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	m, ok := g.members[id]
@@ -399,42 +381,40 @@
 	m.inFlight = max(0, m.inFlight-1)
 	m.failed = false
 	if !p.IsZero() {
-		m.position = p
+		m.lastPosition = p
 	}
-	if !m.behind.IsZero() && m.position.AtLeast(m.behind) {
-		m.behind, m.behindFor = orderer.Position{}, 0
+	if !m.missingPosition.IsZero() && m.lastPosition.AtLeast(m.missingPosition) {
+		m.missingPosition, m.lagBackoff = orderer.Position{}, 0
 	}
 	if m.latency == 0 {
-		m.latency = took
+		m.latency = elapsed
 	}
-	m.latency += time.Duration(latencyWeight * float64(took-m.latency))
-	m.sampled = now
-	m.rebase(took)
+	m.latency += time.Duration(latencyWeight * float64(elapsed-m.latency))
+	m.sampledAt = now
+	m.updateBaselineLatency(elapsed)
 }
 
-func (m *member) rebase(took time.Duration) {
-	weight := baseRise
-	if took < m.base {
-		weight = baseFall
+func (m *member) updateBaselineLatency(elapsed time.Duration) {
+	weight := baselineRiseWeight
+	if elapsed < m.baselineLatency {
+		weight = baselineFallWeight
 	}
-	if m.base == 0 {
+	if m.baselineLatency == 0 {
 		weight = 1
 	}
-	m.base += time.Duration(weight * float64(took-m.base))
+	m.baselineLatency += time.Duration(weight * float64(elapsed-m.baselineLatency))
 }
 
-// Queued reports whether a statement of this instance is under way at a member where
-// statements mostly wait. Another connection would not be served sooner, and its
-// opening takes a slot for as long as a statement does.
+// Queued reports whether this instance has a statement in flight at a member whose
+// latency is mostly queueing. Opening another connection would only add to the queue.
 func (g *Group) Queued(id string) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	m, ok := g.members[id]
-	return ok && m.inFlight > 0 && float64(m.latency) > queuedFactor*float64(m.base)
+	return ok && m.inFlight > 0 && float64(m.latency) > queueingLatencyRatio*float64(m.baselineLatency)
 }
 
-// Unanswered takes in that a statement got no answer from a member, or that it
-// could not be reached.
+// Unanswered records a failed statement, or a failed connection attempt if none was sent.
 func (g *Group) Unanswered(now Stamp, id string, sent bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -448,16 +428,16 @@
 	m.failed, m.failedAt = true, now
 }
 
-// Behind takes in that a member lacked a position.
+// Behind records that a member's log had not reached a position.
 func (g *Group) Behind(now Stamp, id string, need orderer.Position) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if m, ok := g.members[id]; ok {
-		// Reads that were under way together count once.
-		if now-m.behindAt >= m.behindFor {
-			m.behindFor = min(max(2*m.behindFor, behindFirst), behindLast)
+		// Concurrent reads count as one failure.
+		if now-m.missingAt >= m.lagBackoff {
+			m.lagBackoff = min(max(2*m.lagBackoff, minLagBackoff), maxLagBackoff)
 		}
-		m.behind, m.behindAt = need, now
-		m.position = orderer.Position{}
+		m.missingPosition, m.missingAt = need, now
+		m.lastPosition = orderer.Position{}
 	}
 }
--- a/internal/tracker/model.go
+++ b/internal/tracker/model.go
@@ -1,6 +1,6 @@
-// Package tracker keeps what an instance knows of groups and their members, and
-// decides from it which member may answer a statement and which is asked first.
-// It has no network and no clock: it is told what was seen, and when.
+// Package tracker tracks replication groups: the primary, the replication positions and
+// the latencies of the members. It selects the members that may serve a statement. It
+// does no I/O and reads no clock; callers pass observations and timestamps.
 package tracker
 
 import (
@@ -10,96 +10,95 @@
 	"github.com/oriolegw/oriolegw/pkg/orderer"
 )
 
-// Rule says how fresh a route's reads must be.
+// Rule is the read consistency level of a route.
 type Rule uint8
 
 const (
-	// RulePrimary: a read shows every commit acknowledged before it.
+	// RulePrimary requires reads to show all commits acknowledged before them.
 	RulePrimary Rule = iota
-	// RuleBounded: a read may be older by the route's staleness.
+	// RuleBounded allows reads to be stale by up to Route.Staleness.
 	RuleBounded
-	// RuleOwnWrites: as RuleBounded, and the session's own commits show at once.
+	// RuleOwnWrites is RuleBounded with read-your-writes consistency within a session.
 	RuleOwnWrites
 )
 
 type (
-	// Stamp is a moment on a clock that goes on while the machine is suspended,
-	// as the time since an arbitrary start. Stamps of two machines don't compare.
+	// Stamp is a time on a clock that includes suspended time, relative to an arbitrary
+	// origin. Stamps of different machines are not comparable.
 	Stamp = time.Duration
 
-	// Route leads a database's name to a group.
+	// Route maps a database name to a group.
 	Route struct {
 		Database string
 		Group    string
 		Rule     Rule
-		// Staleness is how old a read may be.
+		// Staleness is the maximum staleness of a read.
 		Staleness time.Duration
-		// Timeout is how long one statement may take; Aim how long a whole
-		// operation should.
+		// Timeout bounds one statement; Aim is the target duration of a whole operation.
 		Timeout, Aim time.Duration
-		// Priority orders routes that wait for the same members; 0 goes first.
+		// Priority orders routes that compete for the same members; 0 is the highest.
 		Priority int
-		// Anonymous routes ask callers for no key.
+		// Anonymous routes require no client key.
 		Anonymous bool
 	}
 
-	// Configuration is one version of what operators have declared.
+	// Configuration is one version of the operators' configuration.
 	Configuration struct {
 		Version int64
 		Routes  map[string]Route
 		Groups  map[string]GroupSettings
-		// Customers are who callers act for, nil where callers are not told apart.
+		// Customers holds the client accounts, nil if clients are not distinguished.
 		Customers *identifier.Directory
-		// Taken is when this instance took the version in force.
+		// Taken is when this instance applied the version.
 		Taken Stamp
-		// TransactionIdle is how long a transaction may rest.
+		// TransactionIdle is the idle timeout of transactions.
 		TransactionIdle time.Duration
 	}
 
-	// GroupSettings are what is declared of a group.
+	// GroupSettings is the configuration of a group.
 	GroupSettings struct {
-		// Connections is how many connections a member takes from all callers.
+		// Connections is the connection limit of each member, over all clients.
 		Connections int
-		// SyncReplicas is how many replicas hold a commit before it is acknowledged.
+		// SyncReplicas is the number of replicas that must hold a commit before it is
+		// acknowledged.
 		SyncReplicas int
 	}
 
-	// Member is a member as it registered itself.
+	// Member is the registration of a group member.
 	Member struct {
 		ID, Group, Address, Zone string
-		// Slots is how many statements it runs at a time.
+		// Slots is the number of statements that the member runs concurrently.
 		Slots int
-		// Leaving members end soon and take no new work.
+		// Leaving members are shutting down and accept no new work.
 		Leaving bool
-		// Expired members said so long ago; they are sent nothing more, but may still
-		// receive the log and acknowledge commits.
+		// Expired members exceeded their shutdown period. They receive no statements, but
+		// may still replicate the log and acknowledge commits.
 		Expired bool
-		// Missing members have vanished without saying that they leave.
+		// Missing members lost their registration without announcing a shutdown.
 		Missing bool
-		// Primary is how the member sees itself.
+		// Primary reports whether the member registered as the primary.
 		Primary bool
-		// Revision is the store's at the entry's last change.
+		// Revision is the store revision of the registration's last change.
 		Revision int64
-		// Born is the Unix millisecond of the member's start, 0 where it doesn't say. One
-		// that starts again under its ID has a later one, and has nothing of before: its
-		// connections, orders and log are gone.
+		// Born is the start time in Unix milliseconds, 0 if unknown. A member that restarts
+		// under the same ID has a later one and has lost its connections and log.
 		Born int64
 	}
 
-	// Proof says that at or after a moment the group's primary was at a position:
-	// a log that reaches it holds all that was acknowledged before the moment.
+	// Proof establishes that a log which has reached Position contains all commits
+	// acknowledged before At.
 	Proof struct {
 		At       Stamp
 		Position orderer.Position
-		// ByReplicas is set when it was made without the primary, of what every replica has
-		// received.
+		// ByReplicas is set if the proof was derived from the replicas' received positions,
+		// without the primary.
 		ByReplicas bool
 	}
 
-	// Floor is what a session's reads must show of its own commits.
+	// Floor is the last commit of a session, which its later reads must show.
 	Floor struct {
 		Position orderer.Position
-		// At is when the commit had been acknowledged.
+		// At is when the commit was acknowledged.
 		At Stamp
 	}
 )
