--- /dev/null
+++ b/internal/watcher/peers.go
@@ -0,0 +1,181 @@
+package watcher
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"github.com/oriolegw/oriolegw/internal/pauser"
+	"github.com/oriolegw/oriolegw/internal/storer"
+	"github.com/oriolegw/oriolegw/internal/tracker"
+)
+
+const (
+	// peerPollStartDelay gives the store time to answer first after a start.
+	peerPollStartDelay = 150 * time.Millisecond
+	// initialPeerPollInterval is the time between two requests to peers before the first
+	// update, peerPollInterval afterwards.
+	initialPeerPollInterval = 100 * time.Millisecond
+	peerPollInterval        = 500 * time.Millisecond
+	// peerUpdateLifetime is how long an update from a peer counts as an answer of the store.
+	peerUpdateLifetime = 3 * peerPollInterval
+	// maxDeletions bounds the retained deletions. A peer that has missed more receives the
+	// whole state.
+	maxDeletions = 256
+	// followTimeout is how long after the last update from a peer an instance resumes
+	// reading the store itself.
+	followTimeout = 3 * peerPollInterval
+)
+
+// pollPeers requests updates from peers while the store is unavailable, or while they watch
+// it for this instance.
+func (w *Watcher) pollPeers(ctx context.Context, updates chan<- update) error {
+	pause := peerPollStartDelay
+	for {
+		if err := pauser.Pause(ctx, pause); err != nil {
+			return err
+		}
+		pause = initialPeerPollInterval
+		follows := w.Follows != nil && w.Follows() && w.state.Load() != nil
+		if !w.storeDown.Load() && !follows || w.Hear == nil {
+			continue
+		}
+		if w.state.Load() != nil {
+			pause = peerPollInterval
+		}
+		n, err := w.Hear(ctx, w.revisionOfState())
+		if err != nil {
+			continue // poll logs the loss of the store, and Hear that of a peer
+		}
+		w.peerSeen.Store(int64(w.Clock()))
+		if n.Reads {
+			w.readerSeen.Store(int64(w.Clock()))
+		}
+		u := update{isPeerUpdate: true, snapshot: !n.Partial, peer: n.From, pairs: n.Pairs, revision: n.Revision, age: max(0, w.Clock()-n.Heard)}
+		select {
+		case updates <- u:
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+}
+
+// followsReader reports whether a peer currently watches the store for this instance, which
+// saves calls against the store. It no longer does followTimeout after the last update of a
+// peer that reaches the store.
+func (w *Watcher) followsReader() bool { return w.followsSince(&w.readerSeen) }
+
+// followsPeer reports whether a peer can report that the store is available again, so that
+// not every instance has to retry at the full rate.
+func (w *Watcher) followsPeer() bool { return w.followsSince(&w.peerSeen) }
+
+// followsSince reports whether this instance follows peers and the last update, at seen, is
+// within followTimeout.
+func (w *Watcher) followsSince(seen *atomic.Int64) bool {
+	at := tracker.Stamp(seen.Load())
+	return w.Follows != nil && w.Follows() && at != 0 && w.Clock()-at < followTimeout
+}
+
+// revisionOfState returns the store revision of the known state.
+func (w *Watcher) revisionOfState() int64 {
+	if n := w.state.Load(); n != nil {
+		return n.Revision
+	}
+	return 0
+}
+
+// updateState publishes the state of the store for requests of peers.
+func (w *Watcher) updateState(u update) {
+	if u.revision < w.revision {
+		return
+	}
+	if u.snapshot {
+		w.recordSnapshotDeletions(u)
+	}
+	for _, p := range u.pairs {
+		switch {
+		case p.Revision == 0:
+			w.recordDeletion(p.Key, u.revision)
+		case w.watches(p.Key):
+			w.pairs[p.Key] = p
+		}
+	}
+	w.revision = u.revision
+	n := &News{Revision: u.revision, Heard: w.storeSeenAt, Pairs: slices.Collect(maps.Values(w.pairs)), Gone: slices.Clone(w.deletions), GoneSince: w.deletionsSince}
+	slices.SortFunc(n.Pairs, func(a, b storer.Pair) int { return strings.Compare(a.Key, b.Key) })
+	w.state.Store(n)
+}
+
+// recordSnapshotDeletions records the deletion of keys that a snapshot no longer holds.
+func (w *Watcher) recordSnapshotDeletions(u update) {
+	if w.state.Load() == nil {
+		w.deletionsSince = u.revision
+	}
+	held := make(map[string]bool, len(u.pairs))
+	for _, p := range u.pairs {
+		held[p.Key] = true
+	}
+	for key := range w.pairs {
+		if !held[key] {
+			w.recordDeletion(key, u.revision)
+		}
+	}
+}
+
+// recordDeletion records that a key was deleted at or before a revision.
+func (w *Watcher) recordDeletion(key string, revision int64) {
+	if _, held := w.pairs[key]; !held {
+		return
+	}
+	delete(w.pairs, key)
+	w.deletions = append(w.deletions, Gone{key, revision})
+	if len(w.deletions) > maxDeletions {
+		w.deletionsSince = w.deletions[0].Revision
+		w.deletions = slices.Clone(w.deletions[1:])
+	}
+}
+
+// Since returns the changes after a revision, or the whole state if the deletions since then
+// are no longer known.
+func (n *News) Since(revision int64) (pairs []storer.Pair, partial bool) {
+	if revision < n.GoneSince || revision == 0 {
+		return n.Pairs, false
+	}
+	for _, p := range n.Pairs {
+		if p.Revision > revision {
+			pairs = append(pairs, p)
+		}
+	}
+	for _, g := range n.Gone {
+		if _, recreated := slices.BinarySearchFunc(n.Pairs, g.Key, func(p storer.Pair, key string) int { return strings.Compare(p.Key, key) }); g.Revision > revision && !recreated {
+			pairs = append(pairs, storer.Pair{Key: g.Key})
+		}
+	}
+	return pairs, true
+}
+
+func (w *Watcher) watches(key string) bool {
+	return key == w.ConfigurationKey || strings.HasPrefix(key, w.MemberPrefix) || strings.HasPrefix(key, w.DutyPrefix) ||
+		w.Instance != nil && strings.HasPrefix(key, w.InstancePrefix)
+}
+
+// Reads reports whether this instance watches the store itself and the store is available.
+func (w *Watcher) Reads() bool { return !w.storeDown.Load() && !w.followsReader() }
+
+// InTouch reports whether the store is available to this instance or to a peer that watches
+// it for this instance. It is safe for concurrent use.
+func (w *Watcher) InTouch() bool { return !w.storeDown.Load() || w.followsReader() }
+
+// Current reports whether the known state was confirmed by the store within InForce,
+// directly or through a peer. It is safe for concurrent use.
+func (w *Watcher) Current() bool {
+	at := tracker.Stamp(w.storeSeen.Load())
+	return at != 0 && w.Clock()-at <= w.InForce
+}
+
+// Known returns the known state of the store, nil before the first read. It is safe for
+// concurrent use.
+func (w *Watcher) Known() *News { return w.state.Load() }
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -1,6 +1,6 @@
-// Package watcher follows the platform's store: the configuration, the members'
-// entries and the duties' records. One watch over everything costs the fewest
-// calls.
+// Package watcher watches the platform's store for changes of the configuration, of the
+// members' registrations and of the duty records. It uses one watch for all of them, to
+// limit the calls against the store.
 package watcher
 
 import (
@@ -17,177 +17,171 @@
 )
 
 const (
-	// pollPart is the part of the time until a change must be in force for which the
-	// store may keep a watch open. A connection that has gone silent is noticed after
-	// that and 0.6 s; the rest is for reading everything again.
-	pollPart = 0.65
-	// firstPause and lastPause bound the pause after a call that failed. Machines
-	// that come back together must not ask together: half of it is random.
-	firstPause = 50 * time.Millisecond
-	lastPause  = 500 * time.Millisecond
-	// sparedPart is the part of InForce that takes the place of lastPause where others tell
-	// when the store is back: half of the time that a change may take, should they be
-	// turned away for longer than this instance.
-	sparedPart = 0.5
-	// lapseGrace is how long an entry may be missing after the store has come back:
-	// members that live register again within about 2 s.
-	lapseGrace = 2500 * time.Millisecond
-	// goneKept is how long a member whose entry is gone is still known, as one that
-	// leaves, so that the primary can be moved away from it. It must be sent nothing
-	// later than 7 s after.
-	goneKept = 5 * time.Second
-	// leavingKept is how long a member that said it leaves may still be sent work.
-	leavingKept = 6 * time.Second
-	// gatherPart is the part of InForce that passes after news, in which more may come: a
-	// change of primary alone is three changes in a row, and without the pause each wakes
-	// every instance. Who leads after a promotion is seen up to that much later, if other
-	// news came just before; a caller that asks finds out sooner.
-	gatherPart = 0.1
-	// firstGather takes its place for firstTime when the whole fleet has started for the
-	// first time: each of 9 to 24 members registers at its own moment then, and the
-	// holders of the duties write down who the members are. On 83 instances, these two in
-	// place of 200 ms took the calls of the store in a minute from 4,184 to 3,248.
-	firstGather = time.Second
-	firstTime   = 8 * time.Second
-	// tickInterval is how often these times are looked at: a tenth of the shortest.
-	tickInterval = 250 * time.Millisecond
+	// pollWaitFraction is the long-poll timeout as a fraction of InForce. The rest is left
+	// to detect a silent connection and to read a new snapshot.
+	pollWaitFraction = 0.65
+	// minRetryDelay and maxRetryDelay bound the exponential backoff of failed calls.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
+	// followerRetryFraction is the retry delay, as a fraction of InForce, while peers can
+	// report that the store is available again.
+	followerRetryFraction = 0.5
+	// registrationGrace is how long after an outage of the store members may take to
+	// register again.
+	registrationGrace = 2500 * time.Millisecond
+	// missingRetention is how long a member without an entry is kept as leaving, so that a
+	// failover can still take it into account.
+	missingRetention = 5 * time.Second
+	// leavingTimeout is how long after its announcement a leaving member may still be sent
+	// work.
+	leavingTimeout = 6 * time.Second
+	// batchDelayFraction is the delay after a change, as a fraction of InForce, that lets one
+	// call return several consecutive changes, such as those of a failover.
+	batchDelayFraction = 0.1
+	// startupBatchDelay replaces it for startupPeriod after the first start of the fleet,
+	// when all members register.
+	startupBatchDelay = time.Second
+	startupPeriod     = 8 * time.Second
+	// expiryCheckInterval is the time between two checks for expired entries.
+	expiryCheckInterval = 250 * time.Millisecond
 )
 
-// errNoBirth rejects an entry that doesn't say when its member started, though the
-// member has said so before.
-var errNoBirth = errors.New("it no longer says when the member started")
+// errNoStartTime rejects an entry that lacks the start time which an earlier one had.
+var errNoStartTime = errors.New("start time of the member is missing")
 
 type (
-	// Source is the store as this package uses it.
+	// Source is the part of the store that this package uses.
 	Source interface {
 		Snapshot(ctx context.Context, prefix string) ([]storer.Pair, int64, error)
 		Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]storer.Pair, int64, error)
 	}
 
-	// Watcher follows the store. Set the exported fields, then call Run, which calls
-	// the functions one at a time.
+	// Watcher watches the store. Set the exported fields, then call Run, which never calls
+	// the callbacks concurrently.
 	Watcher struct {
 		Source Source
 		Clock  func() tracker.Stamp
-		// InForce is how soon a change must be in force.
+		// InForce is the maximum time until a change must be in force.
 		InForce time.Duration
-		// FirstStart is set when the whole fleet starts for the first time.
+		// FirstStart is set when the snapshot fleet starts for the first time.
 		FirstStart bool
-		// ConfigurationKey, MemberPrefix and the others say where things lie.
+		// ConfigurationKey is the key of the configuration; the others are the key prefixes
+		// of members, duties and instances.
 		ConfigurationKey, MemberPrefix, DutyPrefix, InstancePrefix string
 
 		DecodeConfiguration func(value []byte) (*tracker.Configuration, error)
 		DecodeMember        func(key string, value []byte, revision int64) (tracker.Member, error)
 
-		// Configured is told of each newer version.
+		// Configured is called with each newer version of the configuration.
 		Configured func(*tracker.Configuration)
-		// Members is told of all members whenever something about one has changed.
+		// Members is called with all members after any of them changed.
 		Members func([]tracker.Member)
-		// Duty is told of a duty's record as it stands; Revision 0 means that nobody
-		// has it.
+		// Duty is called with each changed duty record; Revision 0 means that nobody holds
+		// the duty.
 		Duty func(storer.Pair)
-		// Instance, when set, is told of an instance's record as it stands.
+		// Instance, if set, is called with each changed instance record.
 		Instance func(storer.Pair)
-		// Log is called with the fields of a line.
+		// Log writes a log line of key-value pairs.
 		Log func(fields ...any)
-		// Hear, when set, asks other instances for what they have read beyond a revision.
-		// It is called while the store doesn't answer this instance.
+		// Hear, if set, requests the changes after a revision from peers. It is called while
+		// the store is unavailable to this instance.
 		Hear func(ctx context.Context, revision int64) (News, error)
-		// Follows, when set, reports that this instance leaves the reading of the store to
-		// others, as long as Hear brings news of one that reads it.
+		// Follows, if set, reports whether this instance leaves the watching of the store to
+		// peers, as long as Hear returns updates of one that watches it.
 		Follows func() bool
 
-		// lost is set while the store doesn't answer.
-		lost atomic.Bool
-		// readerHeard is when one that reads the store last told its news, peerHeard when
-		// anyone did.
-		readerHeard, peerHeard atomic.Int64
-		// known is what Known returns.
-		known atomic.Pointer[News]
-		// pairs is what the store holds at revision, as far as it is followed.
+		// storeDown is set while the store is unavailable.
+		storeDown atomic.Bool
+		// readerSeen is the time of the last update from a peer that watches the store,
+		// peerSeen that of the last update from any peer.
+		readerSeen, peerSeen atomic.Int64
+		// state is the state published by Known.
+		state atomic.Pointer[News]
+		// pairs holds the watched keys of the store as of revision.
 		pairs    map[string]storer.Pair
 		revision int64
-		// ended are the keys that ended lately, in the order of the updates that said so;
-		// goneSince is the revision after which none is missing.
-		ended     []Gone
-		goneSince int64
-		// told is when another instance last told what it had just read.
-		told     tracker.Stamp
-		version  int64
-		entries  map[string]*entry
-		duties   map[string]bool
-		outage   bool
-		restored tracker.Stamp
-		// heard is when the store last answered; since, while an update is applied, the
-		// moment from which its news may stem.
-		heard, since tracker.Stamp
-		// answered is heard, for any goroutine; 0 before the first answer.
-		answered atomic.Int64
+		// deletions holds the recently deleted keys in order of detection. It is complete
+		// for all revisions after deletionsSince.
+		deletions      []Gone
+		deletionsSince int64
+		// peerUpdateAt is the age-adjusted time of the last update from a peer.
+		peerUpdateAt tracker.Stamp
+		version      int64
+		entries      map[string]*entry
+		duties       map[string]bool
+		outage       bool
+		restoredAt   tracker.Stamp
+		// storeSeenAt is when the store last answered. changedSince is the earliest time at
+		// which the changes of the current update may have happened.
+		storeSeenAt, changedSince tracker.Stamp
+		// storeSeen is storeSeenAt for other goroutines; 0 before the first answer.
+		storeSeen atomic.Int64
 	}
 
-	// entry is a member's, and what is known of its end.
+	// entry is the registration of a member with its shutdown state.
 	entry struct {
 		tracker.Member
-		// missing is since when there is no entry, leaving since when it said so; 0
-		// when it isn't so.
-		missing, leaving tracker.Stamp
+		// missingSince is when the entry was deleted, leavingSince when the member announced
+		// its shutdown; 0 if it did not happen.
+		missingSince, leavingSince tracker.Stamp
 	}
 
-	// update is what a call has brought.
+	// update is the result of a read of the store, or of a request to a peer.
 	update struct {
 		err error
-		// whole updates replace all that was known.
-		whole bool
-		pairs []storer.Pair
-		// revision is the store's, up to which pairs tells.
+		// snapshot is set if pairs holds all keys rather than changes.
+		snapshot bool
+		pairs    []storer.Pair
+		// revision is the store revision that pairs reflects.
 		revision int64
-		// told updates come from another instance, from, which the store answered age ago.
-		told bool
-		from string
-		age  time.Duration
+		// isPeerUpdate is set for an update from another instance, peer, which had read it
+		// from the store age ago.
+		isPeerUpdate bool
+		peer         string
+		age          time.Duration
 	}
 
-	// Gone is a key that ended at a revision or before.
+	// Gone is a key that was deleted at or before a revision.
 	Gone struct {
 		Key      string
 		Revision int64
 	}
 
-	// News is what an instance has read in the store.
+	// News is the state of the store as an instance has read it.
 	News struct {
-		// Pairs are all that it held; where Partial is set, those that have changed, with
-		// revision 0 for one that is gone.
+		// Pairs holds all watched keys. If Partial is set, it holds only the changed ones, with
+		// revision 0 for deleted keys.
 		Pairs    []storer.Pair
 		Partial  bool
 		Revision int64
-		// Gone are the keys that have ended after the revision GoneSince.
+		// Gone holds the keys deleted after the revision GoneSince.
 		Gone      []Gone
 		GoneSince int64
-		// Heard is when the store last answered, on the clock of whoever holds the news.
+		// Heard is when the store last answered, on the local clock.
 		Heard tracker.Stamp
-		// From names who told it, "" for the store.
+		// From is the name of the peer that sent the state, "" for the store.
 		From string
-		// Reads is set when whoever told it reads the store itself, which answers.
+		// Reads is set if the sender watches the store itself and the store is available.
 		Reads bool
 	}
 )
 
-// Run follows the store until the context ends.
+// Run watches the store until the context ends.
 func (w *Watcher) Run(ctx context.Context) error {
 	w.entries, w.duties, w.pairs = map[string]*entry{}, map[string]bool{}, map[string]storer.Pair{}
-	w.lost.Store(true)
+	w.storeDown.Store(true)
 	updates := make(chan update)
 	ended := make(chan error, 2)
 	go func() { ended <- w.poll(ctx, updates) }()
-	go func() { ended <- w.listen(ctx, updates) }()
-	t := time.NewTicker(tickInterval)
+	go func() { ended <- w.pollPeers(ctx, updates) }()
+	t := time.NewTicker(expiryCheckInterval)
 	defer t.Stop()
 	for {
 		select {
 		case u := <-updates:
 			w.apply(u)
 		case <-t.C:
-			w.expire()
+			w.expireMembers()
 		case err := <-ended:
 			<-ended
 			return err
@@ -195,36 +189,36 @@
 	}
 }
 
-// poll asks the store and sends what it answers.
+// poll reads from the store and sends the results to updates.
 func (w *Watcher) poll(ctx context.Context, updates chan<- update) error {
 	var revision int64
-	whole := true
-	pause := firstPause
-	begun := w.Clock()
+	snapshot := true
+	pause := minRetryDelay
+	startedAt := w.Clock()
 	for {
-		if w.following() {
-			if err := pauser.Pause(ctx, listenAgain); err != nil {
+		if w.followsReader() {
+			if err := pauser.Pause(ctx, peerPollInterval); err != nil {
 				return err
 			}
-			revision, whole = w.reached(), false
+			revision, snapshot = w.revisionOfState(), false
 			continue
 		}
 		var u update
 		var next int64
-		if whole {
-			u.whole = true
+		if snapshot {
+			u.snapshot = true
 			u.pairs, next, u.err = w.Source.Snapshot(ctx, "")
 		} else {
-			u.pairs, next, u.err = w.Source.Changes(ctx, "", revision, time.Duration(pollPart*float64(w.InForce)))
+			u.pairs, next, u.err = w.Source.Changes(ctx, "", revision, time.Duration(pollWaitFraction*float64(w.InForce)))
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		if errors.Is(u.err, storer.ErrHistoryLost) {
-			whole = true
+			snapshot = true
 			continue
 		}
-		w.lost.Store(u.err != nil)
+		w.storeDown.Store(u.err != nil)
 		u.revision = next
 		select {
 		case updates <- u:
@@ -232,35 +226,35 @@
 			return ctx.Err()
 		}
 		if u.err != nil {
-			// After an outage everything is read again: what a watch has missed while
-			// its history was dropped shows nowhere else.
-			whole = true
-			if w.spared() {
-				pause = max(pause, time.Duration(sparedPart*float64(w.InForce)))
+			// The history may have been dropped during the outage, so a watch could miss
+			// changes.
+			snapshot = true
+			if w.followsPeer() {
+				pause = max(pause, time.Duration(followerRetryFraction*float64(w.InForce)))
 			}
 			if err := pauser.Pause(ctx, pause/2+rand.N(pause/2)); err != nil {
 				return err
 			}
-			pause = min(2*pause, lastPause)
+			pause = min(2*pause, maxRetryDelay)
 			continue
 		}
-		pause = firstPause
-		if whole || len(u.pairs) > 0 {
+		pause = minRetryDelay
+		if snapshot || len(u.pairs) > 0 {
 			revision = next
-			if err := pauser.Pause(ctx, w.gather(begun)); err != nil {
+			if err := pauser.Pause(ctx, w.batchDelay(startedAt)); err != nil {
 				return err
 			}
 		}
-		whole = false
+		snapshot = false
 	}
 }
 
-// gather returns for how long more news is gathered.
-func (w *Watcher) gather(begun tracker.Stamp) time.Duration {
-	if w.FirstStart && w.Clock()-begun < firstTime {
-		return min(firstGather, w.InForce/4)
+// batchDelay returns how long to wait for further changes before the next call.
+func (w *Watcher) batchDelay(startedAt tracker.Stamp) time.Duration {
+	if w.FirstStart && w.Clock()-startedAt < startupPeriod {
+		return min(startupBatchDelay, w.InForce/4)
 	}
-	return time.Duration(gatherPart * float64(w.InForce))
+	return time.Duration(batchDelayFraction * float64(w.InForce))
 }
 
 func (w *Watcher) apply(u update) {
@@ -271,58 +265,58 @@
 		}
 		return
 	}
-	// What a whole reading or another instance tells may have been so since the store last answered. A
-	// member that has left meanwhile must not be used for as long as if it left now.
+	// Changes in a snapshot or from a peer may date back to the last answer of the store, so
+	// timeouts must run from then.
 	now := w.Clock()
-	w.since = now
-	if (u.whole || u.told) && w.heard != 0 {
-		w.since = w.heard
+	w.changedSince = now
+	if (u.snapshot || u.isPeerUpdate) && w.storeSeenAt != 0 {
+		w.changedSince = w.storeSeenAt
 	}
-	w.heard = max(w.heard, now-u.age)
-	w.answered.Store(int64(w.heard))
-	if u.told {
-		w.told = now - u.age
+	w.storeSeenAt = max(w.storeSeenAt, now-u.age)
+	w.storeSeen.Store(int64(w.storeSeenAt))
+	if u.isPeerUpdate {
+		w.peerUpdateAt = now - u.age
 		if u.revision <= w.revision {
 			return
 		}
-		w.Log("event", "told", "by", u.from, "revision", u.revision, "known", w.revision, "age-ms", u.age.Milliseconds(), "items", len(u.pairs))
+		w.Log("event", "told", "by", u.peer, "revision", u.revision, "known", w.revision, "age-ms", u.age.Milliseconds(), "items", len(u.pairs))
 	} else if w.outage {
 		w.outage = false
-		w.restored = now
+		w.restoredAt = now
 		w.Log("event", "dependency-regained", "dependency", "store")
 	}
 	changed := false
 	seen := map[string]bool{}
 	for _, p := range u.pairs {
 		seen[p.Key] = true
-		changed = w.take(p) || changed
+		changed = w.applyPair(p) || changed
 	}
-	if u.whole {
-		changed = w.missing(seen) || changed
+	if u.snapshot {
+		changed = w.applySnapshotDeletions(seen) || changed
 	}
-	if changed || u.whole {
+	if changed || u.snapshot {
 		w.publish()
 	}
-	w.remember(u)
+	w.updateState(u)
 }
 
-// take takes one key in and reports whether the members changed.
-func (w *Watcher) take(p storer.Pair) bool {
+// applyPair applies the change of one key and reports whether the members changed.
+func (w *Watcher) applyPair(p storer.Pair) bool {
 	switch {
 	case p.Key == w.ConfigurationKey:
-		w.configure(p)
+		w.applyConfiguration(p)
 	case strings.HasPrefix(p.Key, w.DutyPrefix):
 		w.duties[p.Key] = p.Revision > 0
 		w.Duty(p)
 	case strings.HasPrefix(p.Key, w.MemberPrefix):
-		return w.member(p)
+		return w.applyMember(p)
 	case w.Instance != nil && strings.HasPrefix(p.Key, w.InstancePrefix):
 		w.Instance(p)
 	}
 	return false
 }
 
-func (w *Watcher) configure(p storer.Pair) {
+func (w *Watcher) applyConfiguration(p storer.Pair) {
 	if p.Revision == 0 {
 		return
 	}
--- a/internal/watcher/watcher_test.go
+++ b/internal/watcher/watcher_test.go
@@ -21,8 +21,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// stage is a watcher over a store, and what it has told.
-type stage struct {
+// fixture runs a watcher on a memory store and records its callbacks.
+type fixture struct {
 	store   *storer.Memory
 	pairs   map[string]storer.Pair
 	watcher *watcher.Watcher
@@ -30,19 +30,19 @@
 	follows atomic.Bool
 
 	mutex    sync.Mutex
-	told     *watcher.News
+	peerNews *watcher.News
 	versions []int64
 	members  map[string]tracker.Member
 }
 
-func play(t *testing.T, happens func(t *testing.T, s *stage)) {
+func runFixture(t *testing.T, run func(t *testing.T, f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		s := &stage{store: storer.NewMemory(), pairs: map[string]storer.Pair{}}
-		begin := time.Now()
+		f := &fixture{store: storer.NewMemory(), pairs: map[string]storer.Pair{}}
+		start := time.Now()
 		w := &watcher.Watcher{
-			Source: s.store, InForce: 3 * time.Second, Clock: func() tracker.Stamp { return time.Since(begin) + time.Hour },
+			Source: f.store, InForce: 3 * time.Second, Clock: func() tracker.Stamp { return time.Since(start) + time.Hour },
 			ConfigurationKey: "configuration", MemberPrefix: "member/", DutyPrefix: "duty/",
 			DecodeConfiguration: func(value []byte) (*tracker.Configuration, error) {
 				c := &tracker.Configuration{}
@@ -50,36 +50,36 @@
 			},
 			DecodeMember: decodeMember,
 			Configured: func(c *tracker.Configuration) {
-				s.mutex.Lock()
-				defer s.mutex.Unlock()
-				s.versions = append(s.versions, c.Version)
+				f.mutex.Lock()
+				defer f.mutex.Unlock()
+				f.versions = append(f.versions, c.Version)
 			},
 			Members: func(list []tracker.Member) {
-				s.mutex.Lock()
-				defer s.mutex.Unlock()
-				s.members = map[string]tracker.Member{}
+				f.mutex.Lock()
+				defer f.mutex.Unlock()
+				f.members = map[string]tracker.Member{}
 				for _, m := range list {
-					s.members[m.ID] = m
+					f.members[m.ID] = m
 				}
 			},
-			Duty: func(storer.Pair) {}, Log: func(...any) {}, Hear: s.hear, Follows: s.follows.Load,
+			Duty: func(storer.Pair) {}, Log: func(...any) {}, Hear: f.hear, Follows: f.follows.Load,
 		}
-		s.watcher = w
+		f.watcher = w
 		ended := make(chan error, 1)
 		go func() { ended <- w.Run(ctx) }()
 		defer func() {
 			cancel()
 			<-ended
 		}()
-		s.put(t, "configuration", "7")
-		s.put(t, "member/m", "ready")
+		f.put(t, "configuration", "7")
+		f.put(t, "member/m", "ready")
 		time.Sleep(time.Second)
-		must.True(t, s.usable("m"))
-		happens(t, s)
+		must.True(t, f.usable("m"))
+		run(t, f)
 	})
 }
 
-// decodeMember reads "ready", "leaving", and either with "@" and the moment of birth.
+// decodeMember parses "ready" or "leaving", optionally followed by "@" and the start time.
 func decodeMember(key string, value []byte, revision int64) (tracker.Member, error) {
 	state, born, _ := strings.Cut(string(value), "@")
 	if state != "ready" && state != "leaving" {
@@ -94,245 +94,239 @@
 	return m, err
 }
 
-func (s *stage) put(t *testing.T, key, value string) {
+func (f *fixture) put(t *testing.T, key, value string) {
 	t.Helper()
-	p, ok, err := s.store.Swap(t.Context(), storer.Pair{Key: key, Value: []byte(value), Revision: s.pairs[key].Revision}, 0)
+	p, ok, err := f.store.Swap(t.Context(), storer.Pair{Key: key, Value: []byte(value), Revision: f.pairs[key].Revision}, 0)
 	must.NoError(t, err)
 	must.True(t, ok)
-	s.pairs[key] = p
+	f.pairs[key] = p
 }
 
-// tell is what another instance answers from now on.
-func (s *stage) tell(n watcher.News) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.told = &n
+// setPeerNews sets the response of peers.
+func (f *fixture) setPeerNews(n watcher.News) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.peerNews = &n
 }
 
-func (s *stage) hear(context.Context, int64) (watcher.News, error) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.told == nil {
-		return watcher.News{}, errors.New("nobody has news")
+func (f *fixture) hear(context.Context, int64) (watcher.News, error) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if f.peerNews == nil {
+		return watcher.News{}, errors.New("no peer available")
 	}
-	return *s.told, nil
+	return *f.peerNews, nil
 }
 
-func (s *stage) remove(t *testing.T, key string) {
+func (f *fixture) remove(t *testing.T, key string) {
 	t.Helper()
-	ok, err := s.store.Delete(t.Context(), s.pairs[key])
+	ok, err := f.store.Delete(t.Context(), f.pairs[key])
 	must.NoError(t, err)
 	must.True(t, ok)
-	s.pairs[key] = storer.Pair{}
+	f.pairs[key] = storer.Pair{}
 }
 
-// usable reports whether new work may go to a member.
-func (s *stage) usable(id string) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	m, ok := s.members[id]
+// usable reports whether a member accepts new work.
+func (f *fixture) usable(id string) bool {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	m, ok := f.members[id]
 	return ok && !m.Leaving && !m.Expired
 }
 
-// configured returns the versions that came into force.
-func (s *stage) configured() []int64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return slices.Clone(s.versions)
+// configured returns the configuration versions applied so far.
+func (f *fixture) configured() []int64 {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return slices.Clone(f.versions)
 }
 
-func (s *stage) known(id string) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	_, ok := s.members[id]
+func (f *fixture) known(id string) bool {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	_, ok := f.members[id]
 	return ok
 }
 
-func (s *stage) away(away bool) { s.store.SetFaults(func(f *storer.Faults) { f.Down = away }) }
+func (f *fixture) setStoreDown(down bool) {
+	f.store.SetFaults(func(x *storer.Faults) { x.Down = down })
+}
 
-// Versions only rise, whatever is read in which order, and a value that can't be read
-// leaves the one in force.
-func TestVersionsRise(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+// Older configuration versions and invalid values are ignored.
+func TestConfigurationVersionsIncrease(t *testing.T) {
+	runFixture(t, func(t *testing.T, f *fixture) {
 		for _, v := range []string{"9", "8", "nonsense", "9", "12"} {
-			s.put(t, "configuration", v)
+			f.put(t, "configuration", v)
 			time.Sleep(100 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
-		must.Eq(t, []int64{7, 9, 12}, s.configured())
+		must.Eq(t, []int64{7, 9, 12}, f.configured())
 	})
 }
 
-// An entry that vanishes while the store is well is gone at once: nothing new is sent.
-func TestEntryVanishes(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
-		s.remove(t, "member/m")
+// A member whose entry is deleted while the store is available receives no new work.
+func TestEntryDeleted(t *testing.T) {
+	runFixture(t, func(t *testing.T, f *fixture) {
+		f.remove(t, "member/m")
 		time.Sleep(500 * time.Millisecond)
-		must.False(t, s.usable("m"))
-		must.True(t, s.known("m"))
+		must.False(t, f.usable("m"))
+		must.True(t, f.known("m"))
 		time.Sleep(6 * time.Second)
-		must.False(t, s.known("m"))
+		must.False(t, f.known("m"))
 	})
 }
 
-// The store was away, and entries have lapsed meanwhile. Members that live are back two
-// seconds after its return; until then they must be used, or all would stand still.
-func TestEntryLapsesInOutage(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
-		s.away(true)
+// Members whose entries expired during an outage of the store stay usable until they had
+// time to register again.
+func TestEntryExpiresDuringOutage(t *testing.T) {
+	runFixture(t, func(t *testing.T, f *fixture) {
+		f.setStoreDown(true)
 		time.Sleep(4 * time.Second)
-		// The store drops the entry, and answers nobody before and after.
-		s.away(false)
-		s.remove(t, "member/m")
-		s.away(true)
+		// The store deletes the entry while it is unavailable to the watcher.
+		f.setStoreDown(false)
+		f.remove(t, "member/m")
+		f.setStoreDown(true)
 		time.Sleep(time.Second)
-		s.away(false)
+		f.setStoreDown(false)
 		time.Sleep(1500 * time.Millisecond)
-		must.True(t, s.usable("m"))
+		must.True(t, f.usable("m"))
 		time.Sleep(2 * time.Second)
-		must.False(t, s.usable("m"))
+		must.False(t, f.usable("m"))
 	})
 }
 
-// A member said that it leaves while this instance was turned away by the store. The
-// time in which it may still be used runs from when the store was last heard, not from
-// when the news came: else requests reach it long after it may be gone.
-func TestLeavingLearnedLate(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
-		s.put(t, "member/m", "leaving")
-		s.away(true)
+// The shutdown timeout of a member that announced it during an outage runs from the last
+// answer of the store, or statements would be sent to a member that has stopped.
+func TestLeavingDuringOutage(t *testing.T) {
+	runFixture(t, func(t *testing.T, f *fixture) {
+		f.put(t, "member/m", "leaving")
+		f.setStoreDown(true)
 		time.Sleep(8 * time.Second)
-		s.away(false)
+		f.setStoreDown(false)
 		time.Sleep(time.Second)
-		s.mutex.Lock()
-		defer s.mutex.Unlock()
-		must.True(t, s.members["m"].Expired)
+		f.mutex.Lock()
+		defer f.mutex.Unlock()
+		must.True(t, f.members["m"].Expired)
 	})
 }
 
-// A member that leaves is used no more, but stays known while it is registered: it may
-// still acknowledge commits.
+// A leaving member receives no new work, but stays known while it is registered, because it
+// may still acknowledge commits.
 func TestLeaving(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
-		s.put(t, "member/m", "leaving")
+	runFixture(t, func(t *testing.T, f *fixture) {
+		f.put(t, "member/m", "leaving")
 		time.Sleep(time.Second)
-		must.False(t, s.usable("m"))
+		must.False(t, f.usable("m"))
 		time.Sleep(10 * time.Second)
-		must.True(t, s.known("m"))
-		s.remove(t, "member/m")
+		must.True(t, f.known("m"))
+		f.remove(t, "member/m")
 		time.Sleep(500 * time.Millisecond)
-		must.False(t, s.known("m"))
+		must.False(t, f.known("m"))
 	})
 }
 
-func (s *stage) born(id string) int64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.members[id].Born
+func (f *fixture) startTime(id string) int64 {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.members[id].Born
 }
 
-// A member says that it leaves, ends, and starts again under its ID before anybody has
-// seen it gone. Callers' work goes to its new life. What its earlier life had written
-// comes late, with a newer revision: it is no news, or a member that is well would be
-// left alone, and what its earlier life was taken for believed of it.
-func TestMemberStartsAgain(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
-		s.put(t, "member/m", "leaving@10")
+// A restarted member is usable again, and a delayed entry from before the restart is
+// ignored despite its newer revision.
+func TestMemberRestart(t *testing.T) {
+	runFixture(t, func(t *testing.T, f *fixture) {
+		f.put(t, "member/m", "leaving@10")
 		time.Sleep(time.Second)
-		must.False(t, s.usable("m"))
-		s.put(t, "member/m", "ready@20")
+		must.False(t, f.usable("m"))
+		f.put(t, "member/m", "ready@20")
 		time.Sleep(time.Second)
-		must.True(t, s.usable("m"))
-		must.Eq(t, 20, s.born("m"))
-		s.put(t, "member/m", "leaving@10")
+		must.True(t, f.usable("m"))
+		must.Eq(t, 20, f.startTime("m"))
+		f.put(t, "member/m", "leaving@10")
 		time.Sleep(time.Second)
-		must.True(t, s.usable("m"))
-		must.Eq(t, 20, s.born("m"))
+		must.True(t, f.usable("m"))
+		must.Eq(t, 20, f.startTime("m"))
 		time.Sleep(8 * time.Second)
-		must.True(t, s.usable("m"))
+		must.True(t, f.usable("m"))
 	})
 }
 
-// Somebody else writes under a member's key, and under one that no member has. Callers'
-// work goes to nobody by such an entry, and on to the others; the member is used again
-// when it has written its own entry.
-func TestForeignEntry(t *testing.T) {
+// An invalid entry makes its member unusable until it registers again, and does not affect
+// other members.
+func TestInvalidEntry(t *testing.T) {
 	for _, value := range []string{"nonsense", "starting@10", "ready", "ready@x"} {
 		t.Run(value, func(t *testing.T) {
-			play(t, func(t *testing.T, s *stage) {
-				s.put(t, "member/m", "ready@10")
-				s.put(t, "member/n", "ready@10")
+			runFixture(t, func(t *testing.T, f *fixture) {
+				f.put(t, "member/m", "ready@10")
+				f.put(t, "member/n", "ready@10")
 				time.Sleep(time.Second)
-				s.put(t, "member/m", value)
-				s.put(t, "member/x", "nonsense")
+				f.put(t, "member/m", value)
+				f.put(t, "member/x", "nonsense")
 				time.Sleep(time.Second)
-				must.False(t, s.usable("m"))
-				must.False(t, s.usable("x"))
-				must.True(t, s.usable("n"))
-				must.True(t, s.known("m"))
-				s.put(t, "member/m", "ready@10")
+				must.False(t, f.usable("m"))
+				must.False(t, f.usable("x"))
+				must.True(t, f.usable("n"))
+				must.True(t, f.known("m"))
+				f.put(t, "member/m", "ready@10")
 				time.Sleep(time.Second)
-				must.True(t, s.usable("m"))
+				must.True(t, f.usable("m"))
 			})
 		})
 	}
 }
 
-// The store turns this instance away, and another one tells what it has read. What is newer
-// comes into force; what is older, told later by one that has been cut off for longer,
-// changes nothing: no version goes back, and no member that has gone returns.
-func TestToldNews(t *testing.T) {
-	told := func(revision int64, version string, members ...string) watcher.News {
+// While the store is unavailable, newer state from a peer is applied and older state is
+// ignored: no version decreases and no deleted member returns.
+func TestPeerUpdates(t *testing.T) {
+	peerNews := func(revision int64, version string, members ...string) watcher.News {
 		n := watcher.News{Revision: revision, From: "peer", Heard: time.Hour, Pairs: []storer.Pair{{Key: "configuration", Value: []byte(version), Revision: revision}}}
 		for _, m := range members {
 			n.Pairs = append(n.Pairs, storer.Pair{Key: "member/" + m, Value: []byte("ready"), Revision: revision})
 		}
 		return n
 	}
-	play(t, func(t *testing.T, s *stage) {
-		s.tell(told(90, "20", "n"))
+	runFixture(t, func(t *testing.T, f *fixture) {
+		f.setPeerNews(peerNews(90, "20", "n"))
 		time.Sleep(time.Second)
-		must.Eq(t, []int64{7}, s.configured()) // the store answers: nobody is asked
-		s.away(true)
+		must.Eq(t, []int64{7}, f.configured()) // the store is available: no peer is polled
+		f.setStoreDown(true)
 		time.Sleep(4 * time.Second)
-		must.Eq(t, []int64{7, 20}, s.configured())
-		must.True(t, s.usable("n"))
-		must.False(t, s.usable("m"))
-		s.tell(told(80, "19", "m", "n"))
+		must.Eq(t, []int64{7, 20}, f.configured())
+		must.True(t, f.usable("n"))
+		must.False(t, f.usable("m"))
+		f.setPeerNews(peerNews(80, "19", "m", "n"))
 		time.Sleep(2 * time.Second)
-		must.Eq(t, []int64{7, 20}, s.configured())
-		must.False(t, s.usable("m"))
+		must.Eq(t, []int64{7, 20}, f.configured())
+		must.False(t, f.usable("m"))
 	})
 }
 
-// Others of the zone read the store for this instance. It asks the store no more, and what
-// they tell is in force as soon. When none of them says that the store answers it, this
-// instance reads for itself again within two seconds: callers must not be served by what
-// nobody reads any more.
+// An instance that follows peers makes no calls to the store, and reads it again once no
+// peer reports that it can reach the store.
 func TestFollow(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+	runFixture(t, func(t *testing.T, f *fixture) {
 		n := watcher.News{Revision: 1, From: "peer", Heard: time.Hour, Reads: true}
-		s.tell(n)
-		s.follows.Store(true)
+		f.setPeerNews(n)
+		f.follows.Store(true)
 		time.Sleep(4 * time.Second)
-		s.put(t, "configuration", "20")
-		n.Revision = s.pairs["configuration"].Revision
-		n.Pairs = []storer.Pair{s.pairs["configuration"], s.pairs["member/m"]}
-		s.tell(n)
+		f.put(t, "configuration", "20")
+		n.Revision = f.pairs["configuration"].Revision
+		n.Pairs = []storer.Pair{f.pairs["configuration"], f.pairs["member/m"]}
+		f.setPeerNews(n)
 		time.Sleep(time.Second)
-		must.Eq(t, []int64{7, 20}, s.configured())
-		calls := total(s.store.Calls())
+		must.Eq(t, []int64{7, 20}, f.configured())
+		calls := sum(f.store.Calls())
 		time.Sleep(10 * time.Second)
-		must.Eq(t, calls, total(s.store.Calls()))
+		must.Eq(t, calls, sum(f.store.Calls()))
 		n.Reads = false
-		s.tell(n)
-		s.put(t, "configuration", "31")
+		f.setPeerNews(n)
+		f.put(t, "configuration", "31")
 		time.Sleep(2500 * time.Millisecond)
-		must.Eq(t, []int64{7, 20, 31}, s.configured())
+		must.Eq(t, []int64{7, 20, 31}, f.configured())
 	})
 }
 
-func total(calls map[string]int) int {
+func sum(calls map[string]int) int {
 	n := 0
 	for _, c := range calls {
 		n += c
@@ -340,54 +334,51 @@
 	return n
 }
 
-// The store is down for ten seconds. Instances that others of the region read it for leave
-// it to those to find out when it answers again, and then do as those say: hundreds that
-// ask twice a second use up the store's rate when it returns.
-func TestFollowersSpareTheStore(t *testing.T) {
-	asked := func(t *testing.T, follows bool) (n int) {
-		play(t, func(t *testing.T, s *stage) {
-			s.follows.Store(follows)
-			s.tell(watcher.News{Revision: 2, From: "peer"})
-			s.store.SetFaults(func(f *storer.Faults) { f.Down = true })
+// Followers retry an unavailable store at a reduced rate, to keep within its rate limit when
+// it is available again.
+func TestFollowersReduceRetries(t *testing.T) {
+	listCalls := func(t *testing.T, follows bool) (n int) {
+		runFixture(t, func(t *testing.T, f *fixture) {
+			f.follows.Store(follows)
+			f.setPeerNews(watcher.News{Revision: 2, From: "peer"})
+			f.store.SetFaults(func(x *storer.Faults) { x.Down = true })
 			time.Sleep(3 * time.Second)
-			before := s.store.Calls()["list"]
+			before := f.store.Calls()["list"]
 			time.Sleep(10 * time.Second)
-			n = s.store.Calls()["list"] - before
-			s.store.SetFaults(func(f *storer.Faults) { f.Down = false })
-			s.put(t, "configuration", "9")
+			n = f.store.Calls()["list"] - before
+			f.store.SetFaults(func(x *storer.Faults) { x.Down = false })
+			f.put(t, "configuration", "9")
 			time.Sleep(2 * time.Second)
-			versions := s.configured()
+			versions := f.configured()
 			must.Eq(t, int64(9), versions[len(versions)-1])
 		})
 		return n
 	}
-	must.Greater(t, 20, asked(t, false))
-	must.LessEq(t, 14, asked(t, true))
+	must.Greater(t, 20, listCalls(t, false))
+	must.LessEq(t, 14, listCalls(t, true))
 }
 
-// An instance is told by another only what has changed since it last heard: keys that come,
-// change, end and come again, more ends than are remembered, and pauses in which it hears
-// nothing. It must hold just what the other holds. A member that has ended and is still held
-// would be sent work for good.
-func TestChangesAddUp(t *testing.T) {
+// A follower that receives partial updates must converge to the state of its peer, through
+// deletions, recreations, lost updates and more deletions than are retained.
+func TestPartialUpdatesConverge(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			play(t, func(t *testing.T, s *stage) {
-				var deaf atomic.Bool
+			runFixture(t, func(t *testing.T, f *fixture) {
+				var disconnected atomic.Bool
 				partial := 0
 				ctx, cancel := context.WithCancel(t.Context())
-				away := storer.NewMemory()
-				away.SetFaults(func(f *storer.Faults) { f.Down = true })
+				unavailable := storer.NewMemory()
+				unavailable.SetFaults(func(x *storer.Faults) { x.Down = true })
 				follower := &watcher.Watcher{
-					Source: away, InForce: s.watcher.InForce, Clock: s.watcher.Clock,
+					Source: unavailable, InForce: f.watcher.InForce, Clock: f.watcher.Clock,
 					ConfigurationKey: "configuration", MemberPrefix: "member/", DutyPrefix: "duty/", InstancePrefix: "instance/",
-					DecodeConfiguration: s.watcher.DecodeConfiguration, DecodeMember: decodeMember,
+					DecodeConfiguration: f.watcher.DecodeConfiguration, DecodeMember: decodeMember,
 					Configured: func(*tracker.Configuration) {}, Members: func([]tracker.Member) {}, Duty: func(storer.Pair) {}, Log: func(...any) {},
 					Hear: func(_ context.Context, revision int64) (watcher.News, error) {
-						if deaf.Load() {
-							return watcher.News{}, errors.New("cut off")
+						if disconnected.Load() {
+							return watcher.News{}, errors.New("disconnected")
 						}
-						k := s.watcher.Known()
+						k := f.watcher.Known()
 						n := watcher.News{Revision: k.Revision, Heard: k.Heard, Reads: true, From: "peer"}
 						n.Pairs, n.Partial = k.Since(revision)
 						if n.Partial && len(n.Pairs) > 0 {
@@ -400,33 +391,33 @@
 				go func() { ended <- follower.Run(ctx) }()
 				r := rand.New(rand.NewPCG(seed, seed))
 				for range 40 {
-					deaf.Store(r.IntN(3) > 0)
+					disconnected.Store(r.IntN(3) > 0)
 					for range r.IntN(60) {
 						key := fmt.Sprint("member/x", r.IntN(12))
-						if s.pairs[key].Revision != 0 && r.IntN(2) == 0 {
-							s.remove(t, key)
+						if f.pairs[key].Revision != 0 && r.IntN(2) == 0 {
+							f.remove(t, key)
 						} else {
-							s.put(t, key, "ready")
+							f.put(t, key, "ready")
 						}
 					}
 					time.Sleep(time.Second)
 				}
-				mustAgree := func() {
+				mustConverge := func() {
 					t.Helper()
-					deaf.Store(false)
+					disconnected.Store(false)
 					time.Sleep(2 * time.Second)
-					must.Eq(t, s.watcher.Known().Pairs, follower.Known().Pairs)
+					must.Eq(t, f.watcher.Known().Pairs, follower.Known().Pairs)
 				}
-				s.put(t, "member/first", "ready")
-				mustAgree()
-				deaf.Store(true)
-				s.remove(t, "member/first")
+				f.put(t, "member/first", "ready")
+				mustConverge()
+				disconnected.Store(true)
+				f.remove(t, "member/first")
 				for range 300 {
-					s.put(t, "member/other", "ready")
-					s.remove(t, "member/other")
+					f.put(t, "member/other", "ready")
+					f.remove(t, "member/other")
 				}
 				time.Sleep(time.Second)
-				mustAgree()
+				mustConverge()
 				must.Greater(t, 5, partial)
 				cancel()
 				<-ended
@@ -435,14 +426,13 @@
 	}
 }
 
-// What is told since a revision is only what has changed; to one that has missed ends which
-// are no longer remembered, everything.
+// Since returns only changes, or the whole state if deletions are no longer retained.
 func TestSince(t *testing.T) {
 	n := &watcher.News{
 		Revision: 9, Pairs: []storer.Pair{{Key: "a", Revision: 3}, {Key: "b", Revision: 8}},
 		Gone: []watcher.Gone{{Key: "b", Revision: 6}, {Key: "c", Revision: 7}}, GoneSince: 5,
 	}
-	mustTell := func(revision int64, partial bool, keys ...string) {
+	mustReturn := func(revision int64, partial bool, keys ...string) {
 		t.Helper()
 		pairs, p := n.Since(revision)
 		var got []string
@@ -452,9 +442,9 @@
 		must.Eq(t, partial, p)
 		must.Eq(t, keys, got)
 	}
-	mustTell(0, false, "a3", "b8")
-	mustTell(4, false, "a3", "b8")
-	mustTell(5, true, "b8", "c0")
-	mustTell(7, true, "b8")
-	mustTell(9, true)
+	mustReturn(0, false, "a3", "b8")
+	mustReturn(4, false, "a3", "b8")
+	mustReturn(5, true, "b8", "c0")
+	mustReturn(7, true, "b8")
+	mustReturn(9, true)
 }
