--- a/internal/teller/serve.go
+++ b/internal/teller/serve.go
@@ -8,23 +8,23 @@
 	"storj.io/drpc/drpcmux"
 )
 
-// serving is one connection of a peer.
-type serving struct {
+// peerServer serves one connection of a peer.
+type peerServer struct {
 	wire.DRPCNeighboursUnimplementedServer
 	session *linker.Session
 	teller  *Teller
 }
 
-// Register gives a connection of linker.Server the services of this package.
+// Register registers the services of this package for a connection of linker.Server.
 func (t *Teller) Register(m *drpcmux.Mux, s *linker.Session) error {
 	if err := wire.DRPCRegisterPeers(m, &linker.Handshake{Session: s}); err != nil {
 		return err
 	}
-	return wire.DRPCRegisterNeighbours(m, &serving{session: s, teller: t})
+	return wire.DRPCRegisterNeighbours(m, &peerServer{session: s, teller: t})
 }
 
 // Lend implements wire.DRPCNeighboursServer.
-func (s *serving) Lend(stream wire.DRPCNeighbours_LendStream) error {
+func (s *peerServer) Lend(stream wire.DRPCNeighbours_LendStream) error {
 	if err := s.session.Ready(); err != nil {
 		return err
 	}
@@ -35,7 +35,7 @@
 }
 
 // Account implements wire.DRPCNeighboursServer.
-func (s *serving) Account(ctx context.Context, r *wire.AccountRequest) (*wire.AccountReply, error) {
+func (s *peerServer) Account(ctx context.Context, r *wire.AccountRequest) (*wire.AccountReply, error) {
 	if err := s.session.Ready(); err != nil {
 		return nil, err
 	}
@@ -46,7 +46,7 @@
 }
 
 // Tell implements wire.DRPCNeighboursServer.
-func (s *serving) Tell(_ context.Context, r *wire.TellRequest) (*wire.TellReply, error) {
+func (s *peerServer) Tell(_ context.Context, r *wire.TellRequest) (*wire.TellReply, error) {
 	if err := s.session.Ready(); err != nil {
 		return nil, err
 	}
--- a/internal/teller/teller.go
+++ b/internal/teller/teller.go
@@ -1,7 +1,6 @@
-// Package teller passes on between instances what the platform's store has told them, whom
-// they know, and what primaries have proved to them. What the store has told comes second
-// hand: the watcher takes it in under the store's own order, and it is never a proof for a
-// read.
+// Package teller exchanges state between instances: the state of the platform's store, the
+// known peers and the freshness proofs of primaries. The watcher orders received store
+// state by its revision; that state is never used as proof of a read's freshness.
 package teller
 
 import (
@@ -24,132 +23,129 @@
 )
 
 const (
-	// callTimeout bounds a question: two round trips between regions for the handshake
-	// and one for the answer are 50 ms, and a busy machine takes as long again.
+	// callTimeout bounds a request to a peer, including the handshake between regions.
 	callTimeout = 400 * time.Millisecond
-	// readersKept is how many instances of a region read the store for the others, where
-	// there are more than readersFrom. One may be cut off or die; when both are lost, the
-	// others read for themselves until the next two in the order have shown up.
-	readersKept, readersFrom = 2, 4
-	// askedAtOnce is how many peers are asked for news at a time. The nearest may be
-	// turned away by the store as well.
-	askedAtOnce = 3
-	// meetInterval is how often it is looked whom to ask, and askInterval how often a peer
-	// that answers is asked. One that has started again is found within both, and asks for
-	// the news itself then; a process that ends closes its connections, and is found
-	// within the first. Questions are most of what an idle instance does.
-	meetInterval = 250 * time.Millisecond
-	askInterval  = time.Second
-	// deadAfter is for how long a peer must not have answered until it is asked only each
-	// deadInterval: machines are replaced, and the old ones never come back.
-	deadAfter    = 5 * time.Second
-	deadInterval = 2 * time.Second
-	// greetedAtOnce is how many of those that this instance has only heard of it greets
-	// at a time, and greetFor for how long after its start. After all have lost power,
-	// each of 8 is greeted by 7, and of 83 by some.
-	greetedAtOnce = 4
-	greetFor      = 2 * time.Second
-	// registerPause is the pause between two tries to write the own record.
-	registerPause = time.Second
-	// InstancePrefix is where instances' records lie in the store.
+	// readersPerRegion is how many instances of a region watch the store for the others, if
+	// there are more than maxIndependentReaders. If all of them fail, the others watch the store
+	// themselves until new ones are selected.
+	readersPerRegion, maxIndependentReaders = 2, 4
+	// stateRequestFanout is how many peers are asked for the store state concurrently, since
+	// the nearest one may have lost the store as well.
+	stateRequestFanout = 3
+	// contactCheckInterval is the time between two checks for peers due to be contacted, and
+	// contactInterval the time between two requests to a responsive peer.
+	contactCheckInterval = 250 * time.Millisecond
+	contactInterval      = time.Second
+	// unresponsiveAfter is how long a peer must fail to answer before it is contacted only
+	// every unresponsiveInterval.
+	unresponsiveAfter    = 5 * time.Second
+	unresponsiveInterval = 2 * time.Second
+	// introductionFanout is how many not yet contacted peers an instance contacts at a time
+	// during introductionPeriod after its start.
+	introductionFanout = 4
+	introductionPeriod = 2 * time.Second
+	// registerRetryDelay is the minimum time between two attempts to write the record of this
+	// instance.
+	registerRetryDelay = time.Second
+	// InstancePrefix is the key prefix of instance records in the store.
 	InstancePrefix = "oriolegw/instance/"
 )
 
-// errNobody means that no peer could be asked or none had news.
-var errNobody = errors.New("no peer has news")
+// errNoPeerState means that no peer returned the state of the store.
+var errNoPeerState = errors.New("no peer returned the state of the store")
 
-// GroupProof is a proof of a group's primary.
+// GroupProof is a freshness proof of a group.
 type GroupProof struct {
 	Group string
 	tracker.Proof
 }
 
-// Teller asks peers and answers them. Set the exported fields, then call Run.
+// Teller sends requests to peers and answers theirs. Set the exported fields, then call Run.
 type Teller struct {
 	Introducer *introducer.Introducer
 	Links      *linker.Client
 	Clock      func() tracker.Stamp
-	// Known returns what this instance has read in the store, nil when nothing yet.
+	// Known returns the known state of the store, nil before the first read.
 	Known func() *watcher.News
-	// Reads reports that this instance reads the store itself, and that it answers.
+	// Reads reports whether this instance watches the store itself and the store is available.
 	Reads func() bool
-	// Proofs, when set, returns what primaries have proved to this instance a short time
-	// ago; Prove takes in what they have proved to one that reads the store for it.
+	// Proofs, if set, returns the recent proofs that this instance obtained from primaries.
+	// Prove is called with the proofs received from a peer.
 	Proofs func() []GroupProof
 	Prove  func(GroupProof)
-	// Lend, when set, serves a peer that borrows connections.
+	// Lend, if set, serves a peer that borrows connections.
 	Lend func(stream wire.DRPCNeighbours_LendStream) error
-	// Account, when set, answers a peer that reports what it has run.
+	// Account, if set, handles a usage report of a peer.
 	Account func(r *wire.AccountRequest) *wire.AccountReply
 	// Store is where instances register.
 	Store storer.Store
-	// Log is called with the fields of a line.
+	// Log writes a log line of key-value pairs.
 	Log func(fields ...any)
 
-	// asked is when peers were last asked; only Run uses it.
-	asked map[string]tracker.Stamp
-	// heard counts the calls of Hear, which come one at a time.
-	heard int
+	// contacted is the time of the last request by peer name. It is accessed only by Run.
+	contacted map[string]tracker.Stamp
+	// readerRequests counts the calls of Hear, which are not concurrent.
+	readerRequests int
 
 	mutex sync.Mutex
-	// own is this instance's record in the store.
-	own storer.Pair
-	// tried is when it was last written.
-	tried tracker.Stamp
+	// ownRecord is the record of this instance in the store.
+	ownRecord storer.Pair
+	// registerTriedAt is when the record was last written.
+	registerTriedAt tracker.Stamp
 }
 
-// Run keeps the peers known until the context ends.
+// Run registers this instance and contacts its peers until the context ends.
 func (t *Teller) Run(ctx context.Context) error {
 	started := t.Clock()
-	t.asked = map[string]tracker.Stamp{}
-	var asking sync.WaitGroup
-	defer asking.Wait()
+	t.contacted = map[string]tracker.Stamp{}
+	var requests sync.WaitGroup
+	defer requests.Wait()
 	for {
-		if err := pauser.Pause(ctx, meetInterval/2+rand.N(meetInterval)); err != nil {
+		if err := pauser.Pause(ctx, contactCheckInterval/2+rand.N(contactCheckInterval)); err != nil {
 			return err
 		}
 		t.register(ctx)
-		for _, p := range t.due(t.Clock()-started < greetFor) {
-			asking.Go(func() { _, _ = t.ask(ctx, p.Address, &wire.TellRequest{PeersOnly: true}) })
+		for _, p := range t.duePeers(t.Clock()-started < introductionPeriod) {
+			requests.Go(func() { _, _ = t.request(ctx, p.Address, &wire.TellRequest{PeersOnly: true}) })
 		}
 	}
 }
 
-// due returns whom to ask now. A peer that doesn't answer is asked each time, one that
-// does, or has not for long, once in a while.
-func (t *Teller) due(fresh bool) []introducer.Peer {
+// duePeers returns the peers to contact now. A peer that has just failed is contacted at
+// every check; responsive and long unresponsive ones less often.
+func (t *Teller) duePeers(starting bool) []introducer.Peer {
 	now := t.Clock()
 	list := t.Introducer.Guarded()
-	if fresh {
-		list = append(list, t.Introducer.Unmet(now, greetedAtOnce)...)
+	if starting {
+		list = append(list, t.Introducer.Unmet(now, introductionFanout)...)
 	}
-	var due []introducer.Peer
+	var duePeers []introducer.Peer
 	for _, p := range list {
-		pause := askInterval
-		if failing, since := t.Introducer.Failing(p.Name); failing && now-since > deadAfter {
-			pause = deadInterval
+		pause := contactInterval
+		if failing, since := t.Introducer.Failing(p.Name); failing && now-since > unresponsiveAfter {
+			pause = unresponsiveInterval
 		} else if failing || !t.Links.Connected(p.Address) {
-			pause = meetInterval
+			pause = contactCheckInterval
 		}
-		if at, asked := t.asked[p.Name]; !asked || now-at >= pause {
-			due = append(due, p)
-			t.asked[p.Name] = now
+		if at, contacted := t.contacted[p.Name]; !contacted || now-at >= pause {
+			duePeers = append(duePeers, p)
+			t.contacted[p.Name] = now
 		}
 	}
-	return due
+	return duePeers
 }
 
-// Hear asks peers for what they have read in the store beyond a revision, and returns the
-// newest answer. It implements watcher.Watcher's Hear; calls come one at a time.
+// Hear requests the store state after a revision from peers and returns the newest answer.
+// It implements watcher.Watcher.Hear and must not be called concurrently.
 func (t *Teller) Hear(ctx context.Context, revision int64) (watcher.News, error) {
-	if readers := t.readers(); !slices.Contains(readers, "") {
-		return t.hearReader(ctx, readers, revision)
+	if readerAddresses := t.readerAddresses(); !slices.Contains(readerAddresses, "") {
+		return t.requestFromReader(ctx, readerAddresses, revision)
 	}
-	list := t.Introducer.Addresses(t.Clock(), askedAtOnce)
+	list := t.Introducer.Addresses(t.Clock(), stateRequestFanout)
 	answers := make(chan watcher.News, len(list))
 	for _, address := range list {
 		go func() {
-			n, err := t.ask(ctx, address, &wire.TellRequest{Revision: revision})
+			n, err := t.request(ctx, address, &wire.TellRequest{Revision: revision})
 			if err != nil {
 				n = watcher.News{}
 			}
@@ -166,56 +162,53 @@
 		best.Reads = reads
 	}
 	if best.Revision == 0 {
-		return best, errNobody
+		return best, errNoPeerState
 	}
 	return best, nil
 }
 
-// hearReader asks those that read the store for this instance by turns, and the next one
-// when one doesn't answer.
-func (t *Teller) hearReader(ctx context.Context, readers []string, revision int64) (watcher.News, error) {
-	t.heard++
+// requestFromReader requests the store state from the readers in round-robin order, and
+// tries the next one if a reader fails.
+func (t *Teller) requestFromReader(ctx context.Context, readers []string, revision int64) (watcher.News, error) {
+	t.readerRequests++
 	for i := range readers {
-		n, err := t.ask(ctx, readers[(t.heard+i)%len(readers)], &wire.TellRequest{Revision: revision, Proofs: true, Changes: true})
+		n, err := t.request(ctx, readers[(t.readerRequests+i)%len(readers)], &wire.TellRequest{Revision: revision, Proofs: true, Changes: true})
 		if err == nil && n.Revision != 0 {
 			return n, nil
 		}
 	}
-	return watcher.News{}, errNobody
+	return watcher.News{}, errNoPeerState
 }
 
-// readers are the addresses of those that read the store for this instance's region, ""
-// standing for itself; they include it where all read for themselves. Those that don't
-// answer are left out, so a zone that is cut off finds readers of its own.
-//
-// A watch is woken by all that changes: with 18 instances in 6 zones that each read for
-// themselves, 517 of 596 calls in 58 s were watches and readings.
-func (t *Teller) readers() []string {
+// readerAddresses returns the addresses of the instances that watch the store for this
+// region, "" standing for this instance. It omits unresponsive peers, so that a partitioned
+// zone selects its own readers.
+func (t *Teller) readerAddresses() []string {
 	list := t.Introducer.Region(t.Clock())
-	if len(list) <= readersFrom {
+	if len(list) <= maxIndependentReaders {
 		return []string{""}
 	}
-	var at []string
-	for _, p := range ranker.Rank(InstancePrefix, list, peerName)[:readersKept] {
+	var addresses []string
+	for _, p := range ranker.Rank(InstancePrefix, list, peerName)[:readersPerRegion] {
 		if p.Name == t.Introducer.Self.Name {
 			p.Address = ""
 		}
-		at = append(at, p.Address)
+		addresses = append(addresses, p.Address)
 	}
-	return at
+	return addresses
 }
 
 func peerName(p introducer.Peer) string { return p.Name }
 
 // Follows reports whether others read the store for this instance. It implements
 // watcher.Watcher's Follows.
-func (t *Teller) Follows() bool { return !slices.Contains(t.readers(), "") }
+func (t *Teller) Follows() bool { return !slices.Contains(t.readerAddresses(), "") }
 
-// ask asks one peer, and takes in whom it knows.
-func (t *Teller) ask(ctx context.Context, address string, r *wire.TellRequest) (watcher.News, error) {
+// request sends a request to a peer and records the peers and proofs of its reply.
+func (t *Teller) request(ctx context.Context, address string, r *wire.TellRequest) (watcher.News, error) {
 	r.Sender = toPeer(t.Introducer.Self)
 	var a *wire.TellReply
-	asked := t.Clock()
+	requestedAt := t.Clock()
 	err := t.Links.Call(ctx, callTimeout, address, func(ctx context.Context, l *linker.Link) (err error) {
 		a, err = wire.NewDRPCNeighboursClient(l.Conn()).Tell(ctx, r)
 		return err
@@ -228,26 +221,26 @@
 		return watcher.News{}, err
 	}
 	now := t.Clock()
-	teller := fromPeer(a.Teller)
-	t.Introducer.Met(now, teller)
+	responder := fromPeer(a.Teller)
+	t.Introducer.Met(now, responder)
 	for _, p := range a.Peers {
 		t.Introducer.HeardOf(now, fromPeer(p))
 	}
-	// Ages count from before the question: what is told is taken for older than it is, never
-	// for younger, however long the answer took.
+	// Ages are relative to the time before the request, so that delays can only make the
+	// received state appear older.
 	for _, p := range a.Proofs {
 		t.Prove(GroupProof{Group: p.Group, Proof: tracker.Proof{
-			At: asked - time.Duration(p.AgeUs)*time.Microsecond, Position: orderer.Position{Term: p.Term, Offset: p.Offset},
+			At: requestedAt - time.Duration(p.AgeUs)*time.Microsecond, Position: orderer.Position{Term: p.Term, Offset: p.Offset},
 		}})
 	}
-	n := watcher.News{Revision: a.Revision, Partial: a.Partial, From: teller.Name, Reads: a.Reads, Heard: asked - time.Duration(a.AgeMs)*time.Millisecond}
+	n := watcher.News{Revision: a.Revision, Partial: a.Partial, From: responder.Name, Reads: a.Reads, Heard: requestedAt - time.Duration(a.AgeMs)*time.Millisecond}
 	for _, x := range a.Items {
 		n.Pairs = append(n.Pairs, storer.Pair{Key: x.Key, Value: x.Value, Revision: x.Revision})
 	}
 	return n, nil
 }
 
-// Answer answers a peer that asks.
+// Answer handles a request of a peer.
 func (t *Teller) Answer(r *wire.TellRequest) *wire.TellReply {
 	now := t.Clock()
 	t.Introducer.Met(now, fromPeer(r.Sender))
@@ -258,7 +251,7 @@
 		}
 	}
 	if r.Proofs && t.Proofs != nil {
-		a.Proofs = t.proofs()
+		a.Proofs = t.encodeProofs()
 	}
 	k := t.Known()
 	if k == nil || r.PeersOnly {
@@ -279,9 +272,9 @@
 	return a
 }
 
-// proofs returns the proofs that a peer is told. Their age is rounded up: taken for younger
-// than it is, a proof would let a read miss commits that were acknowledged just before it.
-func (t *Teller) proofs() []*wire.GroupProof {
+// encodeProofs returns the recent proofs for a reply. Ages are rounded up: a proof taken for
+// newer than it is would let a read miss acknowledged commits.
+func (t *Teller) encodeProofs() []*wire.GroupProof {
 	known := t.Proofs()
 	now := t.Clock()
 	list := make([]*wire.GroupProof, 0, len(known))
--- a/internal/teller/teller_test.go
+++ b/internal/teller/teller_test.go
@@ -28,39 +28,38 @@
 	}
 }
 
-func news(revision int64) *watcher.News {
+func storeState(revision int64) *watcher.News {
 	return &watcher.News{Revision: revision, Heard: time.Hour - time.Second, Pairs: []storer.Pair{{Key: "k", Value: []byte("v"), Revision: 3}}}
 }
 
-// A peer that has read as far is told so, without the rest; one that asks for names only
-// gets those; and an instance that knows nothing says nothing of the store.
+// The reply holds store items only for an outdated peer, and only peers if requested or if
+// the store state is unknown.
 func TestAnswer(t *testing.T) {
-	x := newTeller("x", news(9))
-	asker := &wire.Peer{Name: "y", Address: "y:1", Zone: "a"}
-	a := x.Answer(&wire.TellRequest{Sender: asker, Revision: 8})
+	x := newTeller("x", storeState(9))
+	sender := &wire.Peer{Name: "y", Address: "y:1", Zone: "a"}
+	a := x.Answer(&wire.TellRequest{Sender: sender, Revision: 8})
 	must.Eq(t, 9, a.Revision)
 	must.Eq(t, 1000, a.AgeMs)
 	must.Len(t, 1, a.Items)
-	must.SliceEmpty(t, x.Answer(&wire.TellRequest{Sender: asker, Revision: 9}).Items)
-	named := x.Answer(&wire.TellRequest{Sender: &wire.Peer{Name: "z", Address: "z:1"}, PeersOnly: true})
-	must.Eq(t, 0, named.Revision)
-	must.Eq(t, 2, len(named.Peers))
+	must.SliceEmpty(t, x.Answer(&wire.TellRequest{Sender: sender, Revision: 9}).Items)
+	peersOnly := x.Answer(&wire.TellRequest{Sender: &wire.Peer{Name: "z", Address: "z:1"}, PeersOnly: true})
+	must.Eq(t, 0, peersOnly.Revision)
+	must.Eq(t, 2, len(peersOnly.Peers))
 	must.Eq(t, 0, newTeller("w", nil).Answer(&wire.TellRequest{}).Revision)
 }
 
-// Two peers are asked, one of them cut off from the store for longer: the newer reading
-// counts, its age on the asker's clock, and whom they know is known from then on. One that
-// does not answer costs its own time only.
+// Hear returns the newest state of several peers, with its age on the local clock, adds the
+// peers they know, and tolerates a peer that does not answer.
 func TestHear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := wirer.New(1)
 		ctx, cancel := context.WithCancel(context.Background())
-		begin := time.Now()
-		clock := func() tracker.Stamp { return time.Since(begin) + time.Hour }
+		start := time.Now()
+		clock := func() tracker.Stamp { return time.Since(start) + time.Hour }
 		key := []linker.Secret{{Number: 1, Value: []byte("key")}}
 		ended := make(chan error, 2)
 		for ip, revision := range map[string]int64{"10.0.0.1": 7, "10.0.0.2": 9} {
-			x := newTeller("n"+ip, news(revision))
+			x := newTeller("n"+ip, storeState(revision))
 			s := &linker.Server{
 				Address: ip + ":1", Network: n.Host(ip, "a"), Secrets: key, Versions: linker.CurrentVersions,
 				Log: log.NewNopLogger(), Count: func(string) {}, Register: x.Register,
@@ -71,16 +70,16 @@
 		y := newTeller("y", nil)
 		y.Clock, y.Links = clock, &linker.Client{Network: n.Host("10.0.0.9", "a"), Secrets: key, Versions: linker.CurrentVersions}
 		y.Introducer.Seeds = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
-		heard, err := y.Hear(ctx, 0)
+		received, err := y.Hear(ctx, 0)
 		must.NoError(t, err)
-		must.Eq(t, 9, heard.Revision)
-		must.Eq(t, "n10.0.0.2", heard.From)
-		must.LessEq(t, clock()-time.Second, heard.Heard)
+		must.Eq(t, 9, received.Revision)
+		must.Eq(t, "n10.0.0.2", received.From)
+		must.LessEq(t, clock()-time.Second, received.Heard)
 		must.Eq(t, 2, len(y.Introducer.Peers(clock())))
 		n.Cut("10.0.0.9", "10.0.0.2")
-		heard, err = y.Hear(ctx, 0)
+		received, err = y.Hear(ctx, 0)
 		must.NoError(t, err)
-		must.Eq(t, 7, heard.Revision)
+		must.Eq(t, 7, received.Revision)
 		y.Links.Close()
 		cancel()
 		<-ended
@@ -88,7 +87,7 @@
 	})
 }
 
-// FuzzTell feeds an instance with whatever another may send as a question.
+// FuzzTell guards against malformed requests of peers.
 func FuzzTell(f *testing.F) {
 	good, err := proto.Marshal(&wire.TellRequest{Sender: &wire.Peer{Name: "y", Address: "y:1", Zone: "b"}, Revision: 4})
 	must.NoError(f, err)
@@ -99,14 +98,14 @@
 		if proto.Unmarshal(data, &r) != nil {
 			return
 		}
-		x := newTeller("x", news(9))
+		x := newTeller("x", storeState(9))
 		a := x.Answer(&r)
 		must.True(t, a.Revision == 0 || a.Revision == 9)
 		must.LessEq(t, 1, len(x.Introducer.Peers(time.Hour)))
 	})
 }
 
-// The own record is written once, and again only when another has written over it.
+// Valid instance records add peers; invalid ones are ignored.
 func TestRecords(t *testing.T) {
 	x := newTeller("x", nil)
 	x.Saw(storer.Pair{Key: teller.InstancePrefix + "y", Value: []byte(`{"address": "y:1", "availability-zone": "a"}`), Revision: 1})
@@ -115,8 +114,8 @@
 	must.Eq(t, []introducer.Peer{{Name: "y", Address: "y:1", Zone: "a"}}, x.Introducer.Peers(time.Hour))
 }
 
-// fleet returns a teller for each of some instances in zones a to f, of which two each are
-// one region; all know each other.
+// fleet returns a teller for each instance in the zones a to f, which form three regions of
+// two zones. All instances know each other.
 func fleet(perZone int) map[string]*teller.Teller {
 	var peers []introducer.Peer
 	for _, zone := range "abcdef" {
@@ -137,7 +136,7 @@
 	return all
 }
 
-// readers counts by region who reads the store itself.
+// readers counts the instances that watch the store, by region.
 func readers(all map[string]*teller.Teller) map[byte]int {
 	n := map[byte]int{}
 	for name, x := range all {
@@ -148,9 +147,8 @@
 	return n
 }
 
-// However many instances there are, two of each region read the store, and all agree on
-// which; where there are few, each reads for itself. A zone that hears nothing of the
-// other one any more has readers of its own.
+// All instances must agree on two readers in each region regardless of the fleet size. In
+// small fleets each instance is a reader, and a partitioned zone selects its own.
 func TestReaders(t *testing.T) {
 	t.Run("few", func(t *testing.T) {
 		must.Eq(t, map[byte]int{0: 4, 1: 4, 2: 4}, readers(fleet(2)))
@@ -160,7 +158,7 @@
 			must.Eq(t, map[byte]int{0: 2, 1: 2, 2: 2}, readers(fleet(perZone)))
 		})
 	}
-	t.Run("a zone is cut off", func(t *testing.T) {
+	t.Run("partitioned zone", func(t *testing.T) {
 		all := fleet(13)
 		for name, x := range all {
 			for other := range all {
@@ -180,16 +178,14 @@
 	})
 }
 
-// An instance has a proof of a group's primary and tells it to one whose clock starts
-// elsewhere. The answer takes long, or the teller is paused while it answers. Taken for
-// younger than it is, by whatever little, the proof would let a read miss a commit that
-// was acknowledged in between.
-func TestToldProofsAreNoYounger(t *testing.T) {
+// A proof received from a peer must never appear newer than it is, despite clock offsets and
+// delays, or reads could miss acknowledged commits.
+func TestReceivedProofsAreNotNewer(t *testing.T) {
 	cases := map[string]struct{ latency, pause, offset time.Duration }{
-		"at once":              {0, 0, 0},
-		"parts of a unit":      {0, 0, 300 * time.Nanosecond},
-		"a slow network":       {20 * time.Millisecond, 0, 7 * time.Microsecond},
-		"a teller that pauses": {time.Millisecond, 250 * time.Millisecond, 0},
+		"no delay":         {0, 0, 0},
+		"sub-unit offset":  {0, 0, 300 * time.Nanosecond},
+		"slow network":     {20 * time.Millisecond, 0, 7 * time.Microsecond},
+		"paused responder": {time.Millisecond, 250 * time.Millisecond, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -197,20 +193,20 @@
 				n := wirer.New(1)
 				n.Latency = func(_, _ *wirer.Host) time.Duration { return c.latency }
 				ctx, cancel := context.WithCancel(context.Background())
-				begin := time.Now()
+				start := time.Now()
 				key := []linker.Secret{{Number: 1, Value: []byte("key")}}
-				proved := begin.Add(c.offset)
+				provenAt := start.Add(c.offset)
 				time.Sleep(time.Second)
 				y := newTeller("y", nil)
 				ended := make(chan error, 4)
 				for i := range 4 {
 					ip := fmt.Sprintf("10.0.0.%d", i+1)
 					y.Introducer.HeardOf(9*time.Hour, introducer.Peer{Name: ip, Address: ip + ":1", Zone: "a"})
-					x := newTeller(ip, news(7))
-					x.Clock = func() tracker.Stamp { return time.Since(begin) + time.Hour }
+					x := newTeller(ip, storeState(7))
+					x.Clock = func() tracker.Stamp { return time.Since(start) + time.Hour }
 					x.Proofs = func() []teller.GroupProof {
 						defer time.Sleep(c.pause)
-						return []teller.GroupProof{{Group: "g", Proof: tracker.Proof{At: proved.Sub(begin) + time.Hour, Position: orderer.Position{Term: 2, Offset: 9}}}}
+						return []teller.GroupProof{{Group: "g", Proof: tracker.Proof{At: provenAt.Sub(start) + time.Hour, Position: orderer.Position{Term: 2, Offset: 9}}}}
 					}
 					s := &linker.Server{
 						Address: ip + ":1", Network: n.Host(ip, "a"), Secrets: key, Versions: linker.CurrentVersions,
@@ -218,20 +214,20 @@
 					}
 					go func() { ended <- s.Run(ctx) }()
 				}
-				y.Clock = func() tracker.Stamp { return time.Since(begin) + 9*time.Hour }
+				y.Clock = func() tracker.Stamp { return time.Since(start) + 9*time.Hour }
 				y.Links = &linker.Client{Network: n.Host("10.0.0.9", "a"), Secrets: key, Versions: linker.CurrentVersions}
-				var heard []teller.GroupProof
-				y.Prove = func(p teller.GroupProof) { heard = append(heard, p) }
+				var received []teller.GroupProof
+				y.Prove = func(p teller.GroupProof) { received = append(received, p) }
 				synctest.Wait()
 				must.True(t, y.Follows())
 				for range 4 {
 					_, _ = y.Hear(ctx, 7)
 				}
-				must.SliceNotEmpty(t, heard)
-				for _, h := range heard {
-					at := begin.Add(h.At - 9*time.Hour)
-					must.False(t, at.After(proved), must.Sprint(at.Sub(proved)))
-					must.LessEq(t, time.Second, proved.Sub(at))
+				must.SliceNotEmpty(t, received)
+				for _, h := range received {
+					at := start.Add(h.At - 9*time.Hour)
+					must.False(t, at.After(provenAt), must.Sprint(at.Sub(provenAt)))
+					must.LessEq(t, time.Second, provenAt.Sub(at))
 					must.Eq(t, orderer.Position{Term: 2, Offset: 9}, h.Position)
 				}
 				y.Links.Close()
