--- a/internal/introducer/introducer.go
+++ b/internal/introducer/introducer.go
@@ -1,9 +1,5 @@
-// Package introducer keeps which other instances there are, and decides whom to ask. It has
-// no clock and no network: it is told who answered, and when.
-//
-// Load pattern: none of its own; instances come and go one at a time, or all start
-// together with nothing. One that starts again while the store turns it away knows nobody;
-// unless others go on asking it, it stays alone beside neighbours that know everything.
+// Package introducer keeps the list of peer instances and selects the ones to contact. It
+// does no I/O and reads no clock; callers pass observations and timestamps.
 package introducer
 
 import (
@@ -18,27 +14,25 @@
 )
 
 const (
-	// failuresHidden is how many failed calls in a row hide a peer: one may be the cut of
-	// a connection that had gone silent.
-	failuresHidden = 2
-	// hiddenFor is for how long. An instance that was killed is back within seconds.
-	hiddenFor = 5 * time.Second
-	// forgottenAfter is for how long nothing must have been heard of a peer until it is
-	// forgotten: 60 of the usual intervals between two questions to a zone's peers.
-	forgottenAfter = 2 * time.Minute
-	// nearKept and otherKept bound how many peers are remembered of each zone of the own
-	// region, and of each other zone: at 1,800 instances in 11 zones a zone has 164. All of
-	// the region are needed to agree with them on who reads the store; with Wide, nearKept
-	// holds for all zones.
-	nearKept, otherKept = 256, 8
-	// toldAtOnce is how many peers an answer names: 40 bytes each.
-	toldAtOnce = 32
-	// guarded is how many peers an instance asks all the time. With one, a pair that loses
-	// power together has nobody who knows of it.
-	guarded = 3
+	// maxFailures is how many consecutive failed calls make a peer unavailable. A single
+	// failure may only be a stale connection.
+	maxFailures = 2
+	// unavailablePeriod is how long a peer is unavailable after its last failure.
+	unavailablePeriod = 5 * time.Second
+	// peerRetention is how long a failing peer is kept after it was last seen.
+	peerRetention = 2 * time.Minute
+	// maxPeersNearZone and maxPeersRemoteZone bound the peers kept of each zone inside and
+	// outside the region. A region must be complete, so that its instances agree on the
+	// readers of the store; with Wide, maxPeersNearZone applies to all zones.
+	maxPeersNearZone, maxPeersRemoteZone = 256, 8
+	// maxPeersInReply bounds the peers listed in a reply.
+	maxPeersInReply = 32
+	// monitoredPeers is how many peers an instance contacts regularly. More than one, so that
+	// instances that fail together are still monitored.
+	monitoredPeers = 3
 )
 
-// What distance returns.
+// Distances between zones.
 const (
 	zoneDistance = iota
 	regionDistance
@@ -49,42 +43,41 @@
 	// Peer is another instance.
 	Peer struct {
 		Name, Address, Zone string
-		// Millicores is what it may use of a processor, in thousandths of a core; 0 where it
-		// doesn't say.
+		// Millicores is its CPU limit in thousandths of a core, 0 if unknown.
 		Millicores int
 	}
 
-	// Introducer knows the peers. Set the exported fields before use; its methods may be
-	// called from any goroutine.
+	// Introducer keeps the known peers. Set the exported fields before use. It is safe for
+	// concurrent use.
 	Introducer struct {
 		Self Peer
-		// Seeds are addresses where peers may be.
+		// Seeds are the addresses of potential peers.
 		Seeds []string
-		// Near tells which zones are in this instance's region.
+		// Near reports whether a zone is in this instance's region.
 		Near func(zone string) bool
-		// Wide is set where all peers of all zones are to be remembered: those who borrow
-		// from instances of other regions must agree on which.
+		// Wide keeps the peers of all zones, so that instances which borrow connections
+		// across regions select the same lenders.
 		Wide atomic.Bool
 
 		mutex sync.Mutex
-		peers map[string]*known
-		// added counts the peers that were ever new.
+		peers map[string]*peerState
+		// added counts the peers added since the start.
 		added int
 	}
 
-	known struct {
+	peerState struct {
 		Peer
-		// heard is when it was last met or named by another.
-		heard tracker.Stamp
-		// met is set once it has answered or asked itself.
-		met bool
-		// failures are the calls in a row that failed, since failing; failed is the last.
-		failures        int
-		failing, failed tracker.Stamp
+		// lastSeen is when the peer was last in contact or listed by another peer.
+		lastSeen tracker.Stamp
+		// contacted is set once the peer has sent a request or a reply.
+		contacted bool
+		// failures counts the consecutive failed calls, the first at failingSince, the last at failedAt.
+		failures               int
+		failingSince, failedAt tracker.Stamp
 	}
 )
 
-// Met takes in that a peer has asked or answered. Whoever had its address before is gone.
+// Met records a request or reply of a peer. It removes other peers with the same address.
 func (i *Introducer) Met(now tracker.Stamp, p Peer) {
 	if p.Name == "" || p.Address == "" || p.Name == i.Self.Name {
 		return
@@ -96,47 +89,49 @@
 			delete(i.peers, name)
 		}
 	}
-	k := i.known(p)
-	*k = known{Peer: p, heard: now, met: true}
-	i.trim(p.Zone)
+	k := i.peerState(p)
+	*k = peerState{Peer: p, lastSeen: now, contacted: true}
+	i.evict(p.Zone)
 }
 
-// HeardOf takes in that another instance names a peer. It is no sign that it lives.
+// HeardOf records a peer listed by another instance. It does not imply that the peer is
+// available.
 func (i *Introducer) HeardOf(now tracker.Stamp, p Peer) {
 	if p.Name == "" || p.Address == "" || p.Name == i.Self.Name || p.Address == i.Self.Address {
 		return
 	}
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if k, ok := i.peers[p.Name]; ok && k.met {
+	if k, ok := i.peers[p.Name]; ok && k.contacted {
 		return
 	}
-	i.known(p).heard = now
-	i.trim(p.Zone)
+	i.peerState(p).lastSeen = now
+	i.evict(p.Zone)
 }
 
-func (i *Introducer) known(p Peer) *known {
+// peerState returns the state of a peer, which it adds if it is unknown.
+func (i *Introducer) peerState(p Peer) *peerState {
 	if i.peers == nil {
-		i.peers = map[string]*known{}
+		i.peers = map[string]*peerState{}
 	}
 	k, ok := i.peers[p.Name]
 	if !ok {
-		k = &known{Peer: p}
+		k = &peerState{Peer: p}
 		i.peers[p.Name] = k
 		i.added++
 	}
 	return k
 }
 
-// Added counts the peers that were new to this instance. Whoever keeps what it has worked out
-// of them begins anew when it changes: after a start all come within one reading.
+// Added returns how many peers were added since the start. Callers that cache results derived
+// from the peers use it to detect changes.
 func (i *Introducer) Added() int {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	return i.added
 }
 
-// Failed takes in that a call to an address failed.
+// Failed records a failed call to an address.
 func (i *Introducer) Failed(now tracker.Stamp, address string) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -145,16 +140,16 @@
 			continue
 		}
 		if k.failures == 0 {
-			k.failing = now
+			k.failingSince = now
 		}
-		k.failures, k.failed = k.failures+1, now
-		if now-k.heard > forgottenAfter {
+		k.failures, k.failedAt = k.failures+1, now
+		if now-k.lastSeen > peerRetention {
 			delete(i.peers, name)
 		}
 	}
 }
 
-// Failing reports whether the last call to a peer failed, and since when all have.
+// Failing reports whether the last call to a peer failed, and since when all calls have failed.
 func (i *Introducer) Failing(name string) (bool, tracker.Stamp) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -162,17 +157,17 @@
 	if !ok || k.failures == 0 {
 		return false, 0
 	}
-	return true, k.failing
+	return true, k.failingSince
 }
 
-// Peers returns those that may live, the nearest zones first and each zone in an order of
-// chance: not all instances of a zone should ask the same one.
+// Peers returns the available peers, nearest zones first. The order within a zone is random
+// to distribute the requests.
 func (i *Introducer) Peers(now tracker.Stamp) []Peer {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	var list []Peer
 	for _, k := range i.peers {
-		if k.mayLive(now) {
+		if k.available(now) {
 			list = append(list, k.Peer)
 		}
 	}
@@ -182,8 +177,8 @@
 	return list
 }
 
-// Addresses returns where peers may be asked, at most n: known ones, the nearest first, and
-// the seeds while few are known.
+// Addresses returns at most n addresses to contact: those of available peers, nearest first,
+// then the seeds.
 func (i *Introducer) Addresses(now tracker.Stamp, n int) []string {
 	var list []string
 	for _, p := range i.Peers(now) {
@@ -197,9 +192,9 @@
 	return list[:min(n, len(list))]
 }
 
-// Guarded returns the peers that this instance asks all the time: those of its zone whose
-// names come next after its own. So each instance is asked by a few others, and one that
-// starts again, with nothing, is known to them at once.
+// Guarded returns the peers that this instance contacts regularly: its successors in the
+// cyclic order of names in its zone. Each instance thus is contacted by a few peers, also
+// after a restart without any state.
 func (i *Introducer) Guarded() []Peer {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -212,10 +207,10 @@
 	slices.SortFunc(list, func(a, b Peer) int {
 		return cmp.Or(compareBool(a.Name < i.Self.Name, b.Name < i.Self.Name), cmp.Compare(a.Name, b.Name))
 	})
-	return list[:min(guarded, len(list))]
+	return list[:min(monitoredPeers, len(list))]
 }
 
-// compareBool orders false before true.
+// compareBool compares two booleans; false is less than true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -227,22 +222,22 @@
 	}
 }
 
-// Unmet returns peers that have neither asked nor answered yet, at most n.
+// Unmet returns at most n available peers without any contact so far.
 func (i *Introducer) Unmet(now tracker.Stamp, n int) []Peer {
 	list := i.Peers(now)
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	list = slices.DeleteFunc(list, func(p Peer) bool { k := i.peers[p.Name]; return k == nil || k.met })
+	list = slices.DeleteFunc(list, func(p Peer) bool { k := i.peers[p.Name]; return k == nil || k.contacted })
 	return list[:min(n, len(list))]
 }
 
-// Told returns the peers to name in an answer.
+// Told returns the peers to list in a reply.
 func (i *Introducer) Told(now tracker.Stamp) []Peer {
 	list := i.Peers(now)
-	return list[:min(toldAtOnce, len(list))]
+	return list[:min(maxPeersInReply, len(list))]
 }
 
-// distance orders zones: the own one, those of the region, the others.
+// distance returns the distance of a peer's zone.
 func (i *Introducer) distance(p Peer) int {
 	switch {
 	case p.Zone == i.Self.Zone:
@@ -254,15 +249,13 @@
 	}
 }
 
-// Zone returns this instance and the peers of its availability zone that may live, in no
-// order.
-func (i *Introducer) Zone(now tracker.Stamp) []Peer { return i.within(now, zoneDistance) }
+// Zone returns this instance and the available peers of its zone, unordered.
+func (i *Introducer) Zone(now tracker.Stamp) []Peer { return i.peersWithin(now, zoneDistance) }
 
-// Region returns this instance and the peers of its region that may live, in no order.
-func (i *Introducer) Region(now tracker.Stamp) []Peer { return i.within(now, regionDistance) }
+// Region returns this instance and the available peers of its region, unordered.
+func (i *Introducer) Region(now tracker.Stamp) []Peer { return i.peersWithin(now, regionDistance) }
 
-// In returns the instances of an availability zone that may live, this one among them if it
-// is in that zone, in no order.
+// In returns the available instances of a zone, which may include this one, unordered.
 func (i *Introducer) In(now tracker.Stamp, zone string) []Peer {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -271,15 +264,15 @@
 		list = append(list, i.Self)
 	}
 	for _, k := range i.peers {
-		if k.Zone == zone && k.mayLive(now) {
+		if k.Zone == zone && k.available(now) {
 			list = append(list, k.Peer)
 		}
 	}
 	return list
 }
 
-// Remembered returns this instance and all peers that are not forgotten, those that may be cut
-// off among them, in no order. It is the same on both sides of a cut.
+// Remembered returns this instance and all known peers, unordered. It includes unavailable
+// peers, so both sides of a network partition get the same result.
 func (i *Introducer) Remembered() []Peer {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -290,38 +283,37 @@
 	return list
 }
 
-// All returns this instance and all peers that may live, in no order.
-func (i *Introducer) All(now tracker.Stamp) []Peer { return i.within(now, farDistance) }
+// All returns this instance and all available peers, unordered.
+func (i *Introducer) All(now tracker.Stamp) []Peer { return i.peersWithin(now, farDistance) }
 
-// within returns this instance and the peers up to a distance that may live.
-func (i *Introducer) within(now tracker.Stamp, distance int) []Peer {
+// peersWithin returns this instance and the available peers up to a distance.
+func (i *Introducer) peersWithin(now tracker.Stamp, distance int) []Peer {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	list := []Peer{i.Self}
 	for _, k := range i.peers {
-		if k.mayLive(now) && i.distance(k.Peer) <= distance {
+		if k.available(now) && i.distance(k.Peer) <= distance {
 			list = append(list, k.Peer)
 		}
 	}
 	return list
 }
 
-// mayLive reports whether a peer is worth asking.
-func (k *known) mayLive(now tracker.Stamp) bool {
-	return k.failures < failuresHidden || now-k.failed > hiddenFor
+// available reports whether a peer is presumed to be reachable.
+func (k *peerState) available(now tracker.Stamp) bool {
+	return k.failures < maxFailures || now-k.failedAt > unavailablePeriod
 }
 
-// trim forgets whom there is no room for in a zone, the longest unheard first. Whole lists
-// come at the start, one peer at a time, so nothing is sorted while there is room.
-func (i *Introducer) trim(zone string) {
-	if len(i.peers) <= nearKept {
+// evict removes the least recently seen peers of a zone that exceeds its limit.
+func (i *Introducer) evict(zone string) {
+	if len(i.peers) <= maxPeersNearZone {
 		return
 	}
-	kept := otherKept
+	kept := maxPeersRemoteZone
 	if i.Wide.Load() || i.distance(Peer{Zone: zone}) <= regionDistance {
-		kept = nearKept
+		kept = maxPeersNearZone
 	}
-	var list []*known
+	var list []*peerState
 	for _, k := range i.peers {
 		if k.Zone == zone {
 			list = append(list, k)
@@ -330,8 +322,8 @@
 	if len(list) <= kept {
 		return
 	}
-	slices.SortFunc(list, func(a, b *known) int {
-		return cmp.Or(cmp.Compare(b.heard, a.heard), cmp.Compare(a.Name, b.Name))
+	slices.SortFunc(list, func(a, b *peerState) int {
+		return cmp.Or(cmp.Compare(b.lastSeen, a.lastSeen), cmp.Compare(a.Name, b.Name))
 	})
 	for _, k := range list[kept:] {
 		delete(i.peers, k.Name)
--- a/internal/introducer/introducer_test.go
+++ b/internal/introducer/introducer_test.go
@@ -14,7 +14,7 @@
 	return introducer.Peer{Name: name, Address: name + ":1", Zone: zone}
 }
 
-func start() *introducer.Introducer {
+func newIntroducer() *introducer.Introducer {
 	return &introducer.Introducer{Self: peer("me", "a"), Seeds: []string{"me:1", "s:1"}, Near: func(zone string) bool { return zone == "b" }}
 }
 
@@ -26,10 +26,9 @@
 	return out
 }
 
-// Neighbours of the own zone come first, then those of the region; a fresh instance that
-// knows nobody has the seeds, without itself.
-func TestOrder(t *testing.T) {
-	i := start()
+// Peers are ordered by distance, followed by the seeds other than the instance itself.
+func TestPeerOrder(t *testing.T) {
+	i := newIntroducer()
 	must.Eq(t, []string{"s:1"}, i.Addresses(0, 5))
 	i.Met(0, peer("c1", "c"))
 	i.HeardOf(0, peer("b1", "b"))
@@ -40,10 +39,10 @@
 	must.Eq(t, []string{"a1:1", "b1:1", "c1:1", "s:1"}, i.Addresses(0, 9))
 }
 
-// A peer dies: after two failed calls nobody is sent to it, until it is met again or some
-// time has passed. What others say of it doesn't bring it back sooner.
+// A peer is unavailable after two failed calls, until it makes contact or some time has
+// passed. Being listed by others does not make it available.
 func TestFailures(t *testing.T) {
-	i := start()
+	i := newIntroducer()
 	i.Met(0, peer("a1", "a"))
 	i.Failed(time.Second, "a1:1")
 	must.Eq(t, []string{"a1"}, names(i.Peers(time.Second)))
@@ -59,30 +58,30 @@
 	must.SliceEmpty(t, i.Peers(time.Hour))
 }
 
-// A machine was replaced, and the new one has the address of the old.
-func TestAddressPassesOn(t *testing.T) {
-	i := start()
+// A new peer replaces an old one with the same address.
+func TestAddressReuse(t *testing.T) {
+	i := newIntroducer()
 	i.Met(0, peer("a1", "a"))
 	i.Met(time.Second, introducer.Peer{Name: "a9", Address: "a1:1", Zone: "a"})
 	must.Eq(t, []string{"a9"}, names(i.Peers(time.Second)))
 }
 
-// Two thousand instances: memory and answers stay bounded, and the own zone goes first.
-func TestBounded(t *testing.T) {
-	i := start()
+// The number of known peers and the size of replies stay bounded in a large fleet.
+func TestPeerLimits(t *testing.T) {
+	i := newIntroducer()
 	for n := range 2000 {
 		i.HeardOf(time.Duration(n), peer(fmt.Sprint("p", n), string(rune('a'+n%11))))
 	}
 	all := i.Peers(time.Hour)
-	must.LessEq(t, 2*182+9*8, len(all)) // two zones whole, nine in part
+	must.LessEq(t, 2*182+9*8, len(all)) // two complete zones, nine limited ones
 	zone := slices.DeleteFunc(all, func(p introducer.Peer) bool { return p.Zone != "a" })
 	must.Eq(t, 182, len(zone))
 	must.Eq(t, 32, len(i.Told(time.Hour)))
 }
 
-// Each instance of a zone is asked all the time by a few others, whoever has started again.
+// Each instance of a zone is monitored by the same number of others.
 func TestGuarded(t *testing.T) {
-	askedBy := map[string]int{}
+	monitoredBy := map[string]int{}
 	for n := range 9 {
 		i := &introducer.Introducer{Self: peer(fmt.Sprint("p", n), "a"), Near: func(string) bool { return false }}
 		for m := range 9 {
@@ -90,19 +89,18 @@
 			i.HeardOf(0, peer(fmt.Sprint("q", m), "b"))
 		}
 		for _, p := range i.Guarded() {
-			askedBy[p.Name]++
+			monitoredBy[p.Name]++
 		}
 	}
-	must.Eq(t, 9, len(askedBy))
-	for name, n := range askedBy {
+	must.Eq(t, 9, len(monitoredBy))
+	for name, n := range monitoredBy {
 		must.Eq(t, 3, n, must.Sprint(name))
 	}
 }
 
-// A fresh instance greets those whom it has only heard of; once they have answered there is
-// nobody left to greet.
+// Peers known only from others are returned until there was contact.
 func TestUnmet(t *testing.T) {
-	i := start()
+	i := newIntroducer()
 	i.HeardOf(0, peer("a1", "a"))
 	i.HeardOf(0, peer("b1", "b"))
 	must.Eq(t, []string{"a1"}, names(i.Unmet(0, 1)))
@@ -110,9 +108,9 @@
 	must.Eq(t, []string{"b1"}, names(i.Unmet(0, 5)))
 }
 
-// Guards against the sides of a cut sharing limits out over different instances.
-func TestHiddenPeersAreRemembered(t *testing.T) {
-	i := start()
+// Guards against the sides of a network partition dividing limits over different instances.
+func TestUnavailablePeersAreKept(t *testing.T) {
+	i := newIntroducer()
 	i.Met(0, peer("a1", "a"))
 	i.Failed(time.Second, "a1:1")
 	i.Failed(time.Second, "a1:1")
