--- a/internal/storer/contract_test.go
+++ b/internal/storer/contract_test.go
@@ -15,18 +15,18 @@
 	"github.com/shoenig/test/must"
 )
 
-// contract is what every store has to keep. Each case gets an empty store, and
-// the memory behind it, whose faults are those of the service.
+// contract holds the tests that all stores must pass. Each gets an empty store and the memory
+// store behind it for fault injection.
 var contract = []struct {
 	name string
 	run  func(t *testing.T, ctx context.Context, s storer.Store, m *storer.Memory)
 }{
-	{"an absent key has revision 0", func(t *testing.T, ctx context.Context, s storer.Store, _ *storer.Memory) {
+	{"absent key has revision 0", func(t *testing.T, ctx context.Context, s storer.Store, _ *storer.Memory) {
 		p, err := s.Get(ctx, "a")
 		must.NoError(t, err)
 		must.Eq(t, storer.Pair{Key: "a"}, p)
 	}},
-	{"a swap writes once for a revision", func(t *testing.T, ctx context.Context, s storer.Store, _ *storer.Memory) {
+	{"swap writes only once for a revision", func(t *testing.T, ctx context.Context, s storer.Store, _ *storer.Memory) {
 		first := mustSwap(t, ctx, s, storer.Pair{Key: "a", Value: []byte("1")})
 		now, ok, err := s.Swap(ctx, storer.Pair{Key: "a", Value: []byte("2")}, 0)
 		must.NoError(t, err)
@@ -35,7 +35,7 @@
 		second := mustSwap(t, ctx, s, storer.Pair{Key: "a", Value: []byte("2"), Revision: first.Revision})
 		must.Greater(t, first.Revision, second.Revision)
 	}},
-	{"revisions rise over deletion", func(t *testing.T, ctx context.Context, s storer.Store, _ *storer.Memory) {
+	{"revisions increase across deletion", func(t *testing.T, ctx context.Context, s storer.Store, _ *storer.Memory) {
 		first := mustSwap(t, ctx, s, storer.Pair{Key: "a", Value: []byte("1")})
 		ok, err := s.Delete(ctx, storer.Pair{Key: "a", Revision: first.Revision + 7})
 		must.NoError(t, err)
@@ -45,7 +45,7 @@
 		must.True(t, ok)
 		must.Greater(t, first.Revision, mustSwap(t, ctx, s, storer.Pair{Key: "a", Value: []byte("2")}).Revision)
 	}},
-	{"a list has the prefix, in order", func(t *testing.T, ctx context.Context, s storer.Store, _ *storer.Memory) {
+	{"list returns the keys with the prefix in order", func(t *testing.T, ctx context.Context, s storer.Store, _ *storer.Memory) {
 		for _, k := range []string{"b/2", "a", "b/1", "c"} {
 			mustSwap(t, ctx, s, storer.Pair{Key: k, Value: []byte(k)})
 		}
@@ -55,7 +55,7 @@
 		must.Eq(t, "b/1", list[0].Key)
 		must.Eq(t, "b/2", list[1].Key)
 	}},
-	{"a lease that is kept alive keeps its keys", func(t *testing.T, ctx context.Context, s storer.Store, _ *storer.Memory) {
+	{"renewed lease keeps its keys", func(t *testing.T, ctx context.Context, s storer.Store, _ *storer.Memory) {
 		l, err := s.Grant(ctx, 10*time.Second)
 		must.NoError(t, err)
 		_, ok, err := s.Swap(ctx, storer.Pair{Key: "a", Value: []byte("1")}, l)
@@ -70,7 +70,7 @@
 		mustHold(t, ctx, s, "a", false)
 		must.ErrorIs(t, s.KeepAlive(ctx, l), storer.ErrLeaseLost)
 	}},
-	{"a revoked lease takes its keys", func(t *testing.T, ctx context.Context, s storer.Store, _ *storer.Memory) {
+	{"revoked lease deletes its keys", func(t *testing.T, ctx context.Context, s storer.Store, _ *storer.Memory) {
 		l, err := s.Grant(ctx, 10*time.Second)
 		must.NoError(t, err)
 		_, _, err = s.Swap(ctx, storer.Pair{Key: "a", Value: []byte("1")}, l)
@@ -78,15 +78,15 @@
 		must.NoError(t, s.Revoke(ctx, l))
 		mustHold(t, ctx, s, "a", false)
 	}},
-	{"a watch tells all changes since a revision, in order", func(t *testing.T, ctx context.Context, s storer.Store, _ *storer.Memory) {
+	{"watch reports all changes since a revision in order", func(t *testing.T, ctx context.Context, s storer.Store, _ *storer.Memory) {
 		first := mustSwap(t, ctx, s, storer.Pair{Key: "b", Value: []byte("1")})
 		second := mustSwap(t, ctx, s, storer.Pair{Key: "b", Value: []byte("2"), Revision: first.Revision})
 		mustSwap(t, ctx, s, storer.Pair{Key: "c", Value: []byte("3")})
 		ctx, cancel := context.WithCancel(ctx)
 		var got []string
-		ended := make(chan error, 1)
+		done := make(chan error, 1)
 		go func() {
-			ended <- s.Watch(ctx, "b", first.Revision, func(p storer.Pair) { got = append(got, string(p.Value)) })
+			done <- s.Watch(ctx, "b", first.Revision, func(p storer.Pair) { got = append(got, string(p.Value)) })
 		}()
 		time.Sleep(time.Second)
 		third := mustSwap(t, ctx, s, storer.Pair{Key: "b", Value: []byte("4"), Revision: second.Revision})
@@ -94,21 +94,21 @@
 		must.NoError(t, err)
 		time.Sleep(time.Second)
 		cancel()
-		must.Error(t, <-ended)
+		must.Error(t, <-done)
 		must.Eq(t, []string{"2", "4", ""}, got)
 	}},
-	{"an answer is lost after its effect", func(t *testing.T, ctx context.Context, s storer.Store, m *storer.Memory) {
+	{"response of a completed write is lost", func(t *testing.T, ctx context.Context, s storer.Store, m *storer.Memory) {
 		m.SetFaults(func(f *storer.Faults) { f.LoseAnswers = 1 })
 		_, _, err := s.Swap(ctx, storer.Pair{Key: "a", Value: []byte("1")}, 0)
 		must.ErrorIs(t, err, storer.ErrUnavailable)
 		mustHold(t, ctx, s, "a", true)
 	}},
-	{"a service that is down says so, and a watch ends", func(t *testing.T, ctx context.Context, s storer.Store, m *storer.Memory) {
-		ended := make(chan error, 1)
-		go func() { ended <- s.Watch(ctx, "a", 0, func(storer.Pair) {}) }()
+	{"calls and watches fail while the service is down", func(t *testing.T, ctx context.Context, s storer.Store, m *storer.Memory) {
+		done := make(chan error, 1)
+		go func() { done <- s.Watch(ctx, "a", 0, func(storer.Pair) {}) }()
 		time.Sleep(time.Second)
 		m.SetFaults(func(f *storer.Faults) { f.Down = true })
-		must.ErrorIs(t, <-ended, storer.ErrUnavailable)
+		must.ErrorIs(t, <-done, storer.ErrUnavailable)
 		_, err := s.Get(ctx, "a")
 		must.ErrorIs(t, err, storer.ErrUnavailable)
 		_, _, err = s.Swap(ctx, storer.Pair{Key: "a"}, 0)
@@ -143,8 +143,7 @@
 	}
 }
 
-// TestGateway runs the contract over the published protocol, against the
-// stand-in of the platform.
+// TestGateway runs the contract over the HTTP protocol against the simulated platform.
 func TestGateway(t *testing.T) {
 	for _, c := range contract {
 		t.Run(c.name, func(t *testing.T) {
@@ -152,14 +151,14 @@
 				n, m := wirer.New(1), storer.NewMemory()
 				ctx, cancel := context.WithCancel(context.Background())
 				k := &keeper.Keeper{Address: "10.0.0.1:7000", Network: n.Host("10.0.0.1", "platform"), Store: m, Log: log.NewNopLogger()}
-				ended := make(chan error, 1)
-				go func() { ended <- k.Run(ctx) }()
+				done := make(chan error, 1)
+				go func() { done <- k.Run(ctx) }()
 				synctest.Wait()
 				g := (&storer.Gateway{Address: k.Address, Network: n.Host("10.0.0.2", "a")}).Open()
 				defer func() {
 					g.Close()
 					cancel()
-					<-ended
+					<-done
 				}()
 				c.run(t, ctx, g, m)
 			})
@@ -167,8 +166,8 @@
 	}
 }
 
-// TestPlatform runs the contract over the users' platform's calls, against the
-// stand-in of that platform.
+// TestPlatform runs the contract over the client of the users' platform against its
+// simulation.
 func TestPlatform(t *testing.T) {
 	for _, c := range contract {
 		t.Run(c.name, func(t *testing.T) {
@@ -176,14 +175,14 @@
 				n, m := wirer.New(1), storer.NewMemory()
 				ctx, cancel := context.WithCancel(context.Background())
 				p := &platformer.Platform{Address: "10.0.0.1:7000", Network: n.Host("10.0.0.1", "platform"), Store: m}
-				ended := make(chan error, 1)
-				go func() { ended <- p.Run(ctx) }()
+				done := make(chan error, 1)
+				go func() { done <- p.Run(ctx) }()
 				synctest.Wait()
 				s := (&platform.Store{Address: p.Address, Network: n.Host("10.0.0.2", "a")}).Open()
 				defer func() {
 					s.Close()
 					cancel()
-					<-ended
+					<-done
 				}()
 				c.run(t, ctx, s, m)
 			})
--- a/internal/storer/gateway.go
+++ b/internal/storer/gateway.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	callTimeout    = 2 * time.Second
-	maxAnswerBytes = 4 << 20
+	callTimeout      = 2 * time.Second
+	maxResponseBytes = 4 << 20
 )
 
-// Gateway reaches the platform's store over HTTP. Set the exported fields, then
-// call its methods; it keeps its connections open.
+// Gateway is a client of the platform's store over HTTP with persistent connections. Set the
+// exported fields, then call Open.
 type Gateway struct {
 	// Address is "ip:port".
 	Address string
@@ -28,7 +28,7 @@
 	client *http.Client
 }
 
-// Open prepares the client; it makes no call.
+// Open initializes the client without making a call.
 func (g *Gateway) Open() *Gateway {
 	g.client = &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -39,17 +39,17 @@
 	return g
 }
 
-// Close drops the open connections.
+// Close closes idle connections.
 func (g *Gateway) Close() { g.client.CloseIdleConnections() }
 
-func (g *Gateway) send(ctx context.Context, path string, ask any) (*http.Response, error) {
-	body, err := json.Marshal(ask)
+func (g *Gateway) send(ctx context.Context, path string, request any) (*http.Response, error) {
+	body, err := json.Marshal(request)
 	if err != nil {
-		return nil, errors.Wrap(err, "encode call")
+		return nil, errors.Wrap(err, "encode request")
 	}
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+g.Address+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "make call")
+		return nil, errors.Wrap(err, "create request")
 	}
 	a, err := g.client.Do(r)
 	if err != nil {
@@ -58,7 +58,7 @@
 	if a.StatusCode != http.StatusOK {
 		defer a.Body.Close()
 		var e WireError
-		_ = json.NewDecoder(io.LimitReader(a.Body, maxAnswerBytes)).Decode(&e)
+		_ = json.NewDecoder(io.LimitReader(a.Body, maxResponseBytes)).Decode(&e)
 		if e.Code == codeNotFound {
 			return nil, ErrLeaseLost
 		}
@@ -67,15 +67,15 @@
 	return a, nil
 }
 
-func (g *Gateway) call(ctx context.Context, path string, ask, answer any) error {
+func (g *Gateway) call(ctx context.Context, path string, request, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	a, err := g.send(ctx, path, ask)
+	a, err := g.send(ctx, path, request)
 	if err != nil {
 		return err
 	}
 	defer a.Body.Close()
-	if err := json.NewDecoder(io.LimitReader(a.Body, maxAnswerBytes)).Decode(answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(a.Body, maxResponseBytes)).Decode(response); err != nil {
 		return errors.Wrap(ErrUnavailable, err.Error())
 	}
 	return nil
@@ -87,10 +87,10 @@
 	if err := g.call(ctx, PathRange, WireRange{Key: []byte(key)}, &a); err != nil {
 		return Pair{}, err
 	}
-	return one(key, a.KVs), nil
+	return firstPair(key, a.KVs), nil
 }
 
-func one(key string, kvs []WireKV) Pair {
+func firstPair(key string, kvs []WireKV) Pair {
 	if len(kvs) == 0 {
 		return Pair{Key: key}
 	}
@@ -110,7 +110,7 @@
 	return out, nil
 }
 
-func compare(p Pair) []WireCompare {
+func compareRevision(p Pair) []WireCompare {
 	return []WireCompare{{Key: []byte(p.Key), Target: TargetMod, Result: ResultEqual, ModRevision: p.Revision}}
 }
 
@@ -119,7 +119,7 @@
 	key := []byte(p.Key)
 	var a WireTxnAnswer
 	err := g.call(ctx, PathTxn, WireTxn{
-		Compare: compare(p),
+		Compare: compareRevision(p),
 		Success: []WireOp{{Put: &WireKV{Key: key, Value: p.Value, Lease: int64(lease)}}},
 		Failure: []WireOp{{Range: &WireRange{Key: key}}},
 	}, &a)
@@ -132,20 +132,20 @@
 	if len(a.Responses) == 0 || a.Responses[0].Range == nil {
 		return Pair{Key: p.Key}, false, nil
 	}
-	return one(p.Key, a.Responses[0].Range.KVs), false, nil
+	return firstPair(p.Key, a.Responses[0].Range.KVs), false, nil
 }
 
 // Delete implements Store.
 func (g *Gateway) Delete(ctx context.Context, p Pair) (bool, error) {
 	var a WireTxnAnswer
 	err := g.call(ctx, PathTxn, WireTxn{
-		Compare: compare(p),
+		Compare: compareRevision(p),
 		Success: []WireOp{{Delete: &WireRange{Key: []byte(p.Key)}}},
 	}, &a)
 	return a.Succeeded && p.Revision != 0, err
 }
 
-// Grant implements Store. The protocol counts in whole seconds.
+// Grant implements Store. The TTL is rounded up to whole seconds.
 func (g *Gateway) Grant(ctx context.Context, ttl time.Duration) (Lease, error) {
 	var a WireLease
 	err := g.call(ctx, PathGrant, WireLease{TTL: int64((ttl + time.Second - 1) / time.Second)}, &a)
--- a/internal/storer/memory.go
+++ b/internal/storer/memory.go
@@ -11,56 +11,56 @@
 )
 
 type (
-	// Memory is a store in memory, with the faults of the real one as switches.
+	// Memory is an in-memory store with fault injection.
 	Memory struct {
 		mutex    sync.Mutex
-		pairs    map[string]held
-		leases   map[Lease]*grant
+		pairs    map[string]entry
+		leases   map[Lease]*leaseState
 		revision int64
 		history  []Pair
-		// forgotten is how many of the first changes can't be watched any more.
-		forgotten int64
+		// compacted is the number of compacted changes at the start of history.
+		compacted int64
 		changed   chan struct{}
-		next      Lease
+		lastLease Lease
 		faults    Faults
 		counts    map[string]int
 	}
 
-	// Faults are the ways in which the service fails.
+	// Faults are injected faults.
 	Faults struct {
-		// Down refuses every call.
+		// Down rejects all calls.
 		Down bool
-		// Slow delays every answer.
+		// Slow is the latency added to all responses.
 		Slow time.Duration
-		// LoseAnswers is how many of the next writes take effect without answer.
+		// LoseAnswers is the number of writes to come that take effect but return an error.
 		LoseAnswers int
 	}
 
-	held struct {
+	entry struct {
 		pair  Pair
 		lease Lease
 	}
 
-	grant struct {
-		ttl  time.Duration
-		ends time.Time
+	leaseState struct {
+		ttl       time.Duration
+		expiresAt time.Time
 	}
 )
 
 // NewMemory returns an empty store.
 func NewMemory() *Memory {
-	return &Memory{pairs: map[string]held{}, leases: map[Lease]*grant{}, changed: make(chan struct{}), counts: map[string]int{}}
+	return &Memory{pairs: map[string]entry{}, leases: map[Lease]*leaseState{}, changed: make(chan struct{}), counts: map[string]int{}}
 }
 
-// SetFaults replaces the fault switches.
+// SetFaults changes the injected faults.
 func (m *Memory) SetFaults(change func(*Faults)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	change(&m.faults)
-	m.wake()
+	m.notifyWatchers()
 }
 
-// Calls returns how many calls of each kind were made.
+// Calls returns the number of calls by method.
 func (m *Memory) Calls() map[string]int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -71,17 +71,17 @@
 	return out
 }
 
-// Lapse ends every lease at once.
+// Lapse expires all leases.
 func (m *Memory) Lapse() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for l := range m.leases {
-		m.drop(l)
+		m.dropLease(l)
 	}
 }
 
-// enter counts a call, applies the faults and takes the mutex on success.
-func (m *Memory) enter(ctx context.Context, call string) error {
+// begin counts a call, applies the faults and, on success, returns with the mutex locked.
+func (m *Memory) begin(ctx context.Context, call string) error {
 	m.mutex.Lock()
 	m.counts[call]++
 	slow := m.faults.Slow
@@ -98,56 +98,56 @@
 		m.mutex.Unlock()
 		return ErrUnavailable
 	}
-	m.expire()
+	m.expireLeases()
 	return nil
 }
 
-// answer reports whether the answer to a write that took effect gets through.
-func (m *Memory) answer() error {
+// loseAnswer returns an error if the response to a completed write is to be lost.
+func (m *Memory) loseAnswer() error {
 	if m.faults.LoseAnswers > 0 {
 		m.faults.LoseAnswers--
-		return errors.Wrap(ErrUnavailable, "answer lost")
+		return errors.Wrap(ErrUnavailable, "response lost")
 	}
 	return nil
 }
 
-func (m *Memory) expire() {
+func (m *Memory) expireLeases() {
 	now := time.Now()
 	for l, g := range m.leases {
-		if now.After(g.ends) {
-			m.drop(l)
+		if now.After(g.expiresAt) {
+			m.dropLease(l)
 		}
 	}
 }
 
-func (m *Memory) drop(l Lease) {
+func (m *Memory) dropLease(l Lease) {
 	delete(m.leases, l)
 	for k, h := range m.pairs {
 		if h.lease == l {
-			m.remove(k)
+			m.removeKey(k)
 		}
 	}
 }
 
-func (m *Memory) remove(key string) {
+func (m *Memory) removeKey(key string) {
 	m.revision++
 	delete(m.pairs, key)
-	m.publish(Pair{Key: key})
+	m.appendHistory(Pair{Key: key})
 }
 
-func (m *Memory) publish(p Pair) {
+func (m *Memory) appendHistory(p Pair) {
 	m.history = append(m.history, p)
-	m.wake()
+	m.notifyWatchers()
 }
 
-func (m *Memory) wake() {
+func (m *Memory) notifyWatchers() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
 // Get implements Store.
 func (m *Memory) Get(ctx context.Context, key string) (Pair, error) {
-	if err := m.enter(ctx, "get"); err != nil {
+	if err := m.begin(ctx, "get"); err != nil {
 		return Pair{}, err
 	}
 	defer m.mutex.Unlock()
@@ -163,7 +163,7 @@
 
 // List implements Store.
 func (m *Memory) List(ctx context.Context, prefix string) ([]Pair, error) {
-	if err := m.enter(ctx, "list"); err != nil {
+	if err := m.begin(ctx, "list"); err != nil {
 		return nil, err
 	}
 	defer m.mutex.Unlock()
@@ -179,7 +179,7 @@
 
 // Swap implements Store.
 func (m *Memory) Swap(ctx context.Context, p Pair, lease Lease) (Pair, bool, error) {
-	if err := m.enter(ctx, "swap"); err != nil {
+	if err := m.begin(ctx, "swap"); err != nil {
 		return Pair{}, false, err
 	}
 	defer m.mutex.Unlock()
@@ -192,9 +192,9 @@
 	}
 	m.revision++
 	now = Pair{Key: p.Key, Value: append([]byte(nil), p.Value...), Revision: m.revision}
-	m.pairs[p.Key] = held{pair: now, lease: lease}
-	m.publish(now)
-	if err := m.answer(); err != nil {
+	m.pairs[p.Key] = entry{pair: now, lease: lease}
+	m.appendHistory(now)
+	if err := m.loseAnswer(); err != nil {
 		return Pair{}, false, err
 	}
 	return now, true, nil
@@ -202,31 +202,31 @@
 
 // Delete implements Store.
 func (m *Memory) Delete(ctx context.Context, p Pair) (bool, error) {
-	if err := m.enter(ctx, "delete"); err != nil {
+	if err := m.begin(ctx, "delete"); err != nil {
 		return false, err
 	}
 	defer m.mutex.Unlock()
 	if now := m.get(p.Key); now.Revision != p.Revision || now.Revision == 0 {
 		return false, nil
 	}
-	m.remove(p.Key)
-	return true, m.answer()
+	m.removeKey(p.Key)
+	return true, m.loseAnswer()
 }
 
 // Grant implements Store.
 func (m *Memory) Grant(ctx context.Context, ttl time.Duration) (Lease, error) {
-	if err := m.enter(ctx, "grant"); err != nil {
+	if err := m.begin(ctx, "grant"); err != nil {
 		return 0, err
 	}
 	defer m.mutex.Unlock()
-	m.next++
-	m.leases[m.next] = &grant{ttl: ttl, ends: time.Now().Add(ttl)}
-	return m.next, nil
+	m.lastLease++
+	m.leases[m.lastLease] = &leaseState{ttl: ttl, expiresAt: time.Now().Add(ttl)}
+	return m.lastLease, nil
 }
 
 // KeepAlive implements Store.
 func (m *Memory) KeepAlive(ctx context.Context, lease Lease) error {
-	if err := m.enter(ctx, "keep-alive"); err != nil {
+	if err := m.begin(ctx, "keep-alive"); err != nil {
 		return err
 	}
 	defer m.mutex.Unlock()
@@ -234,29 +234,30 @@
 	if g == nil {
 		return ErrLeaseLost
 	}
-	g.ends = time.Now().Add(g.ttl)
+	g.expiresAt = time.Now().Add(g.ttl)
 	return nil
 }
 
 // Revoke implements Store.
 func (m *Memory) Revoke(ctx context.Context, lease Lease) error {
-	if err := m.enter(ctx, "revoke"); err != nil {
+	if err := m.begin(ctx, "revoke"); err != nil {
 		return err
 	}
 	defer m.mutex.Unlock()
-	m.drop(lease)
+	m.dropLease(lease)
 	return nil
 }
 
-// Forget drops the history: watches that begin before now get ErrHistoryLost.
+// Forget compacts the history. Later calls of Changes for earlier revisions return
+// ErrHistoryLost.
 func (m *Memory) Forget() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.forgotten = int64(len(m.history))
-	m.wake()
+	m.compacted = int64(len(m.history))
+	m.notifyWatchers()
 }
 
-// Snapshot returns the keys with a prefix and the revision they are of.
+// Snapshot returns the keys with a prefix and the store revision.
 func (m *Memory) Snapshot(ctx context.Context, prefix string) ([]Pair, int64, error) {
 	list, err := m.List(ctx, prefix)
 	if err != nil {
@@ -267,17 +268,17 @@
 	return list, int64(len(m.history)), nil
 }
 
-// Changes returns the changes after a revision, waiting for the first, and the
-// revision to go on from.
+// Changes waits for changes after a revision and returns them with the revision to continue
+// from.
 func (m *Memory) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]Pair, int64, error) {
-	if err := m.enter(ctx, "watch"); err != nil {
+	if err := m.begin(ctx, "watch"); err != nil {
 		return nil, 0, err
 	}
 	defer m.mutex.Unlock()
-	late := time.After(wait)
+	timeout := time.After(wait)
 	for {
-		m.expire()
-		if after < m.forgotten {
+		m.expireLeases()
+		if after < m.compacted {
 			return nil, 0, ErrHistoryLost
 		}
 		var found []Pair
@@ -291,19 +292,19 @@
 		}
 		changed := m.changed
 		m.mutex.Unlock()
-		ended := false
+		timedOut := false
 		select {
 		case <-changed:
-		case <-late:
-			ended = true
+		case <-timeout:
+			timedOut = true
 		case <-ctx.Done():
-			ended = true
+			timedOut = true
 		}
 		m.mutex.Lock()
 		if m.faults.Down {
 			return nil, 0, ErrUnavailable
 		}
-		if ended {
+		if timedOut {
 			return nil, int64(len(m.history)), nil
 		}
 	}
@@ -311,11 +312,10 @@
 
 // Watch implements Store.
 func (m *Memory) Watch(ctx context.Context, prefix string, since int64, changed func(Pair)) error {
-	if err := m.enter(ctx, "watch"); err != nil {
+	if err := m.begin(ctx, "watch"); err != nil {
 		return err
 	}
-	// Changes are numbered by their place in the history: each one raised the
-	// revision by one.
+	// Each change increments the revision, so revisions are indexes into the history.
 	next := int(min(max(since, 0), int64(len(m.history))))
 	for {
 		batch := append([]Pair(nil), m.history[next:]...)
--- a/internal/storer/storer.go
+++ b/internal/storer/storer.go
@@ -1,8 +1,6 @@
-// Package storer is the interface to the platform's key-value service: reads,
-// compare-and-swap, leases and watches. Three things implement it: Gateway, for
-// the published HTTP protocol; Memory, the fake, which is also the heart of the
-// stand-in; and whatever another platform needs. contract_test.go is what all of
-// them have to pass.
+// Package storer defines the interface of the platform's key-value store: reads,
+// compare-and-swap, leases and watches. Gateway implements it over HTTP, Memory in memory
+// for tests. contract_test.go holds the tests that all implementations must pass.
 package storer
 
 import (
@@ -13,7 +11,7 @@
 )
 
 type (
-	// Pair is one key with its value. A key that is absent has Revision 0.
+	// Pair is a key with its value. An absent key has Revision 0.
 	Pair struct {
 		Key   string
 		Value []byte
@@ -21,44 +19,43 @@
 		Revision int64
 	}
 
-	// Lease is the identity of a lease; 0 is none.
+	// Lease is the ID of a lease, 0 for none.
 	Lease int64
 
-	// Store is the platform's service. Each method is one call against the
-	// service's rates; a watch counts as one call while it waits. Any error but
-	// ErrLeaseLost means that the service gave no answer: a change may have
-	// taken effect all the same, and only a read tells.
+	// Store is the platform's key-value store. Each method is one call against the rate
+	// limit of the service; a waiting watch counts as one call. After any error other than
+	// ErrLeaseLost, a write may or may not have taken effect.
 	Store interface {
-		// Get returns a key; Revision is 0 when it is absent.
+		// Get returns a key. Revision is 0 if it is absent.
 		Get(ctx context.Context, key string) (Pair, error)
 		// List returns the keys with a prefix, in key order.
 		List(ctx context.Context, prefix string) ([]Pair, error)
-		// Swap writes p.Value if the key's revision still is p.Revision, and
-		// returns the key as it stands after the call: ok tells whether this
-		// call wrote it. The key ends with the lease, if one is given.
+		// Swap writes p.Value if the key's revision is p.Revision, and returns the key
+		// after the call; ok reports whether this call wrote it. If a lease is given, the
+		// key is deleted when the lease expires.
 		Swap(ctx context.Context, p Pair, lease Lease) (now Pair, ok bool, err error)
-		// Delete removes the key if its revision still is p.Revision.
+		// Delete removes the key if its revision is p.Revision.
 		Delete(ctx context.Context, p Pair) (ok bool, err error)
-		// Grant makes a lease that ends when it is not kept alive for ttl.
+		// Grant creates a lease that expires ttl after its last KeepAlive.
 		Grant(ctx context.Context, ttl time.Duration) (Lease, error)
-		// KeepAlive prolongs a lease; ErrLeaseLost when it has ended.
+		// KeepAlive renews a lease, or returns ErrLeaseLost if it has expired.
 		KeepAlive(ctx context.Context, lease Lease) error
 		// Revoke ends a lease and deletes its keys.
 		Revoke(ctx context.Context, lease Lease) error
-		// Watch calls changed for each change of a key with the prefix since
-		// the revision, in order, until the context ends or the service fails.
-		// A deleted key has Revision 0.
+		// Watch calls changed for each change after the revision of a key with the prefix,
+		// in order, until the context ends or the service fails. A deleted key has
+		// Revision 0.
 		Watch(ctx context.Context, prefix string, since int64, changed func(Pair)) error
 	}
 )
 
 // Errors of the store.
 var (
-	// ErrLeaseLost means that a lease has ended: what hung on it is gone.
+	// ErrLeaseLost means that a lease has ended and its keys are deleted.
 	ErrLeaseLost = errors.New("lease lost")
-	// ErrHistoryLost means that the store no longer has the changes asked for:
-	// only a read of everything tells what they were.
-	ErrHistoryLost = errors.New("store's history lost")
+	// ErrHistoryLost means that the requested changes are no longer retained, so that a new
+	// snapshot is required.
+	ErrHistoryLost = errors.New("history of the store is no longer available")
 	// ErrUnavailable means that the store did not answer.
 	ErrUnavailable = errors.New("store unavailable")
 )
--- a/internal/storer/wire.go
+++ b/internal/storer/wire.go
@@ -1,10 +1,9 @@
 package storer
 
-// The messages of the store's published protocol: the JSON form of the etcd v3
-// API, of which only these calls are used. Keys and values travel in base64 and
-// 64-bit numbers as strings, which encoding/json does for []byte and ",string".
+// Messages of the JSON gateway of the etcd v3 API. Keys and values are base64-encoded, 64-bit
+// numbers are strings.
 type (
-	// WireKV is one key.
+	// WireKV is a key with its value and lease.
 	WireKV struct {
 		Key         []byte `json:"key"`
 		Value       []byte `json:"value,omitempty"`
@@ -18,12 +17,12 @@
 		RangeEnd []byte `json:"range_end,omitempty"`
 	}
 
-	// WireRangeAnswer answers it.
+	// WireRangeAnswer is the response to WireRange.
 	WireRangeAnswer struct {
 		KVs []WireKV `json:"kvs,omitempty"`
 	}
 
-	// WireCompare holds for a key whose last change has this revision.
+	// WireCompare requires that the last change of a key has the given revision.
 	WireCompare struct {
 		Key         []byte `json:"key"`
 		Target      string `json:"target"` // MOD
@@ -38,31 +37,31 @@
 		Range  *WireRange `json:"requestRange,omitempty"`
 	}
 
-	// WireTxn runs Success if Compare holds, else Failure.
+	// WireTxn executes Success if all comparisons hold, otherwise Failure.
 	WireTxn struct {
 		Compare []WireCompare `json:"compare"`
 		Success []WireOp      `json:"success"`
 		Failure []WireOp      `json:"failure,omitempty"`
 	}
 
-	// WireHeader carries the revision of the store.
+	// WireHeader holds the revision of the store.
 	WireHeader struct {
 		Revision int64 `json:"revision,string"`
 	}
 
-	// WireOpAnswer answers one operation.
+	// WireOpAnswer is the result of one operation.
 	WireOpAnswer struct {
 		Range *WireRangeAnswer `json:"response_range,omitempty"`
 	}
 
-	// WireTxnAnswer answers a transaction.
+	// WireTxnAnswer is the response to WireTxn.
 	WireTxnAnswer struct {
 		Header    WireHeader     `json:"header"`
 		Succeeded bool           `json:"succeeded,omitempty"`
 		Responses []WireOpAnswer `json:"responses,omitempty"`
 	}
 
-	// WireLease grants, prolongs and revokes a lease; TTL is in seconds.
+	// WireLease grants, renews or revokes a lease. TTL is in seconds.
 	WireLease struct {
 		ID  int64 `json:"ID,string,omitempty"`
 		TTL int64 `json:"TTL,string,omitempty"`
@@ -78,7 +77,7 @@
 		Create WireWatchCreate `json:"create_request"`
 	}
 
-	// WireWatchCreate names the keys of a watch.
+	// WireWatchCreate selects the keys of a watch.
 	WireWatchCreate struct {
 		Key           []byte `json:"key"`
 		RangeEnd      []byte `json:"range_end,omitempty"`
@@ -95,20 +94,20 @@
 		Events []WireEvent `json:"events,omitempty"`
 	}
 
-	// WireEvent is one change; Type is "DELETE", or empty for a put.
+	// WireEvent is one change. Type is "DELETE", or empty for a put.
 	WireEvent struct {
 		Type string `json:"type,omitempty"`
 		KV   WireKV `json:"kv"`
 	}
 
-	// WireError is the body of an answer other than 200.
+	// WireError is the body of a response with a status other than 200.
 	WireError struct {
 		Code    int    `json:"code"`
 		Message string `json:"message"`
 	}
 )
 
-// The paths of the calls.
+// Paths of the API calls.
 const (
 	PathRange     = "/v3/kv/range"
 	PathTxn       = "/v3/kv/txn"
@@ -119,16 +118,16 @@
 )
 
 const (
-	codeNotFound = 5 // the gRPC code that the protocol gives for a lost lease
+	codeNotFound = 5 // gRPC status code for an expired lease
 
-	// TargetMod and ResultEqual are the only comparison used.
+	// TargetMod and ResultEqual compare the modification revision for equality.
 	TargetMod   = "MOD"
 	ResultEqual = "EQUAL"
 	// TypeDelete marks the event of a deleted key.
 	TypeDelete = "DELETE"
 )
 
-// rangeEnd returns the first key behind all keys with the prefix.
+// rangeEnd returns the first key after all keys with the prefix.
 func rangeEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
