--- a/internal/lister/lister.go
+++ b/internal/lister/lister.go
@@ -1,7 +1,6 @@
-// Package lister reads the platform's lagging list of instances: entry instances
-// of this system and the target instances, live or leaving. The list is a hint.
-// It may lack an instance that lives and hold one that is gone, so nothing that
-// must hold may rest on it.
+// Package lister reads the platform's list of entry and target instances and keeps a view of
+// the live ones. The list is eventually consistent: it may lack live instances and contain
+// terminated ones, so correctness must not depend on it.
 package lister
 
 import (
@@ -16,16 +15,16 @@
 	"github.com/oriolegw/oriolegw/internal/networker"
 )
 
-// Path is where the platform serves the list.
+// Path is the URL path of the platform's list.
 const Path = "/instances"
 
-// The kinds and states of an instance.
+// Kinds and states of an instance.
 const (
 	KindEntry    = "entry"
 	KindTarget   = "target"
 	StateLive    = "live"
 	StateLeaving = "leaving"
-	// WireGone, sent to the stand-in, takes an instance from the list.
+	// WireGone removes an instance from the list of the simulated platform.
 	WireGone = "gone"
 
 	callTimeout = 2 * time.Second
@@ -37,13 +36,13 @@
 	Instance struct {
 		Name string
 		Kind string
-		// Address is where peers reach the instance, "ip:port".
+		// Address is the "ip:port" for connections of peers.
 		Address string
 		Zone    string
 		State   string
 	}
 
-	// WireInstance is its JSON form.
+	// WireInstance is the JSON encoding of Instance.
 	WireInstance struct {
 		Name    string `json:"name"`
 		Kind    string `json:"kind"`
@@ -57,7 +56,7 @@
 		Instances(ctx context.Context) ([]Instance, error)
 	}
 
-	// Page reads the list over HTTP. Set the fields, then call Open.
+	// Page is an HTTP client for the list. Set the fields, then call Open.
 	Page struct {
 		Address string
 		Network networker.Network
@@ -66,7 +65,7 @@
 	}
 )
 
-// ToWire maps instances to their JSON form.
+// ToWire converts instances to their JSON encoding.
 func ToWire(list []Instance) []WireInstance {
 	out := make([]WireInstance, 0, len(list))
 	for _, i := range list {
@@ -75,12 +74,12 @@
 	return out
 }
 
-// FromWire maps one instance from its JSON form.
+// FromWire converts an instance from its JSON encoding.
 func FromWire(w WireInstance) Instance {
 	return Instance{Name: w.Name, Kind: w.Kind, Address: w.Address, Zone: w.Zone, State: w.State}
 }
 
-// Open prepares the client; it makes no call.
+// Open initializes the client without making a call.
 func (p *Page) Open() *Page {
 	p.client = &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -91,7 +90,7 @@
 	return p
 }
 
-// Close drops the open connection.
+// Close closes the idle connection.
 func (p *Page) Close() { p.client.CloseIdleConnections() }
 
 // Instances implements List.
--- a/internal/lister/lister_test.go
+++ b/internal/lister/lister_test.go
@@ -27,9 +27,8 @@
 	return out
 }
 
-// An instance more or less in a list moves only the keys that are its own, and
-// the keys spread evenly.
-func TestTopMovesLittle(t *testing.T) {
+// Removing an instance moves only the keys assigned to it, and keys are distributed evenly.
+func TestTopIsConsistent(t *testing.T) {
 	const keys = 3000
 	all := instances(30)
 	share := map[string]int{}
@@ -46,8 +45,8 @@
 	}
 }
 
-// The platform's list over its protocol: what is registered shows after the lag,
-// with its state, and an error when the service is down.
+// The list returned over HTTP includes registrations after the lag. Reading it fails while the
+// service is down.
 func TestPage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, m := wirer.New(1), storer.NewMemory()
@@ -84,8 +83,7 @@
 	return out
 }
 
-// The list shows an instance that is gone, or lacks one that lives, or an
-// instance says itself that it leaves. The view follows what calls show.
+// Calls and shutdown announcements correct the view where the list is outdated.
 func TestView(t *testing.T) {
 	all := instances(3)
 	fresh := lister.Instance{Name: "fresh", Kind: lister.KindEntry, Address: "10.0.0.9:7100", Zone: "a", State: lister.StateLive}
@@ -97,17 +95,17 @@
 		pause  time.Duration
 		want   []string
 	}{
-		{"as listed", nil, 0, []string{"entry-0", "entry-1", "entry-2"}},
+		{"list only", nil, 0, []string{"entry-0", "entry-1", "entry-2"}},
 		{"one call failed", []controller.Event{lister.Called{Name: "entry-2"}}, 0, []string{"entry-0", "entry-1", "entry-2"}},
 		{"two calls failed", []controller.Event{lister.Called{Name: "entry-2"}, lister.Called{Name: "entry-2"}}, 0, []string{"entry-0", "entry-1"}},
-		{"it stays lost with time", []controller.Event{lister.Called{Name: "entry-2"}, lister.Called{Name: "entry-2"}, controller.Tick{}, controller.Tick{}}, time.Minute, []string{"entry-0", "entry-1"}},
-		{"it answers again", []controller.Event{lister.Called{Name: "entry-2"}, lister.Called{Name: "entry-2"}, lister.Called{Name: "entry-2", OK: true}}, 0, []string{"entry-0", "entry-1", "entry-2"}},
-		{"it calls", []controller.Event{lister.Called{Name: "entry-2"}, lister.Called{Name: "entry-2"}, lister.Met{Instance: all[2]}}, 0, []string{"entry-0", "entry-1", "entry-2"}},
-		{"one that the list lacks calls", []controller.Event{lister.Met{Instance: fresh}}, 0, []string{"entry-0", "entry-1", "entry-2", "fresh"}},
-		{"and is never heard of again", []controller.Event{lister.Met{Instance: fresh}, controller.Tick{}, controller.Tick{}}, 2 * time.Minute, []string{"entry-0", "entry-1", "entry-2"}},
-		{"one says that it leaves", []controller.Event{lister.Met{Instance: going}}, 0, []string{"entry-0", "entry-1"}},
-		{"the list says that it leaves", []controller.Event{lister.Listed{Instances: []lister.Instance{all[0], all[1], going}}}, 0, []string{"entry-0", "entry-1"}},
-		{"the list can't be read", []controller.Event{lister.Listed{Err: context.DeadlineExceeded}}, 0, []string{"entry-0", "entry-1", "entry-2"}},
+		{"unresponsive instance stays removed", []controller.Event{lister.Called{Name: "entry-2"}, lister.Called{Name: "entry-2"}, controller.Tick{}, controller.Tick{}}, time.Minute, []string{"entry-0", "entry-1"}},
+		{"unresponsive instance answers again", []controller.Event{lister.Called{Name: "entry-2"}, lister.Called{Name: "entry-2"}, lister.Called{Name: "entry-2", OK: true}}, 0, []string{"entry-0", "entry-1", "entry-2"}},
+		{"unresponsive instance calls", []controller.Event{lister.Called{Name: "entry-2"}, lister.Called{Name: "entry-2"}, lister.Met{Instance: all[2]}}, 0, []string{"entry-0", "entry-1", "entry-2"}},
+		{"unlisted instance calls", []controller.Event{lister.Met{Instance: fresh}}, 0, []string{"entry-0", "entry-1", "entry-2", "fresh"}},
+		{"unlisted instance expires", []controller.Event{lister.Met{Instance: fresh}, controller.Tick{}, controller.Tick{}}, 2 * time.Minute, []string{"entry-0", "entry-1", "entry-2"}},
+		{"instance announces its shutdown", []controller.Event{lister.Met{Instance: going}}, 0, []string{"entry-0", "entry-1"}},
+		{"list shows a leaving instance", []controller.Event{lister.Listed{Instances: []lister.Instance{all[0], all[1], going}}}, 0, []string{"entry-0", "entry-1"}},
+		{"list is unavailable", []controller.Event{lister.Listed{Err: context.DeadlineExceeded}}, 0, []string{"entry-0", "entry-1", "entry-2"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &lister.Slice{Self: all[0], Random: rand.New(rand.NewPCG(1, 1))}
--- a/internal/lister/ranker.go
+++ b/internal/lister/ranker.go
@@ -6,13 +6,13 @@
 	"github.com/oriolegw/oriolegw/internal/ranker"
 )
 
-// Rank orders instances for a key. All instances that hold the same list agree
-// without a message.
+// Rank orders instances for a key. Instances with the same list get the same order without
+// coordination.
 func Rank(key string, instances []Instance) []Instance {
 	return ranker.Rank(key, instances, func(i Instance) string { return i.Name })
 }
 
-// Top returns the first n instances of a zone for the key.
+// Top returns the n highest ranked instances of a zone for the key.
 func Top(key, zone string, n int, instances []Instance) []Instance {
 	var inside []Instance
 	for _, i := range instances {
@@ -24,7 +24,7 @@
 	return r[:min(n, len(r))]
 }
 
-// Holds reports whether the list has an instance of the name.
+// Holds reports whether the list contains an instance with the name.
 func Holds(list []Instance, name string) bool {
 	return slices.ContainsFunc(list, func(i Instance) bool { return i.Name == name })
 }
--- a/internal/lister/slice.go
+++ b/internal/lister/slice.go
@@ -11,89 +11,87 @@
 )
 
 const (
-	// watchers is how many instances of a zone read the list often. Two, so
-	// that one may die or pause without the zone missing a leaving sign.
+	// watchers is how many instances of a zone read the list frequently. Two, so that the
+	// zone notices a leaving instance even if one of them fails.
 	watchers = 2
 	watchKey = "instance-list"
-	// watchEvery leaves two of the three seconds that a leaving sign has.
-	watchEvery = time.Second
-	// readEvery and readEveryEach are how often the others read it: at 1,800
-	// instances each reads it every three minutes, the fleet 10 times a second.
-	readEvery     = 5 * time.Second
-	readEveryEach = 100 * time.Millisecond
-	// metFor is how long a peer that called counts without being in the list,
-	// which may be a minute late.
-	metFor = 90 * time.Second
-	// The pauses after which an instance that did not answer is tried again.
-	firstPause = time.Second
-	maxPause   = 30 * time.Second
-	// failuresToLose is how many failed calls in a row take an instance out of
-	// the view. One is not enough: a lost packet would move its work.
-	failuresToLose = 2
+	// watcherReadInterval is the read interval of the watchers. It must be well below the
+	// three seconds that a leaving instance stays listed.
+	watcherReadInterval = time.Second
+	// minReadInterval is the minimum read interval of the other instances. Their interval
+	// grows by readIntervalPerInstance, which limits the read rate of the fleet.
+	minReadInterval         = 5 * time.Second
+	readIntervalPerInstance = 100 * time.Millisecond
+	// unlistedRetention is how long an unlisted peer stays in the view after its last call.
+	// It exceeds the lag of the list.
+	unlistedRetention = 90 * time.Second
+	// minProbeDelay and maxProbeDelay bound the backoff of probes to an unresponsive instance.
+	minProbeDelay = time.Second
+	maxProbeDelay = 30 * time.Second
+	// maxFailures is how many consecutive failed calls remove an instance from the view.
+	// A single failure may only be a lost packet.
+	maxFailures = 2
 )
 
 type (
-	// Slice keeps this instance's view of the other entry instances. The list
-	// may be late and wrong, so the view adds who has called and takes out who
-	// does not answer. Nothing that must hold rests on two views agreeing: where
-	// they differ, a question is asked twice, or by an instance that has heard
-	// nothing (package observer).
+	// Slice maintains this instance's view of the live entry instances. It corrects the
+	// list by adding peers that call and removing peers that do not answer. The views of
+	// instances may differ, which at most causes redundant requests (package observer).
 	Slice struct {
 		// Self is this instance.
 		Self   Instance
 		Random *rand.Rand
 
-		reading  bool
-		nextRead time.Time
-		failures int
-		listed   map[string]Instance
-		met      map[string]met
-		lost     map[string]*lost
-		view     []Instance
-		// until is when the view changes by the passing of time.
-		until time.Time
+		reading      bool
+		nextRead     time.Time
+		failures     int
+		listed       map[string]Instance
+		contacted    map[string]contacted
+		unresponsive map[string]*unresponsive
+		view         []Instance
+		// nextExpiry is the next time at which an entry of the view expires.
+		nextExpiry time.Time
 	}
 
-	met struct {
+	contacted struct {
 		instance Instance
 		at       time.Time
 	}
 
-	lost struct {
-		failures int
-		pause    time.Duration
-		until    time.Time
+	unresponsive struct {
+		failures   int
+		probeDelay time.Duration
+		nextProbe  time.Time
 	}
 
-	// Read asks the platform for its list.
+	// Read requests the platform's list.
 	Read struct{}
 
-	// Listed is the platform's list as it was read.
+	// Listed is the result of Read.
 	Listed struct {
 		Instances []Instance
 		Err       error
 	}
 
-	// Met says that a peer called, or was named by one.
+	// Met reports that a peer called, or was listed by another peer.
 	Met struct{ Instance Instance }
 
-	// Called says how a call to a peer ended.
+	// Called reports the result of a call to a peer.
 	Called struct {
 		Name string
 		OK   bool
 	}
 
-	// Changed is a new view of the live entry instances, this one included, in
-	// the order of their names.
+	// Changed reports a new view of the live entry instances, including this one, sorted by
+	// name.
 	Changed struct{ Instances []Instance }
 
-	// Probe asks for a call to an instance that is out of the view because it
-	// did not answer. It comes back when it answers, or calls: if it came back
-	// by time alone, its work would go to and fro between it and others for as
-	// long as the list shows an instance that is gone.
+	// Probe requests a call to an unresponsive instance. It returns to the view only when it
+	// answers or calls. Returning after a timeout would move its work back and forth while
+	// a terminated instance is still listed.
 	Probe struct{ Instance Instance }
 
-	// Reader performs Read.
+	// Reader performs the Read action.
 	Reader struct{ List List }
 )
 
@@ -117,7 +115,7 @@
 
 // Step implements controller.Slice.
 func (s *Slice) Step(now time.Time, e controller.Event) []controller.Action {
-	s.open()
+	s.initialize()
 	switch e := e.(type) {
 	case controller.Tick:
 		return s.tick(now)
@@ -125,7 +123,7 @@
 		s.reading = false
 		if e.Err != nil {
 			s.failures++
-			s.nextRead = now.Add(s.spread(min(watchEvery<<min(s.failures, 4), maxPause/2)))
+			s.nextRead = now.Add(s.addJitter(min(watcherReadInterval<<min(s.failures, 4), maxProbeDelay/2)))
 			return nil
 		}
 		s.failures, s.listed = 0, map[string]Instance{}
@@ -134,102 +132,102 @@
 				s.listed[i.Name] = i
 			}
 		}
-		return s.look(now)
+		return s.updateView(now)
 	case Met:
-		return s.meet(now, e.Instance)
+		return s.handleMet(now, e.Instance)
 	case Called:
-		return s.called(now, e)
+		return s.handleCalled(now, e)
 	}
 	return nil
 }
 
-func (s *Slice) open() {
-	if s.met == nil {
-		s.met, s.lost = map[string]met{}, map[string]*lost{}
+func (s *Slice) initialize() {
+	if s.contacted == nil {
+		s.contacted, s.unresponsive = map[string]contacted{}, map[string]*unresponsive{}
 	}
 }
 
 func (s *Slice) tick(now time.Time) []controller.Action {
 	out := s.probe(now)
-	if s.view == nil || (!s.until.IsZero() && !now.Before(s.until)) {
-		out = append(out, s.look(now)...)
+	if s.view == nil || (!s.nextExpiry.IsZero() && !now.Before(s.nextExpiry)) {
+		out = append(out, s.updateView(now)...)
 	}
 	if s.reading || now.Before(s.nextRead) {
 		return out
 	}
-	s.reading, s.nextRead = true, now.Add(s.interval())
+	s.reading, s.nextRead = true, now.Add(s.readInterval())
 	return append(out, Read{})
 }
 
-// interval is how often this instance reads the list.
-func (s *Slice) interval() time.Duration {
+// readInterval returns the time until this instance reads the list again.
+func (s *Slice) readInterval() time.Duration {
 	if s.listed == nil || Holds(Top(watchKey, s.Self.Zone, watchers, s.view), s.Self.Name) {
-		return watchEvery
+		return watcherReadInterval
 	}
-	return s.spread(max(readEvery, time.Duration(len(s.view))*readEveryEach))
+	return s.addJitter(max(minReadInterval, time.Duration(len(s.view))*readIntervalPerInstance))
 }
 
-// spread keeps instances that were started together from reading together.
-func (s *Slice) spread(d time.Duration) time.Duration {
+// addJitter adds jitter to an interval.
+func (s *Slice) addJitter(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(s.Random.Int64N(int64(d)/2+1))
 }
 
-func (s *Slice) meet(now time.Time, i Instance) []controller.Action {
+func (s *Slice) handleMet(now time.Time, i Instance) []controller.Action {
 	if i.Name == s.Self.Name || i.Address == "" {
 		return nil
 	}
-	before := s.met[i.Name]
-	s.met[i.Name] = met{instance: i, at: now}
-	if before.instance == i && s.lost[i.Name] == nil {
+	before := s.contacted[i.Name]
+	s.contacted[i.Name] = contacted{instance: i, at: now}
+	if before.instance == i && s.unresponsive[i.Name] == nil {
 		return nil
 	}
-	// It called, so it lives, whatever calls to it said.
-	delete(s.lost, i.Name)
-	return s.look(now)
+	// A peer that calls is alive, even if calls to it have failed.
+	delete(s.unresponsive, i.Name)
+	return s.updateView(now)
 }
 
-func (s *Slice) called(now time.Time, e Called) []controller.Action {
-	l := s.lost[e.Name]
+func (s *Slice) handleCalled(now time.Time, e Called) []controller.Action {
+	l := s.unresponsive[e.Name]
 	if e.OK {
 		if l == nil {
 			return nil
 		}
-		delete(s.lost, e.Name)
-		return s.look(now)
+		delete(s.unresponsive, e.Name)
+		return s.updateView(now)
 	}
 	if l == nil {
-		l = &lost{pause: firstPause}
-		s.lost[e.Name] = l
+		l = &unresponsive{probeDelay: minProbeDelay}
+		s.unresponsive[e.Name] = l
 	}
-	if l.failures++; l.failures != failuresToLose {
+	if l.failures++; l.failures != maxFailures {
 		return nil
 	}
-	l.until, l.pause = now.Add(s.spread(l.pause)), 2*l.pause
-	return s.look(now)
+	l.nextProbe, l.probeDelay = now.Add(s.addJitter(l.probeDelay)), 2*l.probeDelay
+	return s.updateView(now)
 }
 
-// look makes the view anew, and tells the others if it has changed.
-func (s *Slice) look(now time.Time) []controller.Action {
+// updateView recomputes the view and emits Changed if it differs.
+func (s *Slice) updateView(now time.Time) []controller.Action {
 	seen := map[string]Instance{s.Self.Name: s.Self}
-	s.until = time.Time{}
-	for n, m := range s.met {
-		if now.Sub(m.at) > metFor {
-			delete(s.met, n)
+	s.nextExpiry = time.Time{}
+	for n, m := range s.contacted {
+		if now.Sub(m.at) > unlistedRetention {
+			delete(s.contacted, n)
 			continue
 		}
-		s.wake(m.at.Add(metFor + time.Millisecond))
+		s.scheduleUpdate(m.at.Add(unlistedRetention + time.Millisecond))
 		seen[n] = m.instance
 	}
 	for n, i := range s.listed {
-		if seen[n].State != StateLeaving { // it said so itself; the list lags
+		if seen[n].State != StateLeaving { // announced by the peer itself; the list lags
 			seen[n] = i
 		}
 	}
 	view := []Instance{}
 	for n, i := range seen {
-		l := s.lost[n]
-		away := l != nil && l.failures >= failuresToLose
-		if n == s.Self.Name || (i.State != StateLeaving && !away) {
+		l := s.unresponsive[n]
+		removed := l != nil && l.failures >= maxFailures
+		if n == s.Self.Name || (i.State != StateLeaving && !removed) {
 			view = append(view, i)
 		}
 	}
@@ -241,19 +239,19 @@
 	return []controller.Action{controller.Emit{Event: Changed{Instances: view}}}
 }
 
-// probe has those that did not answer called again, each after its pause.
+// probe emits Probe for each unresponsive instance whose backoff has passed.
 func (s *Slice) probe(now time.Time) []controller.Action {
 	var out []controller.Action
-	for n, l := range s.lost {
+	for n, l := range s.unresponsive {
 		i, ok := s.listed[n]
 		if !ok {
-			i, ok = s.met[n].instance, s.met[n].instance.Name != ""
+			i, ok = s.contacted[n].instance, s.contacted[n].instance.Name != ""
 		}
 		switch {
 		case !ok:
-			delete(s.lost, n) // nobody names it any more
-		case l.failures >= failuresToLose && !now.Before(l.until):
-			l.until, l.pause = now.Add(s.spread(l.pause)), min(2*l.pause, maxPause)
+			delete(s.unresponsive, n) // no longer listed
+		case l.failures >= maxFailures && !now.Before(l.nextProbe):
+			l.nextProbe, l.probeDelay = now.Add(s.addJitter(l.probeDelay)), min(2*l.probeDelay, maxProbeDelay)
 			out = append(out, controller.Emit{Event: Probe{Instance: i}})
 		}
 	}
@@ -263,9 +261,9 @@
 	return out
 }
 
-func (s *Slice) wake(at time.Time) {
-	if s.until.IsZero() || at.Before(s.until) {
-		s.until = at
+func (s *Slice) scheduleUpdate(at time.Time) {
+	if s.nextExpiry.IsZero() || at.Before(s.nextExpiry) {
+		s.nextExpiry = at
 	}
 }
 
