--- a/internal/identifier/identifier.go
+++ b/internal/identifier/identifier.go
@@ -1,5 +1,5 @@
-// Package identifier tells for which customer a caller acts. It has no clock and no
-// network, and knows keys by their digests only.
+// Package identifier maps clients to client accounts by API key or name. It stores only the
+// digests of keys, and does no I/O.
 package identifier
 
 import (
@@ -9,48 +9,48 @@
 	"slices"
 )
 
-// Anonymous is the customer of callers on routes that ask for no key. It is not a name
-// that a configuration can give.
+// Anonymous is the account of clients on routes that require no key. A configuration cannot
+// use this name.
 const Anonymous = "-"
 
-// keyLabel keeps digests of keys apart from digests that other programs make of the same
-// text.
+// keyLabel is the domain separation prefix of key digests.
 const keyLabel = "oriolegw key\x00"
 
 type (
-	// Key is the digest of a caller's key. The key itself is kept nowhere, so it can't show
-	// in a log, a metric, a message to another instance or a dump of the memory.
+	// Key is the digest of an API key. The key itself is not stored, so that it cannot leak
+	// into logs, metrics, messages or memory dumps.
 	Key [sha256.Size]byte
 
-	// Limit bounds the operations of a customer over the whole fleet. The zero value is no
-	// limit.
+	// Limit is the rate limit of an account over the whole fleet. The zero value means
+	// unlimited.
 	Limit struct {
-		// PerSecond is how many operations may be run a second in the long run, Burst how
-		// many at once by a customer that has been quiet.
+		// PerSecond is the sustained rate in operations per second, Burst the size of the
+		// token bucket in operations.
 		PerSecond, Burst float64
 	}
 
-	// Customer is a party whose callers share the fleet with others.
+	// Customer is a client account, the unit of fair sharing and rate limits.
 	Customer struct {
 		Name string
-		// Share is the weight among the customers of a service.
+		// Share is the weight of the account in fair scheduling.
 		Share int
-		// Users are the names, and Keys what callers present, that belong to the customer.
+		// Users are the user names, and Keys the digests of the API keys of the account.
 		Users []string
 		Keys  []Key
-		// Priority orders the customer's work where it waits with others'; 0 goes first.
+		// Priority orders the queued work of accounts; 0 is the highest.
 		Priority int
 		Limit    Limit
 	}
 
-	// Directory finds customers. It doesn't change, so any goroutine may use it.
+	// Directory is an immutable index of accounts by name and key. It is safe for concurrent
+	// use.
 	Directory struct {
 		byName map[string]*Customer
 		byKey  map[Key]*Customer
 	}
 )
 
-// KeyOf returns the digest of a key.
+// KeyOf returns the digest of an API key.
 func KeyOf(secret []byte) Key {
 	h := sha256.New()
 	_, _ = h.Write([]byte(keyLabel))
@@ -58,21 +58,21 @@
 	return Key(h.Sum(nil))
 }
 
-// String implements fmt.Stringer. Even the digest is not shown.
+// String implements fmt.Stringer. It does not reveal the digest.
 func (Key) String() string { return "(key)" }
 
-// Limited reports whether there is a limit.
+// Limited reports whether a rate limit is set.
 func (l Limit) Limited() bool { return l.PerSecond > 0 }
 
-// NewDirectory returns the directory of a list of customers. A key that two of them hold
-// belongs to the first.
+// NewDirectory returns the directory of a list of accounts. A duplicate key belongs to the
+// first of them.
 func NewDirectory(list []Customer) *Directory {
 	d := &Directory{byName: make(map[string]*Customer, len(list)), byKey: map[Key]*Customer{}}
 	for i := range list {
 		c := &list[i]
 		d.byName[c.Name] = c
 		for _, k := range c.Keys {
-			if _, held := d.byKey[k]; !held {
+			if _, exists := d.byKey[k]; !exists {
 				d.byKey[k] = c
 			}
 		}
@@ -80,8 +80,8 @@
 	return d
 }
 
-// Holder returns the customer that holds a key. How long it takes depends on digests only:
-// whoever measures it learns nothing of which keys there are.
+// Holder returns the account of a key. Its timing depends only on digests, so it reveals
+// nothing about existing keys.
 func (d *Directory) Holder(k Key) (*Customer, bool) {
 	c, ok := d.byKey[k]
 	if !ok {
@@ -95,7 +95,7 @@
 	return nil, false
 }
 
-// Customer returns the customer of a name, nil where there is none.
+// Customer returns the account with a name, nil if there is none.
 func (d *Directory) Customer(name string) *Customer {
 	if d == nil {
 		return nil
@@ -103,7 +103,7 @@
 	return d.byName[name]
 }
 
-// All calls a function for each customer, in the order of their names.
+// All iterates over the accounts in the order of their names.
 func (d *Directory) All(yield func(*Customer) bool) {
 	if d == nil {
 		return
@@ -115,7 +115,7 @@
 	}
 }
 
-// Len returns how many customers there are.
+// Len returns the number of accounts.
 func (d *Directory) Len() int {
 	if d == nil {
 		return 0
--- a/internal/pacer/pacer.go
+++ b/internal/pacer/pacer.go
@@ -1,12 +1,6 @@
-// Package pacer decides how often one instance may bring new work to a member that
-// has no room for it. It has no clock and no network.
-//
-// Load pattern: a group whose replicas lag leaves one member for everything, or a
-// burst comes. Its queue is full, and it refuses. Each instance alone sends it little,
-// less than one statement at a time, so a limit on statements in flight can't relieve
-// it; 83 instances together ask it ten times as often as it can serve. Nearly all that
-// passes between them are refusals, and callers wait in tries that have no chance while
-// other members, or another moment, would serve them.
+// Package pacer limits the rate at which an instance sends statements to an overloaded
+// member, by exponential backoff with jitter. A limit on statements in flight would not help:
+// many instances that each send one at a time can overload a member.
 package pacer
 
 import (
@@ -15,61 +9,58 @@
 )
 
 const (
-	// firstInterval is the least time between two pieces of new work after a refusal:
-	// about the time in which one of 3 to 6 slots becomes free.
-	firstInterval = 20 * time.Millisecond
-	// lastInterval bounds it. At 640 ms, 83 instances bring 130 pieces a second, less
-	// than the 180 that 6 slots serve at 33 ms each.
-	lastInterval = 640 * time.Millisecond
-	// growth and decay are what a refusal and a success make of the interval. Two
-	// successes take back a little more than one refusal.
-	growth, decay = 2, 0.6
-	// holdOff is the time in which several refusals count as one: they were under way
-	// together.
-	holdOff = 20 * time.Millisecond
+	// minInterval and maxInterval bound the mean time between two statements while the
+	// rate is limited.
+	minInterval = 20 * time.Millisecond
+	maxInterval = 640 * time.Millisecond
+	// backoffFactor and recoveryFactor multiply the interval after a rejection and after a
+	// success. Two successes outweigh one rejection.
+	backoffFactor, recoveryFactor = 2, 0.6
+	// rejectionWindow is the minimum time between two rejections that count, since
+	// statements in flight are rejected together.
+	rejectionWindow = 20 * time.Millisecond
 )
 
-// Pacer is what one instance knows of a member's room. The zero value lets everything
-// pass.
+// Pacer limits the rate of statements to one member. The zero value imposes no limit.
 type Pacer struct {
-	interval  time.Duration
-	next      time.Time
-	refusedAt time.Time
+	interval    time.Duration
+	nextAllowed time.Time
+	rejectedAt  time.Time
 }
 
-// Wait returns how long new work must wait, 0 when it may go now.
+// Wait returns the time until the next statement may be sent, 0 if it may be sent now.
 func (p *Pacer) Wait(now time.Time) time.Duration {
-	return max(0, p.next.Sub(now))
+	return max(0, p.nextAllowed.Sub(now))
 }
 
-// Free reports whether nothing is held back.
+// Free reports whether the rate is unlimited.
 func (p *Pacer) Free() bool { return p.interval == 0 }
 
-// Sent takes in that new work goes to the member.
-func (p *Pacer) Sent(now time.Time) { p.space(now) }
+// Sent records that a statement was sent to the member.
+func (p *Pacer) Sent(now time.Time) { p.scheduleNext(now) }
 
-// Refused takes in that the member had no room.
+// Refused records that the member rejected a statement because its queue was full.
 func (p *Pacer) Refused(now time.Time) {
-	if now.Sub(p.refusedAt) < max(holdOff, p.interval/2) {
+	if now.Sub(p.rejectedAt) < max(rejectionWindow, p.interval/2) {
 		return
 	}
-	p.refusedAt = now
-	p.interval = min(max(growth*p.interval, firstInterval), lastInterval)
-	p.space(now)
+	p.rejectedAt = now
+	p.interval = min(max(backoffFactor*p.interval, minInterval), maxInterval)
+	p.scheduleNext(now)
 }
 
-// Served takes in that the member ran a statement.
+// Served records that the member executed a statement.
 func (p *Pacer) Served() {
-	p.interval = time.Duration(decay * float64(p.interval))
-	if p.interval < firstInterval/2 {
-		p.interval, p.next = 0, time.Time{}
+	p.interval = time.Duration(recoveryFactor * float64(p.interval))
+	if p.interval < minInterval/2 {
+		p.interval, p.nextAllowed = 0, time.Time{}
 	}
 }
 
-// space puts the next piece of work off, by half of the time at random: instances that
-// were refused together must not come back together.
-func (p *Pacer) space(now time.Time) {
+// scheduleNext delays the next statement by the interval with jitter, so that instances that
+// were rejected together do not retry together.
+func (p *Pacer) scheduleNext(now time.Time) {
 	if p.interval > 0 {
-		p.next = now.Add(p.interval/2 + rand.N(p.interval))
+		p.nextAllowed = now.Add(p.interval/2 + rand.N(p.interval))
 	}
 }
--- a/internal/pacer/pacer_test.go
+++ b/internal/pacer/pacer_test.go
@@ -11,30 +11,30 @@
 const (
 	instances = 83
 	slots     = 6
-	queue     = 48
-	work      = 33 * time.Millisecond
+	queueSize = 48
+	duration  = 33 * time.Millisecond
 	step      = time.Millisecond
-	// tryAgain is when an instance without a pacer comes again after a refusal.
-	tryAgain = 10 * time.Millisecond
+	// retryDelay is the delay before the next statement of an instance after a rejection.
+	retryDelay = 10 * time.Millisecond
 )
 
-// member is a queue before some slots, on virtual time.
+// member simulates a member with a bounded queue and several slots, in virtual time.
 type member struct {
-	// ends are when the statements that it has taken end.
-	ends []time.Time
-	free [slots]time.Time
+	// endTimes holds the end times of the accepted statements.
+	endTimes []time.Time
+	free     [slots]time.Time
 }
 
-// take runs a statement after those before it, or refuses it.
-func (m *member) take(now time.Time) (end time.Time, ok bool) {
-	kept := m.ends[:0]
-	for _, e := range m.ends {
+// submit queues a statement and returns its end time, or rejects it.
+func (m *member) submit(now time.Time) (end time.Time, ok bool) {
+	pending := m.endTimes[:0]
+	for _, e := range m.endTimes {
 		if e.After(now) {
-			kept = append(kept, e)
+			pending = append(pending, e)
 		}
 	}
-	m.ends = kept
-	if len(m.ends) >= slots+queue {
+	m.endTimes = pending
+	if len(m.endTimes) >= slots+queueSize {
 		return time.Time{}, false
 	}
 	first := 0
@@ -43,70 +43,69 @@
 			first = i
 		}
 	}
-	begin := now
+	start := now
 	if m.free[first].After(now) {
-		begin = m.free[first]
+		start = m.free[first]
 	}
-	m.free[first] = begin.Add(work)
-	m.ends = append(m.ends, m.free[first])
+	m.free[first] = start.Add(duration)
+	m.endTimes = append(m.endTimes, m.free[first])
 	return m.free[first], true
 }
 
-// instance always has new work, one piece at a time.
+// instance sends one statement after another.
 type instance struct {
-	pace pacer.Pacer
-	// idle is from when it may bring the next piece.
-	idle time.Time
+	limiter pacer.Pacer
+	// readyAt is the earliest time of the next statement.
+	readyAt time.Time
 }
 
-// tally is what the member was asked and what became of it.
-type tally struct{ served, refused int }
+// counts holds the numbers of executed and rejected statements.
+type counts struct{ served, rejected int }
 
-// replay has all instances bring new work for ten seconds, of which the last eight
-// count.
-func replay(paced bool) tally {
+// simulate runs all instances for ten seconds and counts statements after a warm-up of
+// two seconds.
+func simulate(withPacer bool) counts {
 	start := time.Unix(0, 0)
 	var m member
-	var t tally
+	var t counts
 	all := make([]instance, instances)
 	for now := start; now.Sub(start) < 10*time.Second; now = now.Add(step) {
-		counts := now.Sub(start) > 2*time.Second
+		measuring := now.Sub(start) > 2*time.Second
 		for i := range all {
 			x := &all[i]
-			if x.idle.After(now) || paced && x.pace.Wait(now) > 0 {
+			if x.readyAt.After(now) || withPacer && x.limiter.Wait(now) > 0 {
 				continue
 			}
-			x.pace.Sent(now)
-			end, ok := m.take(now)
+			x.limiter.Sent(now)
+			end, ok := m.submit(now)
 			if ok {
-				x.idle = end
-				x.pace.Served()
+				x.readyAt = end
+				x.limiter.Served()
 			} else {
-				x.idle = now.Add(tryAgain)
-				x.pace.Refused(now)
+				x.readyAt = now.Add(retryDelay)
+				x.limiter.Refused(now)
 			}
-			if counts && ok {
+			if measuring && ok {
 				t.served++
-			} else if counts {
-				t.refused++
+			} else if measuring {
+				t.rejected++
 			}
 		}
 	}
 	return t
 }
 
-// Saturation: 83 instances have more work for a member than it can do. Without the
-// pauses it refuses 16 tries for each that it serves, each of them a network trip and a
-// turn in some caller's time; with them one in four, and its slots are as full.
+// The pacer must reduce the rejections of an overloaded member without reducing its
+// throughput.
 func TestSaturation(t *testing.T) {
-	without, with := replay(false), replay(true)
-	t.Logf("without: %+v, with: %+v", without, with)
-	must.Greater(t, 10*without.served, without.refused)
-	must.Less(t, with.served/3, with.refused)
-	must.Greater(t, without.served*95/100, with.served)
+	unpaced, paced := simulate(false), simulate(true)
+	t.Logf("without: %+v, with: %+v", unpaced, paced)
+	must.Greater(t, 10*unpaced.served, unpaced.rejected)
+	must.Less(t, paced.served/3, paced.rejected)
+	must.Greater(t, unpaced.served*95/100, paced.served)
 }
 
-// A refusal in passing costs little: the pace is back to free after two successes.
+// The limit is lifted two successes after a single rejection.
 func TestRecovery(t *testing.T) {
 	var p pacer.Pacer
 	now := time.Unix(1, 0)
@@ -118,9 +117,8 @@
 	must.Eq(t, 0, p.Wait(now))
 }
 
-// Ten statements were under way together and all refused: that is one reason to slow
-// down, not ten.
-func TestRefusalsTogetherCountOnce(t *testing.T) {
+// Rejections of statements that were in flight together count once.
+func TestConcurrentRejectionsCountOnce(t *testing.T) {
 	var p pacer.Pacer
 	now := time.Unix(1, 0)
 	for range 10 {
--- a/internal/pauser/pauser.go
+++ b/internal/pauser/pauser.go
@@ -1,4 +1,4 @@
-// Package pauser waits.
+// Package pauser provides a context-aware sleep.
 package pauser
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Pause waits for d, or until the context ends, whose error it then returns.
+// Pause sleeps for d. If the context ends before, it returns the context's error.
 func Pause(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
