--- a/internal/introducer/introducer.go
+++ b/internal/introducer/introducer.go
@@ -71,7 +71,8 @@
 		lastSeen tracker.Stamp
 		// contacted is set once the peer has sent a request or a reply.
 		contacted bool
-		// failures counts the consecutive failed calls, the first at failingSince, the last at failedAt.
+		// failures counts the consecutive failed calls. The first was at failingSince, the last
+		// at failedAt.
 		failures               int
 		failingSince, failedAt tracker.Stamp
 	}
