--- a/internal/lister/slice.go
+++ b/internal/lister/slice.go
@@ -15,8 +15,8 @@
 	// zone notices a leaving instance even if one of them fails.
 	watchers = 2
 	watchKey = "instance-list"
-	// watcherReadInterval is the read interval of the watchers. It must be well below the
-	// three seconds that a leaving instance stays listed.
+	// watcherReadInterval is the read interval of the watchers. A leaving instance must be
+	// noticed within three seconds.
 	watcherReadInterval = time.Second
 	// minReadInterval is the minimum read interval of the other instances. Their interval
 	// grows by readIntervalPerInstance, which limits the read rate of the fleet.
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -29,8 +29,8 @@
 	// registrationGrace is how long after an outage of the store members may take to
 	// register again.
 	registrationGrace = 2500 * time.Millisecond
-	// missingRetention is how long a member without an entry is kept as leaving, so that a
-	// failover can still take it into account.
+	// missingRetention is how long a member without an entry is kept as leaving, so that the
+	// primary role can be moved away from it. It must receive nothing after 7 s.
 	missingRetention = 5 * time.Second
 	// leavingTimeout is how long after its announcement a leaving member may still be sent
 	// work.
@@ -63,7 +63,7 @@
 		Clock  func() tracker.Stamp
 		// InForce is the maximum time until a change must be in force.
 		InForce time.Duration
-		// FirstStart is set when the snapshot fleet starts for the first time.
+		// FirstStart is set when the whole fleet starts for the first time.
 		FirstStart bool
 		// ConfigurationKey is the key of the configuration; the others are the key prefixes
 		// of members, duties and instances.
