--- a/internal/elector/decide.go
+++ b/internal/elector/decide.go
@@ -1,5 +1,5 @@
-// Package elector keeps one instance in charge of each group's primary, and moves
-// the lead when the primary is lost, cut off or about to leave.
+// Package elector elects one owner instance per group. The owner replaces the group's primary
+// when it fails, is partitioned or is about to leave.
 package elector
 
 import (
@@ -10,108 +10,95 @@
 	"github.com/oriolegw/oriolegw/internal/tracker"
 )
 
-// Load pattern: none of its own; a member under load answers late, and must not be
-// taken for a dead one. STATUS takes a slot, so a member that runs six times slower
-// with a full queue may need half a second.
+// A member under load responds late and must not be taken for a failed one.
 const (
-	// refusedAfter is for how long new connections must have been refused. A process
-	// that is gone refuses at once; a restart that was seen in between would be
-	// answered by a process that has its log.
-	refusedAfter = 200 * time.Millisecond
-	// silentAfter is for how long a member must have been silent on an old and on two
-	// new connections, from when it was asked. A member that is only slow loses the
-	// lead unharmed: the change needs no proof that it is dead.
-	silentAfter = 800 * time.Millisecond
-	// standstillAfter is for how long the primary must have moved on without any
-	// replica: its commits are not acknowledged meanwhile. Replicas receive within a
-	// network trip, at most 12 ms one way.
-	standstillAfter = 1200 * time.Millisecond
-	// leaderlessAfter is for how long no member must lead: longer than a promotion that
-	// another instance has ordered takes to show, 600 to 1,000 ms.
-	leaderlessAfter = 2 * time.Second
-	// overloadedAfter is for how long the primary must have had a long queue while a
-	// replica had none: longer than usual bursts, and short against the
-	// seconds that a member stays slow.
-	overloadedAfter = 800 * time.Millisecond
-	// queueFactor is how many statements a slot must have for the queue to be long. At
-	// three, a statement waits twice as long as it runs.
-	queueFactor = 3
-	// crowdedPart is the part of a member's connections that are taken when the rest is
-	// only changing hands.
-	crowdedPart = 0.9
-	// firstMovePause is the least time between the last change of the lead and one that
-	// only evens out load: open transactions are rolled back by each. When a group is
-	// overloaded again soon, the move was no cure, as where all slots are too few; the
-	// pause is four times as long then, up to lastMovePause.
-	firstMovePause = 8 * time.Second
-	lastMovePause  = 2 * time.Minute
-	// lateMovePause takes its place while a replica that is late could take the lead. Such
-	// a move is a cure each time: the member that was late leads, and the old primary
-	// answers reads. With two late replicas, one member had all the reads for 12 s.
-	lateMovePause = 2500 * time.Millisecond
-	// lingerTime is how long members keep connections whose other end has lost power.
-	// An instance that has just started may find a member full of those.
-	lingerTime = 3500 * time.Millisecond
-	// lateReplica is how late a replica is that can answer few reads: they may be 1.5 to
-	// 2.5 s old on the users' routes, proofs take up to 0.4 s of it.
-	lateReplica = time.Second
-	// leftPausedAfter is for how long a replica must have been paused while nobody changes
-	// the primary, before it is resumed.
-	leftPausedAfter = time.Second
+	// refusedTimeout is how long new connections must be refused before the primary counts as
+	// crashed.
+	refusedTimeout = 200 * time.Millisecond
+	// silenceTimeout is how long the primary must be unresponsive before it is replaced.
+	silenceTimeout = 800 * time.Millisecond
+	// stallTimeout is how long no replica may follow the primary's log. Its commits are not
+	// acknowledged meanwhile.
+	stallTimeout = 1200 * time.Millisecond
+	// leaderlessTimeout is how long a group must lack a primary. It exceeds the time of a
+	// promotion ordered by another instance.
+	leaderlessTimeout = 2 * time.Second
+	// overloadTimeout is how long the primary must be overloaded, so that short bursts do not
+	// change it.
+	overloadTimeout = 800 * time.Millisecond
+	// longQueueFactor is the number of statements per slot that makes a queue long.
+	longQueueFactor = 3
+	// crowdedRatio is the share of a member's connections in use at which it is nearly full.
+	crowdedRatio = 0.9
+	// minRebalanceInterval separates changes made only to balance load, since each rolls back open
+	// transactions. It grows up to maxRebalanceInterval while they do not help.
+	minRebalanceInterval = 8 * time.Second
+	maxRebalanceInterval = 2 * time.Minute
+	// laggingRebalanceInterval replaces minRebalanceInterval when a lagging replica can be
+	// promoted: the old primary then serves reads in its place.
+	laggingRebalanceInterval = 2500 * time.Millisecond
+	// deadConnectionTimeout is how long members keep connections of hosts that lost power. They
+	// may fill a member when this instance starts.
+	deadConnectionTimeout = 3500 * time.Millisecond
+	// laggingThreshold is the replication lag at which a replica is too stale for most reads.
+	laggingThreshold = time.Second
+	// stalePauseTimeout is how long a replica stays paused without a change in progress before it
+	// is resumed.
+	stalePauseTimeout = time.Second
 )
 
 type (
-	// Observation is what is known of a member from being asked.
+	// Observation is the last known state of a polled member.
 	Observation struct {
 		tracker.Member
-		// Answered is set when the member answered the last question.
+		// Answered is set when the member answered the last poll.
 		Answered bool
-		// Refused is set when a new connection was refused rather than unanswered.
+		// Refused is set when a new connection was refused, not timed out.
 		Refused bool
-		// Full is set when the member said that it takes no more connections: it lives.
+		// Full is set when the member rejected the connection for its connection limit.
 		Full bool
-		// FailedSince is when it first did not answer, since it last did.
+		// FailedSince is when the first of the current failed polls was sent.
 		FailedSince tracker.Stamp
 		Status      messenger.Status
-		// Known is when Status was last told.
+		// Known is when Status was received.
 		Known tracker.Stamp
-		// BehindSince is since when the replica has stood still at a position that the
-		// primary has passed, 0 when it does not; PausedSince since when it is paused.
+		// BehindSince is when the replica stopped at a position behind the primary's, 0 when it
+		// follows; PausedSince is when it was paused.
 		BehindSince, PausedSince tracker.Stamp
-		// OverloadedSince is since when the member's queue is long, 0 when it is not;
-		// CrowdedSince since when nearly all of its connections are taken.
+		// OverloadedSince is when the member's queue became long, 0 when it is not; CrowdedSince is
+		// when nearly all of its connections were in use.
 		OverloadedSince, CrowdedSince tracker.Stamp
 	}
 
-	// View is what the holder of a duty knows of its group.
+	// View is the state of a group as its owner sees it.
 	View struct {
 		Now     tracker.Stamp
 		Members []Observation
-		// Primary is the member that led when it was last asked.
+		// Primary is the last known primary.
 		Primary string
-		// LeaderlessSince is since when no member is known to lead, 0 when one is.
+		// LeaderlessSince is when the group lost its primary, 0 when it has one.
 		LeaderlessSince tracker.Stamp
 		// Ordered is when a promotion was last ordered.
 		Ordered tracker.Stamp
-		// MovePause is the least time between two changes that only even out load.
+		// MovePause is the minimum interval between changes made only to balance load.
 		MovePause time.Duration
 		// Booted is when this process started.
 		Booted tracker.Stamp
 	}
 
-	// Reason says why the lead is moved.
+	// Reason is why the primary is replaced.
 	Reason string
 
-	// Verdict is what should be done.
+	// Verdict is the outcome of Decide.
 	Verdict struct {
-		// Move is why the lead should move, "" when it should not.
+		// Move is why the primary should be replaced, ReasonNone when it should not.
 		Move Reason
-		// Resume names replicas that were left paused.
+		// Resume lists replicas that were left paused.
 		Resume []string
 	}
 )
 
-// The reasons to move the lead.
+// The reasons to replace the primary.
 const (
 	ReasonNone       Reason = ""
 	ReasonRefused    Reason = "primary-refuses-connections"
@@ -122,12 +109,12 @@
 	ReasonOverloaded Reason = "primary-overloaded"
 )
 
-// primaryLives reports whether the lead moves away from a primary that still works.
-func (r Reason) primaryLives() bool {
+// primaryAlive reports whether the replaced primary still works.
+func (r Reason) primaryAlive() bool {
 	return r == ReasonLeaving || r == ReasonStandstill || r == ReasonOverloaded
 }
 
-// Decide says whether the lead should move.
+// Decide determines whether the primary should be replaced.
 func Decide(v View) Verdict {
 	var p *Observation
 	for i := range v.Members {
@@ -136,7 +123,7 @@
 		}
 	}
 	if p == nil || p.Answered && !p.Status.Primary {
-		if v.LeaderlessSince != 0 && anyAnswered(v) && v.Now-v.LeaderlessSince > leaderlessAfter && v.Now-v.Ordered > leaderlessAfter {
+		if v.LeaderlessSince != 0 && anyAnswered(v) && v.Now-v.LeaderlessSince > leaderlessTimeout && v.Now-v.Ordered > leaderlessTimeout {
 			return Verdict{Move: ReasonLeaderless}
 		}
 		return Verdict{}
@@ -148,63 +135,60 @@
 		return Verdict{}
 	}
 	if !p.Answered {
-		return Verdict{Move: lost(v, p)}
+		return Verdict{Move: lossReason(v, p)}
 	}
 	if p.Leaving && hasSuccessor(v, p) {
 		return Verdict{Move: ReasonLeaving}
 	}
-	if standstill(v, p) {
+	if replicationStalled(v, p) {
 		return Verdict{Move: ReasonStandstill}
 	}
 	if overloaded(v, p) || crowded(v, p) {
 		return Verdict{Move: ReasonOverloaded}
 	}
-	return Verdict{Resume: leftPaused(v)}
+	return Verdict{Resume: stalePaused(v)}
 }
 
-// overloaded reports whether the primary can't keep up while a replica could.
-//
-// Two patterns of load bring this about. The primary's machine is slow: all writes
-// and transactions wait there. Or the replicas apply the log so late that no read
-// may go to them: then all reads come to the primary; with the lead at one of the
-// late replicas, the old primary answers reads as a replica that isn't late.
+// overloaded reports whether the primary is overloaded while a replica has spare capacity.
+// Either the primary's host is slow, or the replicas lag too much for reads, which then all go
+// to the primary.
 func overloaded(v View, p *Observation) bool {
-	if p.OverloadedSince == 0 || v.Now-p.OverloadedSince < overloadedAfter {
+	if p.OverloadedSince == 0 || v.Now-p.OverloadedSince < overloadTimeout {
 		return false
 	}
-	return mayRelieve(v, p)
+	return canOffload(v, p)
 }
 
-// crowded reports whether the primary has no place left for another connection while a
-// replica is too late for reads. Its queue may be short: transactions rest on most of its
-// connections, and the reads that replicas can't answer find none.
+// crowded reports whether the primary has nearly no connections left while a replica lags too
+// much for reads. The primary's queue may be short if its connections are held by idle
+// transactions.
 func crowded(v View, p *Observation) bool {
-	if p.CrowdedSince == 0 || v.Now-p.CrowdedSince < overloadedAfter {
+	if p.CrowdedSince == 0 || v.Now-p.CrowdedSince < overloadTimeout {
 		return false
 	}
-	return slices.ContainsFunc(v.Members, func(m Observation) bool { return m.ID != p.ID && m.relieves(v.Now) && m.late() }) && mayRelieve(v, p)
+	return slices.ContainsFunc(v.Members, func(m Observation) bool { return m.ID != p.ID && m.hasSpareCapacity(v.Now) && m.lagging() }) && canOffload(v, p)
 }
 
-// full reports whether the primary has had no place for a connection for too long,
-// while a replica has little to do.
+// full reports whether the primary has rejected connections for too long while a replica has
+// spare capacity.
 func full(v View, p *Observation) bool {
-	return v.Now-p.FailedSince >= overloadedAfter && v.Now-v.Booted > lingerTime && mayRelieve(v, p)
+	return v.Now-p.FailedSince >= overloadTimeout && v.Now-v.Booted > deadConnectionTimeout && canOffload(v, p)
 }
 
-// mayRelieve reports whether a replica could take the lead over from an overloaded
-// primary, and the last change is long enough ago.
-func mayRelieve(v View, p *Observation) bool {
-	free, late := false, false
+// canOffload reports whether a replica could replace an overloaded primary, and the last
+// change is long enough ago.
+func canOffload(v View, p *Observation) bool {
+	available, lagging := false, false
 	for _, m := range v.Members {
-		if m.ID != p.ID && m.relieves(v.Now) {
-			free, late = true, late || m.late()
+		if m.ID != p.ID && m.hasSpareCapacity(v.Now) {
+			available, lagging = true, lagging || m.lagging()
 		}
 	}
-	pause := max(v.MovePause, firstMovePause)
-	if late {
-		pause = lateMovePause
+	interval := max(v.MovePause, minRebalanceInterval)
+	if lagging {
+		interval = laggingRebalanceInterval
 	}
-	return free && (v.Ordered == 0 || v.Now-v.Ordered >= pause)
+	return available && (v.Ordered == 0 || v.Now-v.Ordered >= interval)
 }
 
 func anyAnswered(v View) bool {
@@ -216,19 +200,19 @@
 	return false
 }
 
-// lost says why a primary that did not answer is given up, if it is.
-func lost(v View, p *Observation) Reason {
+// lossReason returns why an unresponsive primary is replaced, if it is.
+func lossReason(v View, p *Observation) Reason {
 	failing := v.Now - p.FailedSince
 	switch {
-	case p.Refused && failing >= refusedAfter:
+	case p.Refused && failing >= refusedTimeout:
 		return ReasonRefused
-	case failing >= silentAfter:
+	case failing >= silenceTimeout:
 		return ReasonSilent
 	}
 	return ReasonNone
 }
 
-// hasSuccessor reports whether a member that stays could take the lead.
+// hasSuccessor reports whether a member that is not leaving could become primary.
 func hasSuccessor(v View, p *Observation) bool {
 	for _, m := range v.Members {
 		if m.ID != p.ID && m.Answered && !m.Leaving {
@@ -238,46 +222,45 @@
 	return false
 }
 
-// standstill reports whether the primary has gone on alone: it is cut off from its
-// replicas, so what it commits is acknowledged to nobody.
-func standstill(v View, p *Observation) bool {
+// replicationStalled reports whether no replica follows the primary, so that its commits are
+// not acknowledged.
+func replicationStalled(v View, p *Observation) bool {
 	answered := 0
 	for _, m := range v.Members {
 		if m.ID == p.ID || !m.Answered {
 			continue
 		}
 		answered++
-		// From answer to answer: a member without a slot for questions tells nothing of its log.
-		if m.BehindSince == 0 || m.Known-m.BehindSince < standstillAfter {
+		// Uses the time of the last status: a busy member's log position is unknown.
+		if m.BehindSince == 0 || m.Known-m.BehindSince < stallTimeout {
 			return false
 		}
 	}
-	// With one replica, the new primary would be as alone as the old one.
+	// With one replica, a new primary would have no replica either.
 	return answered > 1
 }
 
-// standsStill reports whether the member has not moved for longer than a commit takes
-// to reach it, though the primary has. Under load a replica that receives is always a
-// commit or two behind.
-func (o *Observation) standsStill(now tracker.Stamp) bool {
-	return o.BehindSince != 0 && now-o.BehindSince > catchUpTime
+// stalled reports whether the member has not advanced for longer than a commit takes to reach
+// it, although the primary has.
+func (o *Observation) stalled(now tracker.Stamp) bool {
+	return o.BehindSince != 0 && now-o.BehindSince > catchUpTimeout
 }
 
-// relieves reports whether the member could lead and has little to do.
-func (o *Observation) relieves(now tracker.Stamp) bool {
-	return o.Answered && !o.Leaving && !o.standsStill(now) && o.Status.Busy <= o.Slots
+// hasSpareCapacity reports whether the member could become primary and has free slots.
+func (o *Observation) hasSpareCapacity(now tracker.Stamp) bool {
+	return o.Answered && !o.Leaving && !o.stalled(now) && o.Status.Busy <= o.Slots
 }
 
-// late reports whether the member is too late to answer most reads.
-func (o *Observation) late() bool {
-	return o.Status.LagMillis >= lateReplica.Milliseconds()
+// lagging reports whether the replica is too stale for most reads.
+func (o *Observation) lagging() bool {
+	return o.Status.LagMillis >= laggingThreshold.Milliseconds()
 }
 
-// leftPaused names the replicas that a try which came to nothing has left paused.
-func leftPaused(v View) []string {
+// stalePaused lists the replicas that a failed change has left paused.
+func stalePaused(v View) []string {
 	var ids []string
 	for _, m := range v.Members {
-		if m.Answered && !m.Status.Primary && m.PausedSince != 0 && v.Now-m.PausedSince > leftPausedAfter {
+		if m.Answered && !m.Status.Primary && m.PausedSince != 0 && v.Now-m.PausedSince > stalePauseTimeout {
 			ids = append(ids, m.ID)
 		}
 	}
--- a/internal/elector/decide_test.go
+++ b/internal/elector/decide_test.go
@@ -12,7 +12,7 @@
 
 const now = time.Minute
 
-// healthy is a group whose primary p and replicas q, r answer.
+// healthy returns a group whose primary p and replicas q and r respond.
 func healthy() elector.View {
 	member := func(id string, primary bool) elector.Observation {
 		return elector.Observation{
@@ -33,23 +33,23 @@
 		change func(v *elector.View)
 		want   elector.Reason
 	}{
-		{"all is well", func(*elector.View) {}, elector.ReasonNone},
-		{"primary slow for a moment", func(v *elector.View) { silent(500 * time.Millisecond)(&v.Members[0]) }, elector.ReasonNone},
+		{"healthy", func(*elector.View) {}, elector.ReasonNone},
+		{"primary briefly silent", func(v *elector.View) { silent(500 * time.Millisecond)(&v.Members[0]) }, elector.ReasonNone},
 		{"primary silent", func(v *elector.View) { silent(time.Second)(&v.Members[0]) }, elector.ReasonSilent},
 		{"primary refuses connections", func(v *elector.View) {
 			silent(300 * time.Millisecond)(&v.Members[0])
 			v.Members[0].Refused = true
 		}, elector.ReasonRefused},
-		{"primary full lives", func(v *elector.View) {
+		{"primary full, replicas busy", func(v *elector.View) {
 			silent(5 * time.Second)(&v.Members[0])
 			v.Members[0].Full = true
 			v.Members[1].Status.Busy, v.Members[2].Status.Busy = 9, 9
 		}, elector.ReasonNone},
-		{"primary full while replicas are free", func(v *elector.View) {
+		{"primary full, replicas free", func(v *elector.View) {
 			silent(5 * time.Second)(&v.Members[0])
 			v.Members[0].Full = true
 		}, elector.ReasonOverloaded},
-		{"primary full right after this process began", func(v *elector.View) {
+		{"primary full just after this process started", func(v *elector.View) {
 			silent(2 * time.Second)(&v.Members[0])
 			v.Members[0].Full, v.Booted = true, now-2*time.Second
 		}, elector.ReasonNone},
@@ -59,42 +59,42 @@
 				v.Members[i].Leaving = true
 			}
 		}, elector.ReasonNone},
-		{"replicas stand still", func(v *elector.View) {
+		{"all replicas stalled", func(v *elector.View) {
 			v.Members[1].BehindSince, v.Members[2].BehindSince = now-2*time.Second, now-2*time.Second
 		}, elector.ReasonStandstill},
-		{"one replica stands still", func(v *elector.View) { v.Members[1].BehindSince = now - 2*time.Second }, elector.ReasonNone},
-		{"the only replica stands still", func(v *elector.View) {
+		{"one replica stalled", func(v *elector.View) { v.Members[1].BehindSince = now - 2*time.Second }, elector.ReasonNone},
+		{"the only replica stalled", func(v *elector.View) {
 			v.Members = v.Members[:2]
 			v.Members[1].BehindSince = now - 2*time.Second
 		}, elector.ReasonNone},
-		{"overloaded beside free replicas", func(v *elector.View) { v.Members[0].OverloadedSince = now - time.Second }, elector.ReasonOverloaded},
-		{"overloaded, moved just before", func(v *elector.View) {
+		{"primary overloaded, replicas free", func(v *elector.View) { v.Members[0].OverloadedSince = now - time.Second }, elector.ReasonOverloaded},
+		{"primary overloaded, changed recently", func(v *elector.View) {
 			v.Members[0].OverloadedSince, v.Ordered = now-time.Second, now-3*time.Second
 		}, elector.ReasonNone},
-		{"overloaded, moved just before, another replica is late", func(v *elector.View) {
+		{"primary overloaded, changed recently, a replica lags", func(v *elector.View) {
 			v.Members[0].OverloadedSince, v.Ordered = now-time.Second, now-3*time.Second
 			v.Members[2].Status.LagMillis = 40000
 		}, elector.ReasonOverloaded},
-		{"overloaded, moved a second before, another replica is late", func(v *elector.View) {
+		{"primary overloaded, changed a second ago, a replica lags", func(v *elector.View) {
 			v.Members[0].OverloadedSince, v.Ordered = now-time.Second, now-time.Second
 			v.Members[2].Status.LagMillis = 40000
 		}, elector.ReasonNone},
-		{"no connections left, a replica is late", func(v *elector.View) {
+		{"no connections left, a replica lags", func(v *elector.View) {
 			v.Members[0].CrowdedSince = now - time.Second
 			v.Members[2].Status.LagMillis = 5000
 		}, elector.ReasonOverloaded},
-		{"no connections left, no replica is late", func(v *elector.View) { v.Members[0].CrowdedSince = now - time.Second }, elector.ReasonNone},
+		{"no connections left, no replica lags", func(v *elector.View) { v.Members[0].CrowdedSince = now - time.Second }, elector.ReasonNone},
 		{"all overloaded", func(v *elector.View) {
 			v.Members[0].OverloadedSince = now - time.Second
 			v.Members[1].Status.Busy, v.Members[2].Status.Busy = 9, 9
 		}, elector.ReasonNone},
-		{"nobody leads", func(v *elector.View) {
+		{"no primary", func(v *elector.View) {
 			v.Members[0].Status.Primary, v.LeaderlessSince = false, now-3*time.Second
 		}, elector.ReasonLeaderless},
-		{"nobody leads while a promotion is under way", func(v *elector.View) {
+		{"no primary while a promotion is in progress", func(v *elector.View) {
 			v.Members[0].Status.Primary, v.LeaderlessSince, v.Ordered = false, now-3*time.Second, now-time.Second
 		}, elector.ReasonNone},
-		{"nobody answers", func(v *elector.View) {
+		{"no member responds", func(v *elector.View) {
 			v.Primary, v.LeaderlessSince = "", now-3*time.Second
 			for i := range v.Members {
 				silent(time.Second)(&v.Members[i])
@@ -109,17 +109,16 @@
 	}
 }
 
-// A replica was paused for a change that came to nothing. It is resumed, but not while
-// the pause is new: the change may be under way.
-func TestDecideResumes(t *testing.T) {
+// A replica left paused by a failed change is resumed, unless the pause is recent: the change
+// may be in progress.
+func TestDecideResumesStalePauses(t *testing.T) {
 	v := healthy()
 	v.Members[1].PausedSince, v.Members[2].PausedSince = now-2*time.Second, now-100*time.Millisecond
 	must.Eq(t, []string{"q"}, elector.Decide(v).Resume)
 }
 
-// A group is overloaded again soon after its lead was moved for that: all its slots are
-// too few. Moving on and on would only roll transactions back.
-func TestMovesForLoadAreSpaced(t *testing.T) {
+// Guards against repeated changes of a group whose members are all overloaded.
+func TestLoadBalancingChangesAreSpaced(t *testing.T) {
 	v := healthy()
 	v.Members[0].OverloadedSince, v.Ordered = now-time.Second, now-20*time.Second
 	must.Eq(t, elector.ReasonOverloaded, elector.Decide(v).Move)
--- a/internal/elector/duty.go
+++ b/internal/elector/duty.go
@@ -5,42 +5,41 @@
 	"time"
 )
 
-// This file is what a keeper may do with the duty that its elector holds.
+// This file holds the methods that a keeper calls on an owned group.
 
-// Holds reports whether the duty is surely held for that much longer.
+// Holds reports whether the ownership is certain to last for the given time.
 func (d *Duty) Holds(more time.Duration) bool {
 	e := d.elector
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.duty(d.group).held && e.Clock()+more+leaseMargin < e.until
+	return e.ownership(d.group).held && e.Clock()+more+leaseSafetyMargin < e.leaseExpiry
 }
 
-// Facts returns what was recorded last.
+// Facts returns the group's last recorded state.
 func (d *Duty) Facts() Facts {
 	e := d.elector
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	r := decode(e.duty(d.group).record.Value)
+	r := decodeOrEmpty(e.ownership(d.group).record.Value)
 	return Facts{Members: r.Members, Open: r.Open, Lead: Lead{ID: r.Leader, Born: r.LeaderBorn, Term: r.Term}}
 }
 
-// Fence records facts and returns the record's new revision, which is above every
-// fence used before: by other holders, and by this one in a call that may still be
-// carried out. While the store doesn't answer, the fence of the last record serves, if
-// no call under it is open.
+// Fence records the group's state and returns the record's new revision as the fencing token,
+// which exceeds every token used before. If the store does not respond, the last token is
+// reused unless an order sent with it is unanswered.
 func (d *Duty) Fence(ctx context.Context, f Facts) (int64, error) {
 	e := d.elector
 	e.mutex.Lock()
-	p, lease, spent := e.duty(d.group).record, e.lease, e.duty(d.group).spent
+	p, lease, unanswered := e.ownership(d.group).record, e.lease, e.ownership(d.group).promotionUnanswered
 	e.mutex.Unlock()
 	old := p.Revision
-	r := decode(p.Value)
+	r := decodeOrEmpty(p.Value)
 	r.Members, r.Open = f.Members, f.Open
 	r.Leader, r.LeaderBorn, r.Term = f.Lead.ID, f.Lead.Born, f.Lead.Term
 	p.Value = e.encode(r, lease)
 	now, ok, err := e.Store.Swap(ctx, p, lease)
 	if err != nil {
-		if spent || old == 0 || !d.Holds(0) {
+		if unanswered || old == 0 || !d.Holds(0) {
 			return 0, err
 		}
 		e.Log("event", "fence-reused", "group", d.group, "fence", old, "cause", err)
@@ -48,21 +47,21 @@
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	x := e.duty(d.group)
-	if now.Revision > x.record.Revision {
-		e.learn(x, now)
+	o := e.ownership(d.group)
+	if now.Revision > o.record.Revision {
+		e.applyRecord(o, now)
 	}
-	if !ok && decode(now.Value).Holder != e.Name {
-		return 0, errNotHeld
+	if !ok && decodeOrEmpty(now.Value).Holder != e.Name {
+		return 0, errNotOwner
 	}
-	x.spent = false
+	o.promotionUnanswered = false
 	return now.Revision, nil
 }
 
-// Spend notes that an order under the newest fence got no answer.
+// Spend notes that an order sent with the newest fencing token is unanswered.
 func (d *Duty) Spend() {
 	e := d.elector
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.duty(d.group).spent = true
+	e.ownership(d.group).promotionUnanswered = true
 }
--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -15,116 +15,107 @@
 )
 
 const (
-	// DutyPrefix is where the duties' records lie in the store.
+	// DutyPrefix is the store's key prefix of ownership records.
 	DutyPrefix = "oriolegw/duty/"
-	// leaseTime is how long a holder that has died keeps its duties: within it nobody
-	// moves the lead of its groups. Renewals are tried three times in it, each of
-	// which may take 240 ms when the store is slow.
-	leaseTime = 2500 * time.Millisecond
-	// renewInterval is how often the lease is renewed; a renewal costs a tenth of a
-	// read.
-	renewInterval = 700 * time.Millisecond
-	// leaseMargin is kept at a lease's end for what has been sent meanwhile.
-	leaseMargin = 200 * time.Millisecond
-	// takeStep is how much later than the one before it each instance in turn tries to
-	// take a duty that nobody has: a try is two calls of the store, and most have heard of
-	// the new holder within four steps.
-	takeStep = 250 * time.Millisecond
-	// turnsCounted is how many instances have a turn of their own; the others spread their
-	// tries over as much time again, for when those first ones are all dead, or cut off from
-	// the store.
-	turnsCounted = 8
-	// firstPause is how long nobody tries when the whole fleet starts for the first time,
-	// some ten seconds before the first callers: until then instances don't know each
-	// other. firstStep takes the place of takeStep then, since news is gathered for longer.
-	firstPause = 2 * time.Second
-	firstStep  = 1500 * time.Millisecond
-	// takePause is the least time between two tries of an instance to take a duty.
-	takePause = 500 * time.Millisecond
-	// tickInterval is how often the duties are looked through while one is free, and
-	// restInterval while none is; the lease is renewed with either.
-	tickInterval = 50 * time.Millisecond
-	restInterval = 200 * time.Millisecond
-	// endTimeout bounds the giving back of the lease at the end.
-	endTimeout = 300 * time.Millisecond
+	// leaseTTL bounds the time without an owner after one has died. Renewal is attempted several
+	// times within it.
+	leaseTTL           = 2500 * time.Millisecond
+	leaseRenewInterval = 700 * time.Millisecond
+	// leaseSafetyMargin is kept at the end of the lease for requests in flight.
+	leaseSafetyMargin = 200 * time.Millisecond
+	// acquireStagger is the delay between the acquisition attempts of successive instances, so
+	// that most learn of the new owner before they try.
+	acquireStagger = 250 * time.Millisecond
+	// staggeredInstances is the number of instances with an individual delay; all others pick a
+	// random, longer one.
+	staggeredInstances = 8
+	// coldStartDelay is how long no instance acquires groups when the whole fleet starts, since
+	// instances do not know each other yet. coldStartStagger then replaces acquireStagger.
+	coldStartDelay   = 2 * time.Second
+	coldStartStagger = 1500 * time.Millisecond
+	// acquireRetryInterval is the minimum time between an instance's attempts to acquire a group.
+	acquireRetryInterval = 500 * time.Millisecond
+	// vacantTickInterval is the period of Run's loop while a group has no owner, idleTickInterval
+	// otherwise.
+	vacantTickInterval = 50 * time.Millisecond
+	idleTickInterval   = 200 * time.Millisecond
+	// revokeTimeout bounds the revocation of the lease at shutdown.
+	revokeTimeout = 300 * time.Millisecond
 )
 
 type (
-	// Elector takes the duty of watching over groups that nobody else has, one record
-	// a group in the store, under one lease. Set the exported fields, then call Run.
+	// Elector acquires groups that have no owner, with one record per group in the store, all
+	// under one lease. Set the exported fields, then call Run.
 	Elector struct {
 		Store storer.Store
 		Clock func() tracker.Stamp
-		// Name is this instance's, a new one for each of its lives.
+		// Name identifies this process; it is new after each restart.
 		Name string
 		// FirstStart is set when the whole fleet starts for the first time.
 		FirstStart bool
-		// Groups lists the groups in force.
+		// Groups lists the configured groups.
 		Groups func() []string
-		// Turn, when set, says how many instances try to take a group's duty before this
-		// one, so that not all do at once. last is the name of the last holder, "" where
-		// there was none.
+		// Turn, when set, returns how many instances try to acquire a group before this one. last is
+		// the previous owner, "" if there was none.
 		Turn func(group, last string) int
-		// InTouch, when set, reports whether the store answers.
+		// InTouch, when set, reports whether the store responds.
 		InTouch func() bool
-		// Keep watches over a group until the context ends.
+		// Keep supervises a group until the context ends.
 		Keep func(ctx context.Context, group string, d *Duty) error
 		Log  func(fields ...any)
 
-		mutex  sync.Mutex
-		duties map[string]*duty
-		// freed has an element when a duty has lost its holder since the last tick.
-		freed chan struct{}
-		// began is when Run was called.
-		began tracker.Stamp
-		lease storer.Lease
-		// until is when the lease may have run out; asked when it was last renewed.
-		until, asked tracker.Stamp
+		mutex      sync.Mutex
+		ownerships map[string]*groupOwnership
+		// vacated receives when a group has lost its owner since the last tick.
+		vacated   chan struct{}
+		startedAt tracker.Stamp
+		lease     storer.Lease
+		// leaseExpiry is when the lease may expire; renewedAt is when it was last renewed.
+		leaseExpiry, renewedAt tracker.Stamp
 	}
 
-	// Duty is the charge of one group, as its keeper uses it.
+	// Duty is the ownership of one group, as used by its keeper.
 	Duty struct {
 		elector *Elector
 		group   string
 	}
 
-	duty struct {
+	groupOwnership struct {
 		record storer.Pair
 		held   bool
-		// foreign is set while the record is none that an instance can have written. It
-		// names no holder: the duty is free, or nobody would ever take it again.
-		foreign bool
-		// spent is set while a promotion under the newest fence may still be carried
-		// out.
-		spent bool
-		// taking is when this instance tries to take it; 0 until that was decided.
-		taking tracker.Stamp
-		cancel context.CancelFunc
-		ended  chan error
+		// invalid is set while the record cannot be parsed or names no owner. The group then counts as
+		// vacant.
+		invalid bool
+		// promotionUnanswered is set while a promotion sent with the newest fencing token may still be
+		// executed.
+		promotionUnanswered bool
+		// acquireAt is when this instance tries to acquire the group, 0 if not scheduled.
+		acquireAt tracker.Stamp
+		cancel    context.CancelFunc
+		done      chan error
 	}
 
-	// Facts are what a holder of a duty leaves to the next one.
+	// Facts is the state of a group that an owner records for its successor.
 	Facts struct {
-		// Members gives the address of each member whose log may hold acknowledged
-		// commits.
+		// Members maps each member whose log may hold acknowledged commits to its address.
 		Members map[string]string
-		// Open is set while an order to promote may still be carried out.
+		// Open is set while a promotion order may still be executed.
 		Open bool
-		// Lead is who was last seen to lead.
+		// Lead is the last known primary.
 		Lead Lead
 	}
 
-	// Lead is a member's leadership: of which term, in which of its lives.
+	// Lead identifies a primary by member, incarnation and term.
 	Lead struct {
 		ID   string
 		Born int64
 		Term uint64
 	}
 
-	// record is a duty's value in the store.
+	// record is the value stored for a group.
 	record struct {
 		Holder string `json:"holder"`
-		// Lease is the one that the record hangs on.
+		// Lease is the lease that the record is bound to.
 		Lease      int64             `json:"lease"`
 		Members    map[string]string `json:"members"`
 		Open       bool              `json:"order-open"`
@@ -134,79 +125,78 @@
 	}
 )
 
-// Run takes and keeps duties until the context ends, then gives them back.
+// Run acquires and keeps groups until the context ends, then releases them.
 func (e *Elector) Run(ctx context.Context) error {
-	e.began = e.Clock()
-	freed := e.freedDuty()
+	e.startedAt = e.Clock()
+	vacated := e.vacatedChannel()
 	for {
-		pause := restInterval
+		interval := idleTickInterval
 		if e.tick(ctx) {
-			pause = tickInterval
+			interval = vacantTickInterval
 		}
 		select {
 		case <-ctx.Done():
-			e.end()
+			e.shutdown()
 			return ctx.Err()
-		case <-time.After(pause):
-		case <-freed:
+		case <-time.After(interval):
+		case <-vacated:
 		}
 	}
 }
 
-// freedDuty returns the channel that Saw sends to when a duty has lost its holder.
-func (e *Elector) freedDuty() chan struct{} {
+// vacatedChannel returns the channel that Saw notifies when a group has lost its owner.
+func (e *Elector) vacatedChannel() chan struct{} {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.freed == nil {
-		e.freed = make(chan struct{}, 1)
+	if e.vacated == nil {
+		e.vacated = make(chan struct{}, 1)
 	}
-	return e.freed
+	return e.vacated
 }
 
-// Saw takes in a duty's record as the store has it.
+// Saw processes a group's record as read from the store.
 func (e *Elector) Saw(p storer.Pair) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	d := e.duty(strings.TrimPrefix(p.Key, DutyPrefix))
-	if p.Revision != 0 && p.Revision <= d.record.Revision {
+	o := e.ownership(strings.TrimPrefix(p.Key, DutyPrefix))
+	if p.Revision != 0 && p.Revision <= o.record.Revision {
 		return
 	}
-	if p.Revision == 0 && d.held {
-		// The key ends with the lease: whoever has not noticed yet must not act.
-		e.drop(p.Key, d, "record-gone")
+	if p.Revision == 0 && o.held {
+		// The key expires with the lease, so the ownership is lost.
+		e.lose(p.Key, o, "record-gone")
 	}
-	if p.Revision == 0 && e.freed != nil {
+	if p.Revision == 0 && e.vacated != nil {
 		select {
-		case e.freed <- struct{}{}:
+		case e.vacated <- struct{}{}:
 		default:
 		}
 	}
-	e.learn(d, p)
+	e.applyRecord(o, p)
 }
 
-// learn takes in a newer record of a duty; the mutex is held. What the members' roster
-// was outlives its holder, and whoever else overwrites it.
-func (e *Elector) learn(d *duty, p storer.Pair) {
-	d.foreign = false
-	if _, err := read(p.Value); p.Revision != 0 && err != nil {
-		d.foreign = true
-		e.Log("event", "duty-record-rejected", "duty", p.Key, "revision", p.Revision, "held", d.held, "cause", err)
-	}
-	if p.Revision == 0 || d.foreign {
-		p.Value = d.record.Value
-	}
-	d.record = p
+// applyRecord stores a newer record; the mutex is held. The value of a deleted or invalid
+// record is replaced by the last valid one, which keeps the member list.
+func (e *Elector) applyRecord(o *groupOwnership, p storer.Pair) {
+	o.invalid = false
+	if _, err := parseRecord(p.Value); p.Revision != 0 && err != nil {
+		o.invalid = true
+		e.Log("event", "duty-record-rejected", "duty", p.Key, "revision", p.Revision, "held", o.held, "cause", err)
+	}
+	if p.Revision == 0 || o.invalid {
+		p.Value = o.record.Value
+	}
+	o.record = p
 }
 
-// own reports whether a record is this instance's under the lease that it has: the
-// call that took the duty got no answer, and took effect.
-func (e *Elector) own(d *duty) bool {
-	// Most instances have no lease: before 20 groups, 20 ticks a second would read 400
-	// records for nothing.
-	if d.record.Revision == 0 || e.lease == 0 {
+// ownsRecord reports whether a record was written by this instance under its current lease, as
+// after an acquisition whose response was lost.
+func (e *Elector) ownsRecord(o *groupOwnership) bool {
+	// Avoids decoding every record on instances without a lease.
+	if o.record.Revision == 0 || e.lease == 0 {
 		return false
 	}
-	r := decode(d.record.Value)
+	r := decodeOrEmpty(o.record.Value)
 	return r.Holder == e.Name && r.Lease == int64(e.lease)
 }
 
@@ -214,148 +204,145 @@
 func (e *Elector) Roster(group string) []string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return slices.Sorted(maps.Keys(decode(e.duty(group).record.Value).Members))
+	return slices.Sorted(maps.Keys(decodeOrEmpty(e.ownership(group).record.Value).Members))
 }
 
-func (e *Elector) duty(group string) *duty {
-	if e.duties == nil {
-		e.duties = map[string]*duty{}
+func (e *Elector) ownership(group string) *groupOwnership {
+	if e.ownerships == nil {
+		e.ownerships = map[string]*groupOwnership{}
 	}
-	d, ok := e.duties[group]
+	o, ok := e.ownerships[group]
 	if !ok {
-		d = &duty{}
-		e.duties[group] = d
+		o = &groupOwnership{}
+		e.ownerships[group] = o
 	}
-	return d
+	return o
 }
 
-// tick renews the lease and tries to take what is due, and reports whether a duty is free.
-func (e *Elector) tick(ctx context.Context) (free bool) {
-	e.renew(ctx)
+// tick renews the lease and acquires vacant groups. It reports whether any group is vacant.
+func (e *Elector) tick(ctx context.Context) (anyVacant bool) {
+	e.renewLease(ctx)
 	for _, g := range e.Groups() {
 		e.mutex.Lock()
-		d := e.duty(g)
-		due := e.due(g, d)
-		free = free || d.free()
-		if !d.held && e.own(d) {
-			e.begin(ctx, g, d)
+		o := e.ownership(g)
+		due := e.shouldAcquire(g, o)
+		anyVacant = anyVacant || o.vacant()
+		if !o.held && e.ownsRecord(o) {
+			e.startKeeper(ctx, g, o)
 		}
 		e.mutex.Unlock()
 		if due {
-			e.take(ctx, g, d)
+			e.acquire(ctx, g, o)
 		}
 	}
-	return free
+	return anyVacant
 }
 
-// free reports whether nobody has a duty.
-func (d *duty) free() bool { return !d.held && (d.record.Revision == 0 || d.foreign) }
+// vacant reports whether a group has no owner.
+func (o *groupOwnership) vacant() bool { return !o.held && (o.record.Revision == 0 || o.invalid) }
 
-// due reports whether this instance is to try to take a duty now; the mutex is held.
-//
-// Load pattern: the holder of a duty dies, or all instances start together. If each of 295
-// tries within 0.3 s, the store gets 590 calls for each of 20 groups at once. In turn, those
-// behind the first few hear of the new holder before they try.
-func (e *Elector) due(group string, d *duty) bool {
+// shouldAcquire reports whether to try to acquire a group now; the mutex is held. Attempts are
+// staggered among instances to avoid a burst of store calls when an owner dies or the fleet
+// starts.
+func (e *Elector) shouldAcquire(group string, o *groupOwnership) bool {
 	now := e.Clock()
-	if !d.free() || e.FirstStart && now-e.began < firstPause || e.InTouch != nil && !e.InTouch() {
-		// A turn that was planned before has passed when the duty is free to be taken.
-		d.taking = 0
+	if !o.vacant() || e.FirstStart && now-e.startedAt < coldStartDelay || e.InTouch != nil && !e.InTouch() {
+		// A delay scheduled earlier has passed by the time the group can be acquired.
+		o.acquireAt = 0
 		return false
 	}
-	if d.taking == 0 {
-		d.taking = now + e.wait(group, d)
+	if o.acquireAt == 0 {
+		o.acquireAt = now + e.acquireDelay(group, o)
 	}
-	return now >= d.taking
+	return now >= o.acquireAt
 }
 
-// wait is how long to leave a duty without holder to others; the mutex is held.
-func (e *Elector) wait(group string, d *duty) time.Duration {
-	step := takeStep
-	if e.FirstStart && e.Clock()-e.began < turnsCounted*firstStep {
-		step = firstStep
+// acquireDelay returns how long to leave a vacant group to other instances; the mutex is held.
+func (e *Elector) acquireDelay(group string, o *groupOwnership) time.Duration {
+	stagger := acquireStagger
+	if e.FirstStart && e.Clock()-e.startedAt < staggeredInstances*coldStartStagger {
+		stagger = coldStartStagger
 	}
-	turn := 0
+	rank := 0
 	if e.Turn != nil {
-		turn = e.Turn(group, decode(d.record.Value).Holder)
+		rank = e.Turn(group, decodeOrEmpty(o.record.Value).Holder)
 	}
-	if turn >= turnsCounted {
-		return turnsCounted*step + rand.N(turnsCounted*step)
+	if rank >= staggeredInstances {
+		return staggeredInstances*stagger + rand.N(staggeredInstances*stagger)
 	}
-	return time.Duration(turn)*step + rand.N(step/4)
+	return time.Duration(rank)*stagger + rand.N(stagger/4)
 }
 
-// renew keeps the lease alive while something hangs on it.
-func (e *Elector) renew(ctx context.Context) {
+// renewLease renews the lease while this instance owns a group.
+func (e *Elector) renewLease(ctx context.Context) {
 	e.mutex.Lock()
-	if !e.holdsAny() && e.Clock() > e.until {
+	if !e.ownsAny() && e.Clock() > e.leaseExpiry {
 		e.lease = 0
 	}
-	lease, due := e.lease, e.Clock()-e.asked >= renewInterval
-	due = due && e.holdsAny()
+	lease, due := e.lease, e.Clock()-e.renewedAt >= leaseRenewInterval
+	due = due && e.ownsAny()
 	e.mutex.Unlock()
 	if lease == 0 || !due {
 		return
 	}
-	// The lease runs from the arrival of the call, which is later than this.
-	asked := e.Clock()
+	// The store counts from the arrival of the call, which is later than this.
+	sentAt := e.Clock()
 	err := e.Store.KeepAlive(ctx, lease)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.asked = asked
+	e.renewedAt = sentAt
 	switch {
 	case err == nil:
-		e.until = asked + leaseTime
-	case errors.Is(err, storer.ErrLeaseLost) || e.Clock() > e.until:
+		e.leaseExpiry = sentAt + leaseTTL
+	case errors.Is(err, storer.ErrLeaseLost) || e.Clock() > e.leaseExpiry:
 		e.lease = 0
-		for g, d := range e.duties {
-			if d.held {
-				e.drop(DutyPrefix+g, d, "lease-lost")
+		for g, o := range e.ownerships {
+			if o.held {
+				e.lose(DutyPrefix+g, o, "lease-lost")
 			}
 		}
 	}
 }
 
-// holdsAny reports whether this instance has a duty; the mutex is held. Without one, its
-// lease is left to run out: where 83 instances share eight duties, 75 of them renewed
-// one for nothing, ten times as many calls as the holders made.
-func (e *Elector) holdsAny() bool {
-	for _, d := range e.duties {
-		if d.held {
+// ownsAny reports whether this instance owns a group; the mutex is held. An unused lease is
+// left to expire, which saves renewals by instances that own nothing.
+func (e *Elector) ownsAny() bool {
+	for _, o := range e.ownerships {
+		if o.held {
 			return true
 		}
 	}
 	return false
 }
 
-// drop gives a duty up; the mutex is held.
-func (e *Elector) drop(key string, d *duty, why string) {
-	d.held, d.taking = false, 0
-	d.cancel()
-	e.Log("event", "duty-lost", "duty", key, "why", why, "fence", d.record.Revision)
+// lose ends the ownership of a group; the mutex is held.
+func (e *Elector) lose(key string, o *groupOwnership, reason string) {
+	o.held, o.acquireAt = false, 0
+	o.cancel()
+	e.Log("event", "duty-lost", "duty", key, "why", reason, "fence", o.record.Revision)
 }
 
-// take tries to become the holder of a duty that nobody has.
-func (e *Elector) take(ctx context.Context, group string, d *duty) {
+// acquire tries to become the owner of a vacant group.
+func (e *Elector) acquire(ctx context.Context, group string, o *groupOwnership) {
 	e.mutex.Lock()
-	d.taking = e.Clock() + takePause
-	lease, old := e.lease, d.record
-	if !d.foreign {
+	o.acquireAt = e.Clock() + acquireRetryInterval
+	lease, old := e.lease, o.record
+	if !o.invalid {
 		old.Revision = 0
 	}
 	e.mutex.Unlock()
 	if lease == 0 {
-		asked := e.Clock()
-		l, err := e.Store.Grant(ctx, leaseTime)
+		sentAt := e.Clock()
+		l, err := e.Store.Grant(ctx, leaseTTL)
 		if err != nil {
 			return
 		}
 		e.mutex.Lock()
-		e.lease, e.asked, e.until = l, asked, asked+leaseTime
+		e.lease, e.renewedAt, e.leaseExpiry = l, sentAt, sentAt+leaseTTL
 		lease = l
 		e.mutex.Unlock()
 	}
-	value := e.encode(decode(old.Value), lease)
+	value := e.encode(decodeOrEmpty(old.Value), lease)
 	now, ok, err := e.Store.Swap(ctx, storer.Pair{Key: DutyPrefix + group, Value: value, Revision: old.Revision}, lease)
 	if errors.Is(err, storer.ErrLeaseLost) {
 		e.mutex.Lock()
@@ -368,48 +355,48 @@
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if now.Revision > d.record.Revision {
-		e.learn(d, now)
+	if now.Revision > o.record.Revision {
+		e.applyRecord(o, now)
 	}
-	// A call of ours whose answer was lost may have taken it.
-	if (!ok && !e.own(d)) || d.held {
+	// An earlier call whose response was lost may have acquired it.
+	if (!ok && !e.ownsRecord(o)) || o.held {
 		return
 	}
-	e.begin(ctx, group, d)
+	e.startKeeper(ctx, group, o)
 }
 
-// begin has the duty's keeper run; the mutex is held.
-func (e *Elector) begin(ctx context.Context, group string, d *duty) {
-	d.held = true
-	e.Log("event", "duty-taken", "group", group, "fence", d.record.Revision)
-	keep, cancel := context.WithCancel(ctx)
-	// The duty may be taken again before this keeper has ended.
-	ended := make(chan error, 1)
-	d.cancel, d.ended = cancel, ended
-	go func() { ended <- e.Keep(keep, group, &Duty{elector: e, group: group}) }()
+// startKeeper starts the group's keeper; the mutex is held.
+func (e *Elector) startKeeper(ctx context.Context, group string, o *groupOwnership) {
+	o.held = true
+	e.Log("event", "duty-taken", "group", group, "fence", o.record.Revision)
+	keeperCtx, cancel := context.WithCancel(ctx)
+	// The group may be acquired again before this keeper has stopped.
+	done := make(chan error, 1)
+	o.cancel, o.done = cancel, done
+	go func() { done <- e.Keep(keeperCtx, group, &Duty{elector: e, group: group}) }()
 }
 
-// end gives everything back, so that others take over at once.
-func (e *Elector) end() {
+// shutdown stops the keepers and revokes the lease, so that others can take over at once.
+func (e *Elector) shutdown() {
 	e.mutex.Lock()
 	lease := e.lease
 	e.lease = 0
-	var ended []chan error
-	for _, d := range e.duties {
-		if d.held {
-			d.held = false
-			d.cancel()
-			ended = append(ended, d.ended)
+	var done []chan error
+	for _, o := range e.ownerships {
+		if o.held {
+			o.held = false
+			o.cancel()
+			done = append(done, o.done)
 		}
 	}
 	e.mutex.Unlock()
-	for _, c := range ended {
+	for _, c := range done {
 		<-c
 	}
 	if lease == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), endTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
 	if err := e.Store.Revoke(ctx, lease); err != nil {
 		e.Log("event", "lease-kept", "cause", err)
--- a/internal/elector/keeper.go
+++ b/internal/elector/keeper.go
@@ -14,109 +14,107 @@
 )
 
 const (
-	// observeInterval is how often the primary is asked, and every member while
-	// something is out of order. Each question takes a slot for a moment.
-	observeInterval = 200 * time.Millisecond
-	// calmInterval is how often replicas are asked while all is well.
-	calmInterval = 800 * time.Millisecond
-	// askTimeout bounds a question, and the opening of a connection for one.
-	askTimeout = 300 * time.Millisecond
-	// retryPause is the pause after a change that came to nothing.
-	retryPause = 200 * time.Millisecond
-	// recordPause is the least time between two records of the roster.
-	recordPause = time.Second
-	// reportInterval is how often what members say is logged.
-	reportInterval = 2 * time.Second
-	// lifeMark stands between a member's ID and the start of a life that is over. No ID
-	// has it.
-	lifeMark = "~"
+	// pollInterval is the period of polling the primary, and every member while the group is
+	// unhealthy.
+	pollInterval = 200 * time.Millisecond
+	// healthyReplicaInterval is the period of polling replicas in a healthy group.
+	healthyReplicaInterval = 800 * time.Millisecond
+	// requestTimeout bounds a request to a member, and the dial for it.
+	requestTimeout = 300 * time.Millisecond
+	// retryDelay is the pause after a failed change.
+	retryDelay = 200 * time.Millisecond
+	// minRecordInterval is the minimum time between two writes of the group's record.
+	minRecordInterval = time.Second
+	// statusLogInterval is the period of logging member statuses.
+	statusLogInterval = 2 * time.Second
+	// incarnationSeparator separates a member's ID and its start time in the ID of a former
+	// incarnation. Member IDs do not contain it.
+	incarnationSeparator = "~"
 )
 
 type (
-	// Keeper watches over one group for as long as this instance has the duty. Set
-	// the exported fields, then call Run.
+	// Keeper supervises one group while this instance owns it. Set the exported fields, then call
+	// Run.
 	Keeper struct {
 		Group *tracker.Group
 		Clock func() tracker.Stamp
-		// Members returns all members, those that leave included.
+		// Members returns all members, including those that are leaving.
 		Members func() []tracker.Member
 		// Connect opens a connection to a member.
 		Connect func(ctx context.Context, m tracker.Member) (*lender.Conn, error)
 		Codec   messenger.MemberCodec
-		// Holds reports whether the duty is surely held for that much longer.
+		// Holds reports whether the ownership is certain to last for the given time.
 		Holds func(d time.Duration) bool
-		// Fence returns a fence above all that were used for the group, and records facts
-		// with it; Facts returns what was recorded last.
+		// Fence records the group's state and returns a fencing token above all earlier ones; Facts
+		// returns the last recorded state.
 		Fence func(ctx context.Context, f Facts) (int64, error)
 		Facts func() Facts
-		// Spend notes that an order under the newest fence got no answer.
+		// Spend notes that an order sent with the newest fencing token is unanswered.
 		Spend func()
 		// Promote orders a promotion.
 		Promote func(ctx context.Context, group, member string, fence int64) error
 		// Refused reports whether an error of Promote is a refusal.
 		Refused func(error) bool
-		// Synchronous is how many replicas hold a commit before it is acknowledged.
+		// Synchronous returns how many replicas hold a commit before it is acknowledged.
 		Synchronous func() int
-		// Connections is how many connections a member takes from all instances, 0 when
-		// that isn't known.
+		// Connections returns a member's connection limit for all instances, 0 when unknown.
 		Connections func() int
 		// Booted is when this process started.
 		Booted tracker.Stamp
-		// Changed is told that the lead has moved.
+		// Changed is called when the primary has changed.
 		Changed func()
 		Log     func(fields ...any)
 
-		links           map[string]*link
+		members         map[string]*memberState
 		primary         string
 		leaderlessSince tracker.Stamp
-		ordered         tracker.Stamp
-		// left are the members that have said they leave, or whose address another has:
-		// they are gone once they are no longer registered.
-		left map[string]bool
-		// earlier are the addresses of members' lives that are over, and may have
-		// acknowledged commits that are nowhere else; see earlierLife.
-		earlier map[string]string
-		// known are those that are registered.
-		known map[string]bool
-		// countedOut are members that are gone and whose every commit others hold.
-		countedOut map[string]bool
-		// recorded is when the roster was last written, reported when members were last
-		// logged.
-		recorded, reported tracker.Stamp
-		// unrecorded is set when there is more to record than the roster.
-		unrecorded bool
-		// led is who was last seen to lead.
-		led Lead
-		// open is set while an order to promote may still be carried out late.
-		open bool
-		// movePause is the least time between two moves for load, relieved when the last
-		// one was.
-		movePause time.Duration
-		relieved  tracker.Stamp
-		// movedBack is when a change last gave the lead back to the old primary.
-		movedBack tracker.Stamp
-		// closed is when the last order was sent that was to close others.
-		closed tracker.Stamp
-		// uncertain is until when a resumption without an answer may take effect.
-		uncertain map[string]tracker.Stamp
+		orderedAt       tracker.Stamp
+		// announcedLeave are the members that announced to leave, or whose address was reused. They
+		// have departed once they are no longer registered.
+		announcedLeave map[string]bool
+		// formerIncarnations maps former incarnations that may hold the only copy of a commit to their
+		// addresses; see incarnationID.
+		formerIncarnations map[string]string
+		// registered are the registered members.
+		registered map[string]bool
+		// excluded are departed members whose commits are all held by others.
+		excluded map[string]bool
+		// recordedAt is when the state was last recorded, reportedAt when statuses were last logged.
+		recordedAt, reportedAt tracker.Stamp
+		// recordOutdated is set when state other than the member list has to be recorded.
+		recordOutdated bool
+		// lastLeader is the last known primary.
+		lastLeader Lead
+		// promotionPending is set while a promotion order may still be executed late.
+		promotionPending bool
+		// rebalanceInterval is the minimum time between changes made only to balance load,
+		// rebalancedAt the time of the last one.
+		rebalanceInterval time.Duration
+		rebalancedAt      tracker.Stamp
+		// restoredAt is when a change last restored the old primary.
+		restoredAt tracker.Stamp
+		// fencedAt is when earlier promotion orders were last fenced off.
+		fencedAt tracker.Stamp
+		// resumePendingUntil is until when an unanswered resume command may take effect, by member.
+		resumePendingUntil map[string]tracker.Stamp
 	}
 )
 
-// Run watches over the group until the context ends.
+// Run supervises the group until the context ends.
 func (k *Keeper) Run(ctx context.Context) error {
-	k.links, k.uncertain = map[string]*link{}, map[string]tracker.Stamp{}
-	k.left, k.countedOut, k.earlier = map[string]bool{}, map[string]bool{}, map[string]string{}
+	k.members, k.resumePendingUntil = map[string]*memberState{}, map[string]tracker.Stamp{}
+	k.announcedLeave, k.excluded, k.formerIncarnations = map[string]bool{}, map[string]bool{}, map[string]string{}
 	recorded := k.Facts()
-	k.open, k.led = recorded.Open, recorded.Lead
-	defer k.closeLinks()
-	t := time.NewTicker(observeInterval)
+	k.promotionPending, k.lastLeader = recorded.Open, recorded.Lead
+	defer k.closeConnections()
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
-		v := k.observe(ctx)
+		v := k.pollMembers(ctx)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		k.report(v)
+		k.logStatuses(v)
 		k.act(ctx, v)
 		select {
 		case <-ctx.Done():
@@ -126,75 +124,75 @@
 	}
 }
 
-// report logs what members say of themselves.
-func (k *Keeper) report(v View) {
-	if v.Now-k.reported < reportInterval {
+// logStatuses logs the members' statuses.
+func (k *Keeper) logStatuses(v View) {
+	if v.Now-k.reportedAt < statusLogInterval {
 		return
 	}
-	k.reported = v.Now
+	k.reportedAt = v.Now
 	for _, m := range v.Members {
 		k.Log("event", "observed", "group", k.Group.Name, "member", m.ID, "answered", m.Answered, "primary", m.Status.Primary,
 			"term", m.Status.Term, "position", m.Status.Received, "lag-ms", m.Status.LagMillis, "busy", m.Status.Busy, "connections", m.Status.Connections)
 	}
 }
 
-// act does what Decide says, one thing a round.
+// act carries out one decision of Decide per round.
 func (k *Keeper) act(ctx context.Context, v View) {
 	d := Decide(v)
-	if d.Move != ReasonNone && v.Now-k.closed < closeTime {
-		k.Log("event", "move-waits", "group", k.Group.Name, "reason", d.Move, "for", "the order that closed others")
+	if d.Move != ReasonNone && v.Now-k.fencedAt < fencingDelay {
+		k.Log("event", "move-waits", "group", k.Group.Name, "reason", d.Move, "for", "fencing of earlier promotion orders")
 		return
 	}
-	if k.movedBack != 0 && v.Now-k.movedBack < moveBackPause && d.Move.primaryLives() {
+	if k.restoredAt != 0 && v.Now-k.restoredAt < restoreCooldown && d.Move.primaryAlive() {
 		return
 	}
 	if d.Move != ReasonNone {
-		k.spaceMoves(d.Move)
+		k.updateRebalanceInterval(d.Move)
 		start := k.Clock()
 		k.Log("event", "move-begins", "group", k.Group.Name, "reason", d.Move, "primary", v.Primary)
-		to, err := k.change(ctx, v, d.Move)
+		to, err := k.changePrimary(ctx, v, d.Move)
 		k.Log("event", "move-ended", "group", k.Group.Name, "reason", d.Move, "from", v.Primary, "to", to,
 			"outcome", outcome(err), "ms", (k.Clock() - start).Milliseconds())
 		if err != nil {
-			_ = pauser.Pause(ctx, retryPause)
+			_ = pauser.Pause(ctx, retryDelay)
 		}
 		return
 	}
-	if k.open {
-		k.closeOrder(ctx)
+	if k.promotionPending {
+		k.fencePendingPromotion(ctx)
 	}
-	if !k.open {
+	if !k.promotionPending {
 		for _, id := range d.Resume {
 			k.resume(ctx, id)
 		}
 	}
-	k.record(ctx)
+	k.saveState(ctx)
 }
 
-// spaceMoves sets the pause after a move for load.
-func (k *Keeper) spaceMoves(r Reason) {
+// updateRebalanceInterval backs off after a change made to balance load.
+func (k *Keeper) updateRebalanceInterval(r Reason) {
 	if r != ReasonOverloaded {
 		return
 	}
 	now := k.Clock()
-	if k.relieved != 0 && now-k.relieved < 2*k.movePause {
-		k.movePause = min(4*k.movePause, lastMovePause)
+	if k.rebalancedAt != 0 && now-k.rebalancedAt < 2*k.rebalanceInterval {
+		k.rebalanceInterval = min(4*k.rebalanceInterval, maxRebalanceInterval)
 	} else {
-		k.movePause = firstMovePause
+		k.rebalanceInterval = minRebalanceInterval
 	}
-	k.relieved = now
+	k.rebalancedAt = now
 }
 
-// record writes the roster when it has changed, for the next holder: a member that
-// has vanished may hold acknowledged commits that nobody else has.
-func (k *Keeper) record(ctx context.Context) {
-	now, roster := k.Clock(), k.roster()
-	if maps.Equal(roster, k.Facts().Members) && !k.unrecorded || now-k.recorded < recordPause {
+// saveState records the member list for the next owner when it has changed: a missing member
+// may hold the only copy of a commit.
+func (k *Keeper) saveState(ctx context.Context) {
+	now, addresses := k.Clock(), k.memberAddresses()
+	if maps.Equal(addresses, k.Facts().Members) && !k.recordOutdated || now-k.recordedAt < minRecordInterval {
 		return
 	}
-	k.recorded, k.unrecorded = now, false
-	_, err := k.Fence(ctx, Facts{Members: roster, Open: k.open, Lead: k.led})
-	k.Log("event", "roster", "group", k.Group.Name, "members", len(roster), "outcome", outcome(err))
+	k.recordedAt, k.recordOutdated = now, false
+	_, err := k.Fence(ctx, Facts{Members: addresses, Open: k.promotionPending, Lead: k.lastLeader})
+	k.Log("event", "roster", "group", k.Group.Name, "members", len(addresses), "outcome", outcome(err))
 }
 
 func outcome(err error) string {
@@ -204,109 +202,109 @@
 	return err.Error()
 }
 
-// observe asks all members at once.
-func (k *Keeper) observe(ctx context.Context) View {
-	k.list()
-	// Who is due depends on what the primary said, which its answer changes.
-	var due []*link
-	for _, l := range k.links {
-		if k.due(l) {
+// pollMembers polls all members that are due concurrently.
+func (k *Keeper) pollMembers(ctx context.Context) View {
+	k.refreshMembers()
+	// Collected first, because the primary's response changes which members are due.
+	var due []*memberState
+	for _, l := range k.members {
+		if k.shouldPoll(l) {
 			due = append(due, l)
 		}
 	}
-	var asked sync.WaitGroup
+	var polls sync.WaitGroup
 	for _, l := range due {
-		asked.Go(func() { k.ask(ctx, l) })
+		polls.Go(func() { k.poll(ctx, l) })
 	}
-	asked.Wait()
-	v := k.view()
-	k.countOut()
+	polls.Wait()
+	v := k.buildView()
+	k.excludeDeparted()
 	return v
 }
 
-// leads takes in who leads.
-func (k *Keeper) leads(l Lead) {
-	if l != k.led && l.Term >= k.led.Term {
-		k.led, k.unrecorded = l, true
+// recordLeader stores a newly seen primary.
+func (k *Keeper) recordLeader(l Lead) {
+	if l != k.lastLeader && l.Term >= k.lastLeader.Term {
+		k.lastLeader, k.recordOutdated = l, true
 	}
 }
 
-// list takes in who the members are now, and returns those that are new.
-func (k *Keeper) list() []*link {
+// refreshMembers updates the members from the registry, and returns the new ones.
+func (k *Keeper) refreshMembers() []*memberState {
 	registered := k.Members()
-	k.known = map[string]bool{}
+	k.registered = map[string]bool{}
 	for _, m := range registered {
-		k.known[m.ID] = true
+		k.registered[m.ID] = true
 	}
-	members := k.withVanished(registered)
-	k.forget(members)
-	var joined []*link
+	members := k.withMissing(registered)
+	k.pruneMembers(members)
+	var joined []*memberState
 	for _, m := range members {
-		l := k.links[m.ID]
+		l := k.members[m.ID]
 		if l != nil && m.Born > l.Born && l.Born != 0 {
-			k.restarted(l)
+			k.handleRestart(l)
 			l = nil
 		}
 		if l == nil {
-			l = &link{}
-			k.links[m.ID] = l
-			k.countIn(m.ID)
+			l = &memberState{}
+			k.members[m.ID] = l
+			k.include(m.ID)
 			joined = append(joined, l)
 		}
-		l.Member, l.places = m, k.Connections()
+		l.Member, l.maxConnections = m, k.Connections()
 		if m.Leaving && !m.Missing {
-			k.left[m.ID] = true
+			k.announcedLeave[m.ID] = true
 		}
 	}
 	return joined
 }
 
-// due reports whether a member is to be asked now. Replicas that answer need it
-// seldom while the primary is well.
-func (k *Keeper) due(l *link) bool {
-	if isEarlierLife(l.ID) {
+// shouldPoll reports whether a member is due. Replicas are polled less often while the primary
+// is healthy.
+func (k *Keeper) shouldPoll(l *memberState) bool {
+	if isFormerIncarnation(l.ID) {
 		return false
 	}
 	if l.ID == k.primary || !l.Answered || l.PausedSince != 0 {
 		return true
 	}
-	p := k.links[k.primary]
-	calm := p != nil && p.Answered && p.Status.Primary && !p.Leaving && p.OverloadedSince == 0 && l.BehindSince == 0
-	return !calm || k.Clock()-l.askedAt >= calmInterval
+	p := k.members[k.primary]
+	healthy := p != nil && p.Answered && p.Status.Primary && !p.Leaving && p.OverloadedSince == 0 && l.BehindSince == 0
+	return !healthy || k.Clock()-l.polledAt >= healthyReplicaInterval
 }
 
-// forget drops members that are no longer known.
-func (k *Keeper) forget(members []tracker.Member) {
-	for id, l := range k.links {
+// pruneMembers drops members that are no longer listed.
+func (k *Keeper) pruneMembers(members []tracker.Member) {
+	for id, l := range k.members {
 		if !slices.ContainsFunc(members, func(m tracker.Member) bool { return m.ID == id }) {
 			l.close()
-			delete(k.links, id)
+			delete(k.members, id)
 		}
 	}
 }
 
-func (k *Keeper) view() View {
+func (k *Keeper) buildView() View {
 	now := k.Clock()
-	v := View{Now: now, Ordered: k.ordered, Booted: k.Booted, MovePause: k.movePause}
+	v := View{Now: now, Ordered: k.orderedAt, Booted: k.Booted, MovePause: k.rebalanceInterval}
 	if k.primary == "" {
 		k.primary = k.Group.Primary()
 	}
-	before := k.primary
+	previous := k.primary
 	var term uint64
-	for _, l := range k.links {
+	for _, l := range k.members {
 		if l.Answered && l.Status.Primary && l.Status.Term > term {
 			term, k.primary = l.Status.Term, l.ID
-			k.leads(Lead{ID: l.ID, Born: l.Born, Term: l.Status.Term})
+			k.recordLeader(Lead{ID: l.ID, Born: l.Born, Term: l.Status.Term})
 		}
 	}
-	p := k.links[k.primary]
-	for _, l := range k.links {
-		if k.primary != before {
-			// Whom the replicas stood still behind leads no more.
+	p := k.members[k.primary]
+	for _, l := range k.members {
+		if k.primary != previous {
+			// Stalls were relative to the previous primary.
 			l.BehindSince = 0
 		} else if p != nil {
-			l.compare(p.Status.Received)
-			l.cover(p)
+			l.updateStall(p.Status.Received)
+			l.updateCoverage(p)
 		}
 		v.Members = append(v.Members, l.Observation)
 	}
--- a/internal/elector/change_test.go
+++ b/internal/elector/primary_change_test.go
@@ -20,61 +20,61 @@
 	"github.com/shoenig/test/must"
 )
 
-// stage is a group under load with a keeper that holds its duty.
-type stage struct {
-	group *liner.Group
-	net   *wirer.Net
-	duty  *fakeDuty
-	clock func() tracker.Stamp
-	// synchronous is how many replicas the keeper is told to hold each commit.
+// harness is a group under write load, with a keeper that owns it.
+type harness struct {
+	group     *liner.Group
+	net       *wirer.Net
+	ownership *fakeOwnership
+	clock     func() tracker.Stamp
+	// synchronous is the number of replicas that hold each commit, as reported to the keeper.
 	synchronous int
-	// tracked is what the keeper tells of the group.
+	// tracked is the keeper's view of the group.
 	tracked *tracker.Group
 
-	ctx   context.Context
-	stop  context.CancelFunc
-	ended chan error
+	ctx  context.Context
+	stop context.CancelFunc
+	done chan error
 
 	mutex  sync.Mutex
 	events []string
 	onLog  func(event string)
 }
 
-// fakeDuty is a duty that is never lost.
-type fakeDuty struct {
-	// slow is how long the store takes to give a fence.
-	slow  time.Duration
+// fakeOwnership is an ownership that is never lost.
+type fakeOwnership struct {
+	// delay is the response time of the store.
+	delay time.Duration
 	mutex sync.Mutex
 	fence int64
-	facts elector.Facts
+	state elector.Facts
 }
 
-func (d *fakeDuty) Fence(_ context.Context, f elector.Facts) (int64, error) {
+func (d *fakeOwnership) Fence(_ context.Context, f elector.Facts) (int64, error) {
 	d.mutex.Lock()
-	slow := d.slow
+	delay := d.delay
 	d.mutex.Unlock()
-	time.Sleep(slow)
+	time.Sleep(delay)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.fence++
-	d.facts = f
+	d.state = f
 	return d.fence, nil
 }
 
-// set changes the duty while a keeper has it.
-func (d *fakeDuty) set(change func()) {
+// update changes the ownership under its mutex.
+func (d *fakeOwnership) update(change func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	change()
 }
 
-func (d *fakeDuty) Facts() elector.Facts {
+func (d *fakeOwnership) Facts() elector.Facts {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.facts
+	return d.state
 }
 
-func (s *stage) log(fields ...any) {
+func (s *harness) log(fields ...any) {
 	event := fmt.Sprint(fields[1])
 	s.mutex.Lock()
 	s.events = append(s.events, fmt.Sprintln(fields...))
@@ -85,7 +85,7 @@
 	}
 }
 
-func (s *stage) keeper(host *wirer.Host, clock func() tracker.Stamp) *elector.Keeper {
+func (s *harness) keeper(host *wirer.Host, clock func() tracker.Stamp) *elector.Keeper {
 	s.tracked = &tracker.Group{Name: s.group.Name, Zone: "a", Near: func(string) bool { return false }}
 	s.tracked.Members(s.group.Registered())
 	return &elector.Keeper{
@@ -95,15 +95,15 @@
 			return lender.Connect(ctx, host, platform.Lines{}, m, "keeper")
 		},
 		Holds: func(time.Duration) bool { return true },
-		Fence: s.duty.Fence, Facts: s.duty.Facts, Spend: func() {},
+		Fence: s.ownership.Fence, Facts: s.ownership.Facts, Spend: func() {},
 		Promote:     func(_ context.Context, _, id string, _ int64) error { return s.group.Promote(id) },
 		Refused:     func(error) bool { return true },
 		Synchronous: func() int { return s.synchronous }, Connections: func() int { return s.group.Connections }, Changed: func() {}, Log: s.log,
 	}
 }
 
-// on returns a channel that receives whenever the keeper logs an event.
-func (s *stage) on(event string) <-chan struct{} {
+// notifyOn returns a channel that receives whenever the keeper logs an event.
+func (s *harness) notifyOn(event string) <-chan struct{} {
 	seen := make(chan struct{}, 8)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -115,35 +115,35 @@
 	return seen
 }
 
-// startKeeper has a keeper run.
-func (s *stage) startKeeper(ctx context.Context) {
-	keeping, stop := context.WithCancel(ctx)
-	k, ended := s.keeper(s.net.Host("10.8.1.1", "a"), s.clock), make(chan error, 1)
-	s.ctx, s.stop, s.ended = ctx, stop, ended
-	go func() { ended <- k.Run(keeping) }()
+// startKeeper starts a keeper.
+func (s *harness) startKeeper(ctx context.Context) {
+	keeperCtx, stop := context.WithCancel(ctx)
+	k, done := s.keeper(s.net.Host("10.8.1.1", "a"), s.clock), make(chan error, 1)
+	s.ctx, s.stop, s.done = ctx, stop, done
+	go func() { done <- k.Run(keeperCtx) }()
 }
 
-// replaceKeeper has another holder take over, who knows what was recorded.
-func (s *stage) replaceKeeper() {
+// replaceKeeper replaces the keeper by that of another owner, which knows the recorded state.
+func (s *harness) replaceKeeper() {
 	s.stop()
-	<-s.ended
+	<-s.done
 	s.startKeeper(s.ctx)
 }
 
-// play runs a group with a writer and a keeper, and what happens to them.
-func play(t *testing.T, happens func(t *testing.T, s *stage)) {
+// runScenario runs a group with writers, a keeper and a scenario.
+func runScenario(t *testing.T, scenario func(t *testing.T, s *harness)) {
 	t.Helper()
-	playGroup(t, &liner.Group{Connections: 20, Work: time.Millisecond}, happens)
+	runScenarioWith(t, &liner.Group{Connections: 20, Work: time.Millisecond}, scenario)
 }
 
-// playGroup is play with members as given.
-func playGroup(t *testing.T, group *liner.Group, happens func(t *testing.T, s *stage)) {
+// runScenarioWith is runScenario with the given group.
+func runScenarioWith(t *testing.T, group *liner.Group, scenario func(t *testing.T, s *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		net := wirer.New(1)
 		net.Latency = func(_, _ *wirer.Host) time.Duration { return time.Millisecond }
-		s := &stage{net: net, synchronous: 1, duty: &fakeDuty{}, group: group}
+		s := &harness{net: net, synchronous: 1, ownership: &fakeOwnership{}, group: group}
 		group.Name, group.Net, group.Travel, group.Promotion = "g", net, 12*time.Millisecond, 600*time.Millisecond
 		s.group.Start(ctx, "a", "b", "c")
 		begin := time.Now()
@@ -152,26 +152,26 @@
 		var running sync.WaitGroup
 		for i := range 3 {
 			h := net.Host(fmt.Sprintf("10.8.0.%d", i+1), "a")
-			running.Go(func() { write(ctx, s.group, h) })
+			running.Go(func() { writeLoop(ctx, s.group, h) })
 		}
 		s.startKeeper(ctx)
 		defer func() {
 			cancel()
-			<-s.ended
+			<-s.done
 			running.Wait()
 			s.group.Wait()
 			if t.Failed() {
 				t.Log(strings.Join(s.events, "\n"))
 			}
 		}()
-		happens(t, s)
+		scenario(t, s)
 		must.SliceEmpty(t, s.group.Violations())
 		must.Greater(t, 100, s.group.Acknowledged())
 	})
 }
 
-// write commits at whoever leads until the context ends.
-func write(ctx context.Context, g *liner.Group, h *wirer.Host) {
+// writeLoop writes to the current primary until the context ends.
+func writeLoop(ctx context.Context, g *liner.Group, h *wirer.Host) {
 	for n := 0; ctx.Err() == nil; {
 		id, _ := g.Leader()
 		c := connect(ctx, g, h, id)
@@ -204,15 +204,14 @@
 	return nil
 }
 
-func (s *stage) leader() string {
+func (s *harness) leader() string {
 	id, _ := s.group.Leader()
 	return id
 }
 
-// A primary says that it leaves. Callers see their writes wait for a part of a
-// promotion's time; the lead is elsewhere before the primary ends.
+// A leaving primary is replaced before it ends.
 func TestPrimaryLeaves(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+	runScenario(t, func(t *testing.T, s *harness) {
 		time.Sleep(2 * time.Second)
 		s.group.Leave("g-1")
 		time.Sleep(3 * time.Second)
@@ -220,10 +219,9 @@
 	})
 }
 
-// A primary dies. Callers see writes without answer; then the member with the
-// furthest log leads, and every write that was acknowledged is there.
+// After a crash of the primary, the new one holds every acknowledged write.
 func TestPrimaryCrashes(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+	runScenario(t, func(t *testing.T, s *harness) {
 		time.Sleep(2 * time.Second)
 		s.group.Crash("g-1")
 		time.Sleep(3 * time.Second)
@@ -232,16 +230,14 @@
 	})
 }
 
-// While the lead moves, a new replica joins that is nearer to the old primary than
-// the candidate. It acknowledges a commit that is still on its way to the candidate,
-// which then leads without it: the caller's write is gone. The old primary steps down
-// before the order, so that nothing more is acknowledged.
+// Guards against commits acknowledged by a replica that joins during the change but missing on
+// the candidate.
 func TestReplicaJoinsDuringChange(t *testing.T) {
 	for _, after := range []time.Duration{0, 300 * time.Millisecond, 560 * time.Millisecond, 590 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
-			play(t, func(t *testing.T, s *stage) {
+			runScenario(t, func(t *testing.T, s *harness) {
 				time.Sleep(2 * time.Second)
-				ordered := s.on("promotion-ordered")
+				ordered := s.notifyOn("promotion-ordered")
 				s.group.Leave("g-1")
 				<-ordered
 				time.Sleep(after)
@@ -254,12 +250,9 @@
 	}
 }
 
-// The primary is cut off from two replicas and goes on with the third, which says it
-// leaves and is gone after eight seconds. Callers see their writes acknowledged all
-// the while. When the primary leaves as well, only it and the third have held those
-// writes: a member that stood still must not lead.
-func TestOnlyReceiverLeaves(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+// Guards against promoting a stalled replica after the only one that followed has left.
+func TestOnlySyncedReplicaLeaves(t *testing.T) {
+	runScenario(t, func(t *testing.T, s *harness) {
 		time.Sleep(2 * time.Second)
 		s.group.Leave("g-3")
 		s.group.Isolate("g-2", "g-1")
@@ -274,11 +267,9 @@
 	})
 }
 
-// A replica is lost for good without a word, then the primary is to leave. Callers
-// would see it end with nobody to lead, since the lost replica's log can't be read;
-// the primary steps down and the member that reaches its log leads.
+// A leaving primary is replaced even if another replica has crashed.
 func TestPrimaryLeavesWithReplicaLost(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+	runScenario(t, func(t *testing.T, s *harness) {
 		time.Sleep(2 * time.Second)
 		s.group.Crash("g-3")
 		time.Sleep(time.Second)
@@ -288,12 +279,11 @@
 	})
 }
 
-// The holder before left an order open. The new one closes it by naming the primary,
-// which takes effect after a promotion's time; a change in between would be undone by
-// it, its replicas resumed, and a caller's write lost.
-func TestChangeRightAfterClosing(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
-		s.duty.set(func() { s.duty.facts.Open = true })
+// Guards against a change undone by the order that fences a previous owner's pending
+// promotion.
+func TestChangeAfterFencingPendingPromotion(t *testing.T) {
+	runScenario(t, func(t *testing.T, s *harness) {
+		s.ownership.update(func() { s.ownership.state.Open = true })
 		time.Sleep(300 * time.Millisecond)
 		s.group.Leave("g-1")
 		time.Sleep(5 * time.Second)
@@ -303,12 +293,9 @@
 	})
 }
 
-// One replica applies the log seconds late, so all reads go to the other and to the
-// primary, whose queue grows. The late one takes the lead: as the primary it needs
-// nobody's log, and the old primary answers reads instead. With the lead at the replica
-// that is not late, callers are left with one member for their reads.
-func TestLateReplicaRelievesPrimary(t *testing.T) {
-	playGroup(t, &liner.Group{Connections: 60, Work: 20 * time.Millisecond, Slots: 3, Queue: 48}, func(t *testing.T, s *stage) {
+// A lagging replica replaces an overloaded primary, which then serves reads.
+func TestLaggingReplicaReplacesOverloadedPrimary(t *testing.T) {
+	runScenarioWith(t, &liner.Group{Connections: 60, Work: 20 * time.Millisecond, Slots: 3, Queue: 48}, func(t *testing.T, s *harness) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var reading sync.WaitGroup
 		s.group.Late("g-2", 10*time.Millisecond)
@@ -316,7 +303,7 @@
 		time.Sleep(time.Second)
 		for i := range 20 {
 			h := s.net.Host(fmt.Sprintf("10.8.2.%d", i+1), "a")
-			reading.Go(func() { read(ctx, s.group, h) })
+			reading.Go(func() { readLoop(ctx, s.group, h) })
 		}
 		time.Sleep(3 * time.Second)
 		must.Eq(t, "g-3", s.leader())
@@ -325,16 +312,14 @@
 	})
 }
 
-// Transactions rest on nearly all connections of the primary and one replica is late:
-// reads find no place, though the primary's slots are free. The late replica takes the
-// lead, and the old primary answers reads.
-func TestCrowdedPrimaryIsRelieved(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+// A lagging replica replaces a primary whose connections are held by idle transactions.
+func TestLaggingReplicaReplacesCrowdedPrimary(t *testing.T) {
+	runScenario(t, func(t *testing.T, s *harness) {
 		time.Sleep(time.Second)
 		s.group.Late("g-2", 10*time.Millisecond)
 		s.group.Late("g-3", 10*time.Second)
 		h := s.net.Host("10.8.2.1", "a")
-		for range 14 { // with three writers and the keeper 18 of 20
+		for range 14 { // 18 of 20 connections, including the writers and the keeper
 			c := connect(t.Context(), s.group, h, "g-1")
 			must.NotNil(t, c)
 			defer c.Close()
@@ -344,8 +329,8 @@
 	})
 }
 
-// read asks the first member for one row after the other.
-func read(ctx context.Context, g *liner.Group, h *wirer.Host) {
+// readLoop reads from the first member until the context ends.
+func readLoop(ctx context.Context, g *liner.Group, h *wirer.Host) {
 	for _, m := range g.Registered() {
 		if m.ID != "g-1" {
 			continue
@@ -363,11 +348,10 @@
 	}
 }
 
-// The primary has no slot for questions while callers write on. What it said before is
-// no proof of where its log is now: a caller that reads its own write would be sent to a
-// replica that lacks it.
-func TestBusyIsNoProof(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+// Guards against treating the last status of a busy primary as a proof of its current
+// position.
+func TestBusyResponseIsNoProof(t *testing.T) {
+	runScenario(t, func(t *testing.T, s *harness) {
 		time.Sleep(2 * time.Second)
 		s.group.Busy("g-1", true)
 		time.Sleep(50 * time.Millisecond)
@@ -383,11 +367,10 @@
 	})
 }
 
-// The group acknowledges without a replica, and the primary that is to leave is cut off
-// from all of them. Only its own log has what callers were told last: after it has
-// stepped down and nobody reached its log, it leads again.
-func TestUnsynchronousPrimaryIsNotLeftBehind(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+// With asynchronous replication, a demoted primary that no replica has caught up with is
+// restored.
+func TestAsynchronousPrimaryIsRestored(t *testing.T) {
+	runScenario(t, func(t *testing.T, s *harness) {
 		time.Sleep(2 * time.Second)
 		s.synchronous = 0
 		s.group.Isolate("g-2", "g-1")
@@ -402,11 +385,10 @@
 	})
 }
 
-// The only replica that received dies, and then the primary. The one that is left lacks
-// what callers were told last, so it must not lead, however long nobody does; when the
-// other is back, that one leads.
-func TestOnlyReceiverIsGoneWithPrimary(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+// Guards against promoting a replica that lacks acknowledged commits when all others have
+// crashed.
+func TestPrimaryAndOnlySyncedReplicaCrash(t *testing.T) {
+	runScenario(t, func(t *testing.T, s *harness) {
 		time.Sleep(2 * time.Second)
 		s.group.Isolate("g-2", "g-1")
 		time.Sleep(time.Second)
@@ -420,12 +402,10 @@
 	})
 }
 
-// Callers see a write acknowledged that only the primary and one replica have. The
-// replica starts again under its ID, with nothing of before, and the primary dies: the
-// write is on no member that runs. The other replica must not lead without it; when the
-// primary is back with its log, callers find the write.
-func TestOnlyReceiverStartsAgain(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+// Guards against a promotion without commits that only the primary and a restarted replica
+// held.
+func TestOnlySyncedReplicaRestarts(t *testing.T) {
+	runScenario(t, func(t *testing.T, s *harness) {
 		time.Sleep(2 * time.Second)
 		s.group.Isolate("g-2", "g-1")
 		time.Sleep(time.Second)
@@ -442,12 +422,9 @@
 	})
 }
 
-// A replica is lost, and counted out once the others hold all that it may have
-// acknowledged. It comes back, and acknowledges what the other replica doesn't receive.
-// When the primary dies, the one that came back must count again: the other one lacks
-// what callers were told.
-func TestCountedOutMemberComesBack(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+// Guards against ignoring the log of an excluded member that has returned.
+func TestExcludedMemberReturns(t *testing.T) {
+	runScenario(t, func(t *testing.T, s *harness) {
 		time.Sleep(2 * time.Second)
 		s.group.Leave("g-3")
 		time.Sleep(500 * time.Millisecond)
@@ -463,14 +440,12 @@
 	})
 }
 
-// The primary is dead to the keeper, but replicas and callers still reach it. A paused
-// replica starts again after the order to promote: it knows nothing of its pause, receives
-// sooner than the candidate, and acknowledges writes that the candidate lacks. It is paused
-// again as soon as its new life shows, or callers lose what they were told last.
-func TestPausedReplicaStartsAgain(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+// Guards against commits acknowledged by a paused replica that restarts during the change and
+// no longer knows of its pause.
+func TestPausedReplicaRestarts(t *testing.T) {
+	runScenario(t, func(t *testing.T, s *harness) {
 		time.Sleep(2 * time.Second)
-		ordered := s.on("promotion-ordered")
+		ordered := s.notifyOn("promotion-ordered")
 		s.net.Cut("10.8.1.1", "10.9.1.1")
 		<-ordered
 		id := s.group.Paused()[0]
@@ -481,16 +456,14 @@
 	})
 }
 
-// The primary is cut from its replicas and has stepped down; the member that was to lead
-// starts again with nothing before it does. Its earlier life may have acknowledged
-// commits, but the old primary answers and has them all: it leads again, instead of
-// nobody for good. So it does when another holder has taken over meanwhile.
-func TestCandidateStartsAgain(t *testing.T) {
-	for _, taken := range []bool{false, true} {
-		t.Run(fmt.Sprint("another holder: ", taken), func(t *testing.T) {
-			play(t, func(t *testing.T, s *stage) {
+// Guards against a group left without a primary when the candidate restarts after the old
+// primary has stepped down, also under a new owner.
+func TestCandidateRestarts(t *testing.T) {
+	for _, newOwner := range []bool{false, true} {
+		t.Run(fmt.Sprint("another owner: ", newOwner), func(t *testing.T) {
+			runScenario(t, func(t *testing.T, s *harness) {
 				time.Sleep(2 * time.Second)
-				ordered := s.on("promotion-ordered")
+				ordered := s.notifyOn("promotion-ordered")
 				s.group.Isolate("g-2", "g-1")
 				s.group.Isolate("g-3", "g-1")
 				<-ordered
@@ -500,7 +473,7 @@
 					id = "g-3"
 				}
 				s.group.Restart(id)
-				if taken {
+				if newOwner {
 					time.Sleep(time.Second)
 					s.replaceKeeper()
 				}
@@ -513,46 +486,45 @@
 	}
 }
 
-// Guards against replicas without a slot for questions counting as standing still, from one
-// answer that showed a commit on its way.
-func TestBusyReplicasAreNoStandstill(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+// Guards against treating busy replicas as stalled.
+func TestBusyReplicasAreNotStalled(t *testing.T) {
+	runScenario(t, func(t *testing.T, s *harness) {
 		time.Sleep(2 * time.Second)
 		s.group.Busy("g-2", true)
 		s.group.Busy("g-3", true)
 		time.Sleep(4 * time.Second)
-		s.unmoved(t)
+		s.assertPrimaryUnchanged(t)
 	})
 }
 
-// unmoved asserts that the first primary leads in the first term.
-func (s *stage) unmoved(t *testing.T) {
+// assertPrimaryUnchanged asserts that the first primary leads in the first term.
+func (s *harness) assertPrimaryUnchanged(t *testing.T) {
 	t.Helper()
 	id, term := s.group.Leader()
 	must.Eq(t, "g-1", id)
 	must.Eq(t, 1, term)
 }
 
-// Guards against a change that goes on after its reason has ended, while the store is slow.
-func TestReasonEndsBeforeFence(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+// Guards against a change whose reason clears during a slow store call.
+func TestReasonClearsBeforeFencing(t *testing.T) {
+	runScenario(t, func(t *testing.T, s *harness) {
 		time.Sleep(2 * time.Second)
-		s.duty.set(func() { s.duty.slow = time.Second })
-		begins := s.on("move-begins")
+		s.ownership.update(func() { s.ownership.delay = time.Second })
+		begins := s.notifyOn("move-begins")
 		s.group.Crash("g-1")
 		<-begins
 		s.group.Return("g-1")
 		time.Sleep(4 * time.Second)
-		s.unmoved(t)
+		s.assertPrimaryUnchanged(t)
 	})
 }
 
-// Guards against a group without a primary after a change that fails once the primary has
+// Guards against a group left without a primary when a change fails after the old primary has
 // stepped down.
 func TestChangeFailsAfterStepDown(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
+	runScenario(t, func(t *testing.T, s *harness) {
 		time.Sleep(2 * time.Second)
-		stepped := s.on("stepped-down")
+		stepped := s.notifyOn("stepped-down")
 		s.group.Busy("g-2", true)
 		s.group.Busy("g-3", true)
 		s.group.Leave("g-1")
--- a/internal/elector/record.go
+++ b/internal/elector/record.go
@@ -7,12 +7,12 @@
 	"github.com/oriolegw/oriolegw/internal/storer"
 )
 
-// This file reads and writes what the store holds of a duty.
+// This file encodes and decodes the stored record of a group.
 
-// errNoHolder rejects a record that names nobody.
-var errNoHolder = errors.New("it names no holder")
+// errNoOwner rejects a record without an owner.
+var errNoOwner = errors.New("record names no owner")
 
-// encode writes a record in this instance's name, under a lease.
+// encode encodes a record with this instance as the owner, under a lease.
 func (e *Elector) encode(r record, lease storer.Lease) []byte {
 	r.Holder, r.Lease = e.Name, int64(lease)
 	text, err := json.Marshal(r)
@@ -22,21 +22,21 @@
 	return text
 }
 
-// read reads a record.
-func read(value []byte) (record, error) {
+// parseRecord decodes a stored record.
+func parseRecord(value []byte) (record, error) {
 	var r record
 	if err := json.Unmarshal(value, &r); err != nil {
 		return record{}, err
 	}
 	if r.Holder == "" {
-		return record{}, errNoHolder
+		return record{}, errNoOwner
 	}
 	return r, nil
 }
 
-// decode reads a record that Saw or take has let in; without one it names nobody.
-func decode(value []byte) record {
-	r, err := read(value)
+// decodeOrEmpty decodes a record that is known to be valid, or returns an empty one.
+func decodeOrEmpty(value []byte) record {
+	r, err := parseRecord(value)
 	if err != nil {
 		return record{}
 	}
