--- a/internal/promoter/choose_test.go
+++ b/internal/promoter/choose_test.go
@@ -16,34 +16,35 @@
 	return out
 }
 
-func at(term, offset uint64) orderer.Position { return orderer.Position{Term: term, Offset: offset} }
+func position(term, offset uint64) orderer.Position {
+	return orderer.Position{Term: term, Offset: offset}
+}
 
-// A member that has much to replay is passed over for one that has not, if that
-// one is safe; one that tells nothing of it is not.
+// A safe member with a small backlog is preferred; an unknown backlog counts as small.
 func TestChooseByBacklog(t *testing.T) {
 	tests := []struct {
 		name     string
 		replayed [2]orderer.Position
 		want     int
 	}{
-		{"both near enough", [2]orderer.Position{at(1, 460), at(1, 500)}, 0},
-		{"the first is far behind", [2]orderer.Position{at(1, 100), at(1, 460)}, 1},
-		{"both far behind", [2]orderer.Position{at(1, 99), at(1, 100)}, 0},
-		{"unknown is near enough", [2]orderer.Position{{}, at(1, 500)}, 0},
+		{"both with a small backlog", [2]orderer.Position{position(1, 460), position(1, 500)}, 0},
+		{"the first with a large backlog", [2]orderer.Position{position(1, 100), position(1, 460)}, 1},
+		{"both with a large backlog", [2]orderer.Position{position(1, 99), position(1, 100)}, 0},
+		{"unknown backlog counts as small", [2]orderer.Position{{}, position(1, 500)}, 0},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
-			f := fenced(2, at(1, 500), at(1, 500))
+			f := fenced(2, position(1, 500), position(1, 500))
 			for i := range c.replayed {
 				f[i].status.Replayed = c.replayed[i]
 			}
-			must.Eq(t, c.want, choose(f, 2).member)
+			must.Eq(t, c.want, chooseCandidate(f, 2).member)
 		})
 	}
 }
 
-// A majority of three holds each acknowledged write. The choice holds all of them,
-// is not the failed primary if that can be helped, and keeps the most of the rest.
+// The chosen member holds every write that a majority holds, is not the failed primary if
+// avoidable, and is otherwise the newest.
 func TestChoose(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -51,16 +52,16 @@
 		quorum int
 		want   int
 	}{
-		{"two answer: the newer", fenced(-1, at(1, 5), at(1, 7)), 2, 1},
-		{"two answer: the newer, even if it failed", fenced(1, at(1, 5), at(1, 7)), 2, 1},
-		{"three answer: the newer of the others", fenced(0, at(1, 9), at(1, 5), at(1, 7)), 2, 2},
-		{"three answer: a laggard is never safe", fenced(1, at(1, 5), at(1, 9), at(1, 9)), 2, 2},
-		{"a newer term beats a longer log", fenced(-1, at(1, 9), at(2, 6)), 2, 1},
-		{"among equals, the configuration's order", fenced(0, at(1, 5), at(1, 5), at(1, 5)), 2, 1},
-		{"five: only the newest of three is safe", fenced(4, at(1, 1), at(1, 2), at(1, 3), at(1, 8), at(1, 9)), 3, 3},
-		{"five: the failed one is passed over", fenced(4, at(1, 1), at(1, 2), at(1, 3), at(1, 1), at(1, 9)), 3, 2},
+		{"two fenced: the newer", fenced(-1, position(1, 5), position(1, 7)), 2, 1},
+		{"two fenced: the newer, even if it failed", fenced(1, position(1, 5), position(1, 7)), 2, 1},
+		{"three fenced: the newer of the others", fenced(0, position(1, 9), position(1, 5), position(1, 7)), 2, 2},
+		{"three fenced: a lagging member is not safe", fenced(1, position(1, 5), position(1, 9), position(1, 9)), 2, 2},
+		{"a newer term ranks above a longer log", fenced(-1, position(1, 9), position(2, 6)), 2, 1},
+		{"among equals, the configuration's order", fenced(0, position(1, 5), position(1, 5), position(1, 5)), 2, 1},
+		{"five fenced: only the newest of three is safe", fenced(4, position(1, 1), position(1, 2), position(1, 3), position(1, 8), position(1, 9)), 3, 3},
+		{"five fenced: the failed one is avoided", fenced(4, position(1, 1), position(1, 2), position(1, 3), position(1, 1), position(1, 9)), 3, 2},
 	}
 	for _, c := range tests {
-		t.Run(c.name, func(t *testing.T) { must.Eq(t, c.want, choose(c.fenced, c.quorum).member) })
+		t.Run(c.name, func(t *testing.T) { must.Eq(t, c.want, chooseCandidate(c.fenced, c.quorum).member) })
 	}
 }
--- a/internal/promoter/performer.go
+++ b/internal/promoter/performer.go
@@ -12,17 +12,16 @@
 )
 
 const (
-	// intentBound is how long a promotion waits for the store. A store that
-	// answers at all answers in milliseconds; one that is down must not lengthen
-	// the gap, since safety doesn't need it.
-	intentBound  = 150 * time.Millisecond
-	publishBound = 2 * time.Second
-	swapTries    = 3
-	keyPrefix    = "oriolegw/groups/"
+	// recordIntentTimeout bounds the wait for the store. Safety does not depend on it, so an
+	// unavailable store must not delay the promotion.
+	recordIntentTimeout = 150 * time.Millisecond
+	publishTimeout      = 2 * time.Second
+	maxSwapAttempts     = 3
+	keyPrefix           = "oriolegw/groups/"
 )
 
 type (
-	// Performer carries out the actions of the slice.
+	// Performer executes the actions of a Slice.
 	Performer struct {
 		Commander commander.Commander
 		Store     storer.Store
@@ -35,23 +34,23 @@
 	}
 )
 
-// Key returns where the store holds a group's record.
+// Key returns the store key of a group's record.
 func Key(service string) string { return keyPrefix + service }
 
 // Perform implements controller.Performer.
 func (p *Performer) Perform(ctx context.Context, a controller.Action) (controller.Event, bool) {
 	switch a := a.(type) {
 	case Order:
-		return p.order(ctx, a), true
+		return p.sendOrder(ctx, a), true
 	case Intend:
-		return p.intend(ctx, a), true
+		return p.recordIntent(ctx, a), true
 	case Publish:
-		return p.publish(ctx, a), true
+		return p.publishRecord(ctx, a), true
 	}
 	return nil, false
 }
 
-func (p *Performer) order(ctx context.Context, a Order) Ordered {
+func (p *Performer) sendOrder(ctx context.Context, a Order) Ordered {
 	if a.After > 0 {
 		t := time.NewTimer(a.After)
 		defer t.Stop()
@@ -77,13 +76,13 @@
 	return o
 }
 
-// intend records an intent by compare-and-swap. An answer that was lost is read
-// back: the loop starts with a read, and a record of this owner is its own.
-func (p *Performer) intend(ctx context.Context, a Intend) Intended {
-	ctx, cancel := context.WithTimeout(ctx, intentBound)
+// recordIntent records an intent by compare-and-swap. Each attempt reads first, so a write
+// whose response was lost is recognized by its owner.
+func (p *Performer) recordIntent(ctx context.Context, a Intend) Intended {
+	ctx, cancel := context.WithTimeout(ctx, recordIntentTimeout)
 	defer cancel()
 	out := Intended{Service: a.Service, Attempt: a.Attempt}
-	for range swapTries {
+	for range maxSwapAttempts {
 		now, err := p.Store.Get(ctx, Key(a.Service))
 		if err != nil {
 			continue
@@ -106,9 +105,9 @@
 	return out
 }
 
-// publish records a promotion that took effect, unless the store holds a newer.
-func (p *Performer) publish(ctx context.Context, a Publish) Published {
-	ctx, cancel := context.WithTimeout(ctx, publishBound)
+// publishRecord records a completed promotion unless the store holds a newer one.
+func (p *Performer) publishRecord(ctx context.Context, a Publish) Published {
+	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
 	out := Published{Service: a.Service, Record: a.Record}
 	now, err := p.Store.Get(ctx, Key(a.Service))
@@ -127,12 +126,12 @@
 func encode(r Record) []byte {
 	text, err := json.Marshal(wireRecord{Term: r.Term, Owner: r.Owner, Primary: r.Primary})
 	if err != nil {
-		panic(err) // plain data always encodes
+		panic(err) // unreachable: strings and integers always encode
 	}
 	return text
 }
 
-// decode reads a record; an absent one is the zero Record.
+// decode decodes a record; empty input is the zero Record.
 func decode(text []byte) (Record, error) {
 	if len(text) == 0 {
 		return Record{}, nil
--- a/internal/promoter/promoter.go
+++ b/internal/promoter/promoter.go
@@ -1,13 +1,13 @@
-// Package promoter replaces the primary of a group: after a failure, and on a
-// planned change. It also tells members that missed a change whom to follow.
+// Package promoter replaces the primary of a group, after a failure or on a planned change,
+// and makes members that missed the change follow the new primary.
 //
-// Safety rests on the members alone. A member grants a term to one owner only,
-// refuses work of older terms once it is fenced, and a write is acknowledged only
-// when a majority of the group holds it. So whoever has fenced a majority for a
-// term has stopped every older primary from acknowledging, is the only one to
-// promote in that term, and finds every acknowledged write among the members that
-// it fenced. The platform's store orders promoters and records what they did; it
-// may be down or slow, and its answers lost, at any point (docs/design/0003).
+// Safety depends only on the members. A member grants a term to one owner, and rejects older
+// terms once fenced; a write is acknowledged when a majority of the group holds it. A promoter
+// that has fenced a majority has therefore stopped every older primary from acknowledging
+// writes, is the only one to promote a member in that term, and finds every acknowledged write
+// among the fenced members. The platform's store only serializes promoters and records their
+// results; it may be down or slow, and its responses may be lost, at any point
+// (docs/design/0003).
 package promoter
 
 import (
@@ -27,14 +27,14 @@
 	OrderFollow
 )
 
-// The ways in which recording an intent ends.
+// The outcomes of recording an intent.
 const (
-	// IntentUnknown: the store gave no answer within the bound. The promotion
-	// goes on; the members decide.
+	// IntentUnknown means that the store did not respond in time. The promotion continues, since
+	// the members decide.
 	IntentUnknown IntentOutcome = iota
-	// IntentHeld: the store holds this promoter's intent.
+	// IntentHeld means that the store holds this promoter's intent.
 	IntentHeld
-	// IntentTaken: another promoter recorded this term, or a newer one, first.
+	// IntentTaken means that another promoter has recorded this term or a newer one.
 	IntentTaken
 )
 
@@ -42,25 +42,25 @@
 	// OrderKind is the kind of an order.
 	OrderKind int
 
-	// Order tells a member something, or asks for its status.
+	// Order is a command to a member, or a request for its status.
 	Order struct {
 		Service string
-		// Attempt is the promotion it belongs to; 0 is none (repair).
+		// Attempt is the ID of the promotion attempt, 0 for repairs.
 		Attempt uint64
 		Kind    OrderKind
 		Member  string
 		Address string
 		Term    uint64
 		Owner   string
-		// Primary is whom to follow.
+		// Primary is the address of the primary to follow.
 		Primary string
-		// Bound is how long a drain waits for open transactions.
+		// Bound is how long a drain waits for open transactions to end.
 		Bound time.Duration
-		// After delays the order.
+		// After is the delay before the order is sent.
 		After time.Duration
 	}
 
-	// Ordered is the answer to an order, or its absence.
+	// Ordered is the result of an order.
 	Ordered struct {
 		Order Order
 		// Started is when the order was sent.
@@ -69,25 +69,25 @@
 		Err     error
 	}
 
-	// Record is what the store holds of a group's newest promotion.
+	// Record is the stored state of a group's newest promotion.
 	Record struct {
 		Term  uint64
 		Owner string
-		// Primary is empty while the promotion is under way.
+		// Primary is empty while the promotion is in progress.
 		Primary string
 	}
 
 	// IntentOutcome is how recording an intent ended.
 	IntentOutcome int
 
-	// Intend asks the store to record that a promotion begins.
+	// Intend requests that the store record the start of a promotion.
 	Intend struct {
 		Service string
 		Attempt uint64
 		Record  Record
 	}
 
-	// Intended answers it; Found is what the store holds for IntentTaken.
+	// Intended is the result of Intend; Found is the stored record for IntentTaken.
 	Intended struct {
 		Service string
 		Attempt uint64
@@ -95,57 +95,57 @@
 		Found   Record
 	}
 
-	// Publish asks the store to record a promotion that took effect.
+	// Publish requests that the store record a completed promotion.
 	Publish struct {
 		Service string
 		Record  Record
 	}
 
-	// Published answers it. Done is false when the store must be asked again.
+	// Published is the result of Publish. Done is false when it must be retried.
 	Published struct {
 		Service string
 		Record  Record
 		Done    bool
 	}
 
-	// Began is emitted when a majority has answered an attempt's first questions.
+	// Began is emitted when a majority has responded to the probe of an attempt.
 	Began struct {
 		Service string
-		// Member is the primary that is replaced, empty when the term has none.
+		// Member is the replaced primary, empty when the term has none.
 		Member string
-		// Term is the one that is to begin.
+		// Term is the term of the new primary.
 		Term     uint64
 		Planned  bool
 		Evidence detector.Evidence
 	}
 
-	// Promoted is emitted when this instance has made a member the primary.
+	// Promoted is emitted when this instance has promoted a member.
 	Promoted struct {
 		Service string
 		Member  string
 		Term    uint64
 		Owner   string
-		// At is the end of the log that the member brought along.
+		// At is the end of the member's log at its promotion.
 		At orderer.Position
-		// Planned tells a planned change from a failure.
+		// Planned is set unless the change follows a failure.
 		Planned  bool
 		Evidence detector.Evidence
-		// Took is the time since the first order.
+		// Took is the duration of the attempt.
 		Took time.Duration
 	}
 
-	// Abandoned is emitted when an attempt ended without effect.
+	// Abandoned is emitted when an attempt ends without effect.
 	Abandoned struct {
 		Service string
 		Term    uint64
 		Reason  AbandonReason
 	}
 
-	// AbandonReason says why; it is the name of a counter.
+	// AbandonReason is why an attempt ended without effect; it is also the name of a counter.
 	AbandonReason string
 )
 
-// Why an attempt ends without effect.
+// The reasons for abandoning an attempt.
 const (
 	AbandonAlive      AbandonReason = "primary-answered"
 	AbandonNoMajority AbandonReason = "no-majority"
--- a/internal/promoter/slice.go
+++ b/internal/promoter/slice.go
@@ -18,78 +18,76 @@
 	"github.com/oriolegw/oriolegw/internal/observer"
 )
 
-// Load pattern: every instance that observes a failed primary wants to replace it
-// at the same moment. Without order among them each fences a part of the members
-// for the same term, none gets a majority, and the gap grows with each round. So
-// an instance waits by its rank, and gives up when it sees a newer term.
+// Instances that detect the same failure must not compete: if each fenced a minority for the
+// same term, none would get a majority. So an instance waits according to its rank, and stops
+// when it sees a newer term.
 const (
-	// rankStep is more than a whole promotion takes between the availability
-	// zones of the brief: the next in rank starts only if the first has died.
-	rankStep = 150 * time.Millisecond
-	// rankJitter parts instances that don't know of one another.
-	rankJitter = 100 * time.Millisecond
-	peerFresh  = 3 * time.Second
-	// takenPause leaves the promoter whose intent the store holds the time to end.
-	takenPause = 700 * time.Millisecond
-	retryPause = 300 * time.Millisecond
-	// stallPause doubles with each change for a stall, up to stallPauseMost: lag
-	// that looks like a cut must not move the primary round and round.
-	stallPause     = 3 * time.Second
-	stallPauseMost = 60 * time.Second
-	// repairAfter leaves a promoter the time to tell the members itself.
-	repairAfter  = 300 * time.Millisecond
-	repairEvery  = time.Second
-	repairFresh  = time.Second
-	publishEvery = 2 * time.Second
-	// chaseFor bounds how long members are asked at each tick for the new primary.
-	chaseFor = 10 * time.Second
+	// rankDelay exceeds the duration of a promotion, so that the next in rank starts only if the
+	// first has failed.
+	rankDelay = 150 * time.Millisecond
+	// rankJitter separates instances that do not know of each other.
+	rankJitter    = 100 * time.Millisecond
+	peerReportTTL = 3 * time.Second
+	// takenIntentDelay lets the promoter with the recorded intent finish.
+	takenIntentDelay = 700 * time.Millisecond
+	retryDelay       = 300 * time.Millisecond
+	// stallCooldown doubles with each change for a stall, up to maxStallCooldown, so that
+	// replication lag does not cause repeated changes.
+	stallCooldown    = 3 * time.Second
+	maxStallCooldown = 60 * time.Second
+	// repairDelay lets the promoter reach the members first.
+	repairDelay     = 300 * time.Millisecond
+	repairInterval  = time.Second
+	maxStatusAge    = time.Second
+	publishInterval = 2 * time.Second
+	// primarySearchTimeout bounds the polling for a new primary on each tick.
+	primarySearchTimeout = 10 * time.Second
 )
 
 type (
-	// Slice decides when to promote, and takes a promotion through its steps. Set
-	// the exported fields before the first Step.
+	// Slice decides when to promote a member, and runs the steps of a promotion. Set the exported
+	// fields before the first Step.
 	Slice struct {
-		// Name is the instance's name.
 		Name string
-		// Owner names this process to members and store. It must differ between
-		// two processes of one name: members grant a term to an owner, and an
-		// order of the former process may still be under way.
+		// Owner identifies this process to the members and the store. It must change on restart,
+		// because members grant a term to one owner and orders of the former process may still be in
+		// flight.
 		Owner  string
 		Random *rand.Rand
 
 		views  detector.Views
 		groups map[string]*group
-		// order has the groups by name, sorted once for each configuration.
-		order    []*group
-		attempts uint64
+		// sortedGroups holds the groups by name.
+		sortedGroups []*group
+		lastAttempt  uint64
 	}
 
 	peer struct {
-		heard    time.Time
-		suspects bool
+		reportedAt time.Time
+		suspects   bool
 	}
 
 	group struct {
-		slice   *Slice
-		view    *detector.View
-		agreed  *detector.Agreed
-		leaving map[string]bool
-		// peers are the instances that observe the group as well, by name.
+		slice         *Slice
+		view          *detector.View
+		agreedFailure *detector.Agreed
+		leaving       map[string]bool
+		// peers are the other instances that monitor the group, by name.
 		peers map[string]peer
-		// floor is the newest term that the store showed.
-		floor uint64
-		// due is when the next attempt begins; zero while there is no reason.
-		due       time.Time
-		notBefore time.Time
-		stalls    int
-		attempt   *attempt
-		// unpublished is the record that the store has not confirmed yet.
-		unpublished Record
-		publishing  bool
-		publishNext time.Time
-		repairs     map[string]time.Time
-		chased      map[string]bool
-		headless    time.Time
+		// newestStoredTerm is the newest term seen in the store.
+		newestStoredTerm uint64
+		// startAt is when the next attempt starts; zero without a reason.
+		startAt      time.Time
+		notBefore    time.Time
+		stallChanges int
+		attempt      *attempt
+		// unpublished is the record to be stored, zero if none.
+		unpublished     Record
+		publishing      bool
+		nextPublishAt   time.Time
+		nextRepairAt    map[string]time.Time
+		statusPending   map[string]bool
+		leaderlessSince time.Time
 	}
 )
 
@@ -97,14 +95,14 @@
 func (s *Slice) Step(now time.Time, e controller.Event) []controller.Action {
 	switch e := e.(type) {
 	case configurer.InForce:
-		s.apply(e.Document)
+		s.applyConfiguration(e.Document)
 	case observer.Observed:
 		s.views.Observe(e)
 	case gossiper.Heard:
-		s.hear(now, e)
+		s.handleReport(now, e)
 	case detector.Agreed:
 		if g := s.groups[e.Service]; g != nil {
-			g.agree(e)
+			g.handleAgreed(e)
 			return g.step(now)
 		}
 	case drainer.TargetLeaving:
@@ -114,15 +112,15 @@
 		}
 	case Ordered:
 		if g := s.groups[e.Order.Service]; g != nil {
-			return g.ordered(now, e)
+			return g.handleOrdered(now, e)
 		}
 	case Intended:
-		if g := s.groups[e.Service]; g != nil && g.current(e.Attempt) {
-			return g.intended(now, e)
+		if g := s.groups[e.Service]; g != nil && g.isCurrent(e.Attempt) {
+			return g.handleIntent(now, e)
 		}
 	case Published:
 		if g := s.groups[e.Service]; g != nil {
-			g.published(e)
+			g.handlePublished(e)
 		}
 	case controller.Tick:
 		return s.tick(now)
@@ -130,35 +128,35 @@
 	return nil
 }
 
-func (s *Slice) apply(d *configurer.Document) {
+func (s *Slice) applyConfiguration(d *configurer.Document) {
 	s.views = s.views.Apply(d)
 	old := s.groups
 	s.groups = map[string]*group{}
 	for n, v := range s.views {
 		g := old[n]
 		if g == nil {
-			g = &group{slice: s, peers: map[string]peer{}, leaving: map[string]bool{}, repairs: map[string]time.Time{}, chased: map[string]bool{}}
+			g = &group{slice: s, peers: map[string]peer{}, leaving: map[string]bool{}, nextRepairAt: map[string]time.Time{}, statusPending: map[string]bool{}}
 		}
 		if g.view != nil && len(g.view.Members) != len(v.Members) {
-			g.attempt = nil // its members are counted by place
+			g.attempt = nil // an attempt refers to members by index
 		}
 		g.view = v
 		s.groups[n] = g
 	}
 	names := slices.Sorted(maps.Keys(s.groups))
-	s.order = nil
+	s.sortedGroups = nil
 	for _, n := range names {
-		s.order = append(s.order, s.groups[n])
+		s.sortedGroups = append(s.sortedGroups, s.groups[n])
 	}
 }
 
-func (s *Slice) hear(now time.Time, e gossiper.Heard) {
+func (s *Slice) handleReport(now time.Time, e gossiper.Heard) {
 	for _, r := range e.Report.Groups {
 		g := s.groups[r.Service]
 		if g == nil || len(r.Members) == 0 {
 			continue
 		}
-		p := peer{heard: now}
+		p := peer{reportedAt: now}
 		for _, m := range r.Members {
 			p.suspects = p.suspects || m.Suspected
 		}
@@ -168,95 +166,96 @@
 
 func (s *Slice) tick(now time.Time) []controller.Action {
 	var out []controller.Action
-	for _, g := range s.order {
+	for _, g := range s.sortedGroups {
 		out = append(out, g.step(now)...)
-		out = append(out, g.publish(now)...)
-		out = append(out, g.repair(now)...)
-		out = append(out, g.chase(now)...)
+		out = append(out, g.publishPending(now)...)
+		out = append(out, g.repairMembers(now)...)
+		out = append(out, g.searchPrimary(now)...)
 	}
 	return out
 }
 
-// delay is how long this instance lets others go first. Of a suspected member,
-// only those count that suspect it: the others may be cut off, or will not act.
-func (g *group) delay(now time.Time) time.Duration {
+// startDelay returns how long to wait for other instances. For a suspected member, only
+// instances that suspect it as well are ranked, since others may be partitioned or will not
+// act.
+func (g *group) startDelay(now time.Time) time.Duration {
 	s := g.slice
-	suspected := g.agreed != nil && g.agreed.Member != ""
-	own, rank := weight(g.view.Service.Name, g.view.Term(), s.Name), 0
+	suspected := g.agreedFailure != nil && g.agreedFailure.Member != ""
+	own, rank := rankWeight(g.view.Service.Name, g.view.Term(), s.Name), 0
 	for n, p := range g.peers {
-		if n == s.Name || now.Sub(p.heard) >= peerFresh || (suspected && !p.suspects) {
+		if n == s.Name || now.Sub(p.reportedAt) >= peerReportTTL || (suspected && !p.suspects) {
 			continue
 		}
-		if weight(g.view.Service.Name, g.view.Term(), n) < own {
+		if rankWeight(g.view.Service.Name, g.view.Term(), n) < own {
 			rank++
 		}
 	}
-	return time.Duration(rank)*rankStep + time.Duration(s.Random.Int64N(int64(rankJitter)))
+	return time.Duration(rank)*rankDelay + time.Duration(s.Random.Int64N(int64(rankJitter)))
 }
 
-func weight(service string, term uint64, instance string) uint64 {
+func rankWeight(service string, term uint64, instance string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(service + "/" + strconv.FormatUint(term, 10) + "/" + instance))
 	return h.Sum64()
 }
 
-func (g *group) agree(e detector.Agreed) {
+func (g *group) handleAgreed(e detector.Agreed) {
 	if e.On {
-		g.agreed = &e
-	} else if g.agreed != nil && g.agreed.Term == e.Term && g.agreed.Member == e.Member {
-		g.agreed = nil
+		g.agreedFailure = &e
+	} else if g.agreedFailure != nil && g.agreedFailure.Term == e.Term && g.agreedFailure.Member == e.Member {
+		g.agreedFailure = nil
 	}
 }
 
-// step begins an attempt when there is a reason and its time has come, and lets
-// the running one notice that time passes.
+// step starts an attempt when there is a reason and its delay has passed, and checks the
+// timeouts of a running one.
 func (g *group) step(now time.Time) []controller.Action {
-	if g.attempt != nil && !g.founded() {
+	if g.attempt != nil && !g.reasonHolds() {
 		return g.abandon(now, AbandonUnfounded, 0)
 	}
 	if g.attempt != nil {
-		return g.advance(now)
+		return g.checkProgress(now)
 	}
-	planned, member := g.reason()
-	if member < 0 && !g.without() {
-		g.due = time.Time{}
+	planned, member := g.primaryToReplace()
+	if member < 0 && !g.lacksPrimary() {
+		g.startAt = time.Time{}
 		return nil
 	}
-	if g.due.IsZero() {
+	if g.startAt.IsZero() {
 		from := now
 		if g.notBefore.After(from) {
 			from = g.notBefore
 		}
-		g.due = from.Add(g.delay(now))
+		g.startAt = from.Add(g.startDelay(now))
 	}
-	if now.Before(g.due) {
+	if now.Before(g.startAt) {
 		return nil
 	}
-	g.due = time.Time{}
-	return g.begin(now, planned, member)
+	g.startAt = time.Time{}
+	return g.startAttempt(now, planned, member)
 }
 
-// founded reports whether the running attempt still has its reason. Once a member has
-// been told to obey the new term, the attempt must end in a primary whatever happens.
-func (g *group) founded() bool {
+// reasonHolds reports whether the reason of the running attempt still applies. Once a member
+// has been moved to the new term, the attempt must end with a primary.
+func (g *group) reasonHolds() bool {
 	a := g.attempt
 	switch {
 	case a.step >= stepDrain:
 		return true
 	case a.planned:
-		return g.leaving[g.view.Service.Members[a.old].Name]
+		return g.leaving[g.view.Service.Members[a.oldPrimary].Name]
 	}
-	return g.agreed != nil && g.view.Index(g.agreed.Member) == a.old
+	return g.agreedFailure != nil && g.view.Index(g.agreedFailure.Member) == a.oldPrimary
 }
 
-// without reports an agreed failure that is not that of a member.
-func (g *group) without() bool { return g.agreed != nil && g.agreed.Member == "" }
+// lacksPrimary reports whether the detected failure is a term without a primary.
+func (g *group) lacksPrimary() bool { return g.agreedFailure != nil && g.agreedFailure.Member == "" }
 
-// reason returns the primary that is to be replaced, or -1, and whether the
-// change is planned.
-func (g *group) reason() (planned bool, member int) {
-	if g.agreed != nil {
-		return false, g.view.Index(g.agreed.Member)
+// primaryToReplace returns the index of the primary to replace, or -1, and whether the change
+// is planned.
+func (g *group) primaryToReplace() (planned bool, member int) {
+	if g.agreedFailure != nil {
+		return false, g.view.Index(g.agreedFailure.Member)
 	}
 	p := g.view.Primary()
 	if p < 0 || !g.leaving[g.view.Service.Members[p].Name] || g.view.Members[p].Failures > 0 {
@@ -270,67 +269,65 @@
 	return false, -1
 }
 
-// publish keeps asking the store until it holds the newest record.
-func (g *group) publish(now time.Time) []controller.Action {
-	if g.unpublished.Term == 0 || g.publishing || now.Before(g.publishNext) {
+// publishPending publishes the newest record until the store holds it.
+func (g *group) publishPending(now time.Time) []controller.Action {
+	if g.unpublished.Term == 0 || g.publishing || now.Before(g.nextPublishAt) {
 		return nil
 	}
 	if g.view.Term() > g.unpublished.Term {
-		g.unpublished = Record{} // whoever made the newer term publishes it
+		g.unpublished = Record{} // the newer term's promoter publishes it
 		return nil
 	}
-	g.publishing, g.publishNext = true, now.Add(publishEvery)
+	g.publishing, g.nextPublishAt = true, now.Add(publishInterval)
 	return []controller.Action{Publish{Service: g.view.Service.Name, Record: g.unpublished}}
 }
 
-func (g *group) published(e Published) {
+func (g *group) handlePublished(e Published) {
 	g.publishing = false
 	if e.Done && e.Record == g.unpublished {
 		g.unpublished = Record{}
 	}
 }
 
-// repair tells members that missed a change whom to follow: one that was dead or
-// cut off, or whose promoter died before it could. A member that obeys a newer
-// term than the primary is not sent back to the older one: it may have been one
-// of a majority that was fenced to stop that primary, and letting it acknowledge
-// the old term's entries again would undo the fence. Only a newer term helps.
-func (g *group) repair(now time.Time) []controller.Action {
+// repairMembers makes members that missed a change follow the primary. A member of a newer
+// term is not moved back to the primary's: it may belong to a fenced majority, and
+// acknowledging entries of the old term again would undo the fence. It takes a newer term.
+func (g *group) repairMembers(now time.Time) []controller.Action {
 	p := g.view.Primary()
-	if p < 0 || g.attempt != nil || !g.usable(now, p) {
+	if p < 0 || g.attempt != nil || !g.reachable(now, p) {
 		return nil
 	}
 	var out []controller.Action
 	for i, m := range g.view.Service.Members {
-		if i == p || !g.usable(now, i) || !g.astray(i, p) {
-			delete(g.repairs, m.Name)
+		if i == p || !g.reachable(now, i) || !g.needsRepair(i, p) {
+			delete(g.nextRepairAt, m.Name)
 			continue
 		}
-		next, known := g.repairs[m.Name]
+		next, known := g.nextRepairAt[m.Name]
 		if !known {
-			g.repairs[m.Name] = now.Add(repairAfter)
+			g.nextRepairAt[m.Name] = now.Add(repairDelay)
 			continue
 		}
 		if now.Before(next) {
 			continue
 		}
-		g.repairs[m.Name] = now.Add(repairEvery)
-		out = append(out, g.follow(i, p, g.view.Term()))
+		g.nextRepairAt[m.Name] = now.Add(repairInterval)
+		out = append(out, g.followOrder(i, p, g.view.Term()))
 	}
 	return out
 }
 
-func (g *group) usable(now time.Time, i int) bool {
+func (g *group) reachable(now time.Time, i int) bool {
 	k := g.view.Members[i]
-	return k.Failures == 0 && !k.Seen.IsZero() && now.Sub(k.Seen) < repairFresh
+	return k.Failures == 0 && !k.Seen.IsZero() && now.Sub(k.Seen) < maxStatusAge
 }
 
-func (g *group) astray(i, p int) bool {
+func (g *group) needsRepair(i, p int) bool {
 	s := g.view.Members[i].Status
 	return s.Term < g.view.Term() || s.Role != commander.RoleReplica || s.Following != g.view.Service.Members[p].Address
 }
 
-func (g *group) follow(i, p int, term uint64) Order {
+func (g *group) followOrder(i, p int, term uint64) Order {
 	m := g.view.Service.Members[i]
 	return Order{
 		Service: g.view.Service.Name, Kind: OrderFollow, Member: m.Name, Address: m.Address,
@@ -338,33 +335,33 @@
 	}
 }
 
-// chase asks the members at each tick while the newest term has no primary, so
-// that held requests go on as soon as there is one.
-func (g *group) chase(now time.Time) []controller.Action {
+// searchPrimary polls the members on each tick while the newest term has no primary, so that
+// waiting requests resume as soon as there is one.
+func (g *group) searchPrimary(now time.Time) []controller.Action {
 	if g.view.Term() == 0 || g.view.Primary() >= 0 {
-		g.headless = time.Time{}
+		g.leaderlessSince = time.Time{}
 		return nil
 	}
-	if g.headless.IsZero() {
-		g.headless = now
+	if g.leaderlessSince.IsZero() {
+		g.leaderlessSince = now
 	}
-	if g.attempt != nil || now.Sub(g.headless) > chaseFor {
+	if g.attempt != nil || now.Sub(g.leaderlessSince) > primarySearchTimeout {
 		return nil
 	}
 	var out []controller.Action
 	for _, m := range g.view.Service.Members {
-		if !g.chased[m.Name] {
-			g.chased[m.Name] = true
+		if !g.statusPending[m.Name] {
+			g.statusPending[m.Name] = true
 			out = append(out, Order{Service: g.view.Service.Name, Kind: OrderStatus, Member: m.Name, Address: m.Address})
 		}
 	}
 	return out
 }
 
-// ordered takes in the answer of a member, which all slices hear of.
-func (g *group) ordered(now time.Time, e Ordered) []controller.Action {
+// handleOrdered handles the result of an order and emits it as an observation.
+func (g *group) handleOrdered(now time.Time, e Ordered) []controller.Action {
 	if e.Order.Attempt == 0 && e.Order.Kind == OrderStatus {
-		g.chased[e.Order.Member] = false
+		g.statusPending[e.Order.Member] = false
 	}
 	var out []controller.Action
 	if e.Err == nil {
@@ -372,12 +369,12 @@
 		g.slice.views.Observe(o)
 		out = append(out, controller.Emit{Event: o})
 	}
-	if g.current(e.Order.Attempt) {
-		out = append(out, g.answered(now, e)...)
+	if g.isCurrent(e.Order.Attempt) {
+		out = append(out, g.handleAnswer(now, e)...)
 	}
 	return out
 }
 
-func (g *group) current(attempt uint64) bool { return g.attempt != nil && g.attempt.id == attempt }
+func (g *group) isCurrent(attempt uint64) bool { return g.attempt != nil && g.attempt.id == attempt }
 
-func refused(err error) bool { return errors.Is(err, commander.ErrRefused) }
+func isRefused(err error) bool { return errors.Is(err, commander.ErrRefused) }
