--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -1,45 +1,43 @@
-// Package detector decides whether a primary is suspected of having failed, from
-// what this instance has seen of it and what instances of other availability
-// zones report.
+// Package detector decides whether a primary is suspected of failure, based on this instance's
+// own observations and on reports from other availability zones.
 package detector
 
 import "time"
 
-// The kinds of evidence, from none to the strongest.
+// The kinds of evidence, from the weakest to the strongest.
 const (
 	EvidenceNone Evidence = iota
-	// EvidenceSilent: no answer on the kept connection, nor on a fresh one.
+	// EvidenceSilent means no response on the open connection or a new one.
 	EvidenceSilent
-	// EvidenceStalled: the primary answers, and what it writes stops at it.
+	// EvidenceStalled means that the primary responds but does not replicate.
 	EvidenceStalled
-	// EvidenceUnreachable: fresh connections are refused or reset.
+	// EvidenceUnreachable means that new connections are refused or reset.
 	EvidenceUnreachable
-	// EvidenceHeadless: the members obey a term that has no primary.
+	// EvidenceHeadless means that the members' newest term has no primary.
 	EvidenceHeadless
 )
 
 type (
-	// Evidence is what a suspicion rests on.
+	// Evidence is the reason for a suspicion.
 	Evidence int
 
-	// Suspected is emitted when this instance's own suspicion of a member begins
-	// or ends. It rides to other instances in gossiper.MemberReport.Suspected.
+	// Suspected is emitted when this instance's suspicion of a member begins or ends. Other
+	// instances receive it as gossiper.MemberReport.Suspected.
 	Suspected struct {
 		Service string
 		// Member is empty when the newest term has no primary.
 		Member string
-		// Term is the term in which the member was seen as primary.
+		// Term is the term in which the member was primary.
 		Term uint64
 		On   bool
-		// Evidence says what it rests on, in one short line.
+		// Evidence describes the reason in one line.
 		Evidence string
-		// Age is how long ago the question was sent that the member answered last; negative
-		// when it has not answered yet.
+		// Age is the time since the last answered request was sent; negative if there is none.
 		Age time.Duration
 	}
 
-	// Agreed is emitted when a suspicion is to be acted on, because enough
-	// availability zones share it, and when that ends.
+	// Agreed is emitted when enough availability zones share a suspicion to act on it, and when
+	// that ends.
 	Agreed struct {
 		Service  string
 		Member   string
@@ -55,15 +53,15 @@
 // EventName implements controller.Event.
 func (Agreed) EventName() string { return "failure-agreed" }
 
-// String returns the evidence in words.
+// String describes the evidence.
 func (e Evidence) String() string {
 	switch e {
 	case EvidenceSilent:
-		return "no answer on the kept connection nor on a fresh one"
+		return "no response on the open connection or a new one"
 	case EvidenceStalled:
-		return "what it writes reaches no replica"
+		return "its writes reach no replica"
 	case EvidenceUnreachable:
-		return "fresh connections are refused"
+		return "new connections are refused"
 	case EvidenceHeadless:
 		return "the newest term has no primary"
 	}
--- a/internal/detector/slice.go
+++ b/internal/detector/slice.go
@@ -10,71 +10,65 @@
 	"github.com/oriolegw/oriolegw/internal/observer"
 )
 
-// The thresholds answer one pattern each. They are measured in
-// docs/design/0003-promotion.md. A question is sent every 100 ms and waits 600 ms
-// for its answer.
+// The detection thresholds; see docs/design/0003-promotion.md.
 const (
-	// minFailures questions in a row must fail: one lost answer is no failure.
+	// minFailures is the number of consecutive failed polls; a single one may be a lost response.
 	minFailures = 2
-	// refusedAfter is how long a crash must last. A process that is restarted by
-	// hand or a listener that is reopened takes less.
-	refusedAfter = 200 * time.Millisecond
-	// silentAfter is how long a freeze must last. A pause of a virtual machine or
-	// a collector is some hundred milliseconds; two questions of 600 ms each on
-	// two connections bridge 1.1 s.
-	silentAfter = 1100 * time.Millisecond
-	// stalledAfter is how long nothing may reach the replicas. Below, a burst of
-	// replication lag would look like a cut.
-	stalledAfter = 1500 * time.Millisecond
-	// headlessAfter leaves a running promotion the time to end, so that it is not
-	// overtaken by a second one.
-	headlessAfter = 700 * time.Millisecond
-	// deafAfter is how long a replica may miss its primary's heartbeat, which comes
-	// every 200 ms, before it counts as cut off.
-	deafAfter = 700 * time.Millisecond
-	// cutAfter is how long a majority of the replicas must stay so: a replica that
-	// opens its stream anew has none for some 100 ms.
-	cutAfter = 400 * time.Millisecond
-	// freshFor is how long what was seen or reported counts.
-	freshFor = 2 * time.Second
-	// refusedPatience and silentPatience are how long a suspicion waits for other
-	// availability zones to speak. Without them an instance whose own network
-	// fails would replace a healthy primary.
-	refusedPatience = 400 * time.Millisecond
-	silentPatience  = 900 * time.Millisecond
+	// refusedTimeout is how long connections must be refused. A process restart or a reopened
+	// listener takes less.
+	refusedTimeout = 200 * time.Millisecond
+	// silenceTimeout is how long responses must be missing. It exceeds pauses of a virtual machine
+	// or a garbage collector.
+	silenceTimeout = 1100 * time.Millisecond
+	// stallTimeout is how long no entry may reach the replicas. A shorter one would mistake
+	// replication lag for a partition.
+	stallTimeout = 1500 * time.Millisecond
+	// leaderlessTimeout lets a running promotion finish before another one starts.
+	leaderlessTimeout = 700 * time.Millisecond
+	// heartbeatTimeout is how long a replica may miss the primary's heartbeats before it counts as
+	// partitioned from it.
+	heartbeatTimeout = 700 * time.Millisecond
+	// isolationTimeout is how long a majority of the replicas must miss heartbeats. It exceeds the
+	// time to reopen a replication stream.
+	isolationTimeout = 400 * time.Millisecond
+	// maxReportAge is how long observations and reports count.
+	maxReportAge = 2 * time.Second
+	// refusedZoneWait and silentZoneWait are how long a suspicion waits for reports of other
+	// availability zones, so that an instance with a network fault of its own does not replace a
+	// healthy primary.
+	refusedZoneWait = 400 * time.Millisecond
+	silentZoneWait  = 900 * time.Millisecond
 )
 
 type (
-	// Slice weighs the evidence. Set the exported fields before the first Step.
+	// Slice evaluates the evidence. Set the exported fields before the first Step.
 	//
-	// Load pattern: a fleet at work, with lag, jitter and pauses. A single timeout
-	// is either slow for a crash or replaces a primary that was merely slow. So
-	// each kind of evidence has its own threshold, and a kind that may be due to
-	// this instance's own network needs another availability zone to share it.
+	// Each kind of evidence has its own threshold, since a single timeout is either slow to detect
+	// a crash or replaces a primary that is merely slow. Evidence that this instance's own network
+	// may cause must be shared by another availability zone.
 	Slice struct {
-		// Zone is the instance's own availability zone.
+		// Zone is the instance's availability zone.
 		Zone string
 
 		views  Views
 		groups map[string]*group
-		// order has the groups by name, sorted once for each configuration:
-		// at each tick it took most of a tick's time.
-		order []*group
+		// sortedGroups holds the groups by name.
+		sortedGroups []*group
 	}
 
 	group struct {
-		zone string // the instance's own
+		zone string // the instance's availability zone
 		view *View
-		// opinions are the newest of each other availability zone.
-		opinions map[string]opinion
-		stall    stall
-		// headless is since when headlessTerm, the newest, has no primary.
-		headless     time.Time
-		headlessTerm uint64
-		current      suspicion
+		// zoneReports holds the newest report of each other availability zone.
+		zoneReports map[string]zoneReport
+		stall       stall
+		// leaderlessSince is when the newest term, leaderlessTerm, was first seen without a primary.
+		leaderlessSince time.Time
+		leaderlessTerm  uint64
+		current         suspicion
 	}
 
-	// suspicion is the one that was last emitted.
+	// suspicion is the last emitted suspicion.
 	suspicion struct {
 		member   string
 		term     uint64
@@ -83,19 +77,19 @@
 		agreed   bool
 	}
 
-	// stall watches a position of the primary that no majority holds.
+	// stall tracks a position of the primary that no majority holds.
 	stall struct {
-		since time.Time
-		sum   uint64 // of what the followers hold
-		cut   bool   // the replicas don't hear the primary
+		since             time.Time
+		replicatedOffsets uint64 // sum of the replicas' log offsets
+		isolated          bool   // the replicas miss the primary's heartbeats
 	}
 
-	opinion struct {
-		heard time.Time
-		// alive is when the primary is known to have answered there.
-		alive    time.Time
-		suspects bool
-		term     uint64
+	zoneReport struct {
+		reportedAt time.Time
+		// primaryAliveAt is when the primary last responded in that zone.
+		primaryAliveAt time.Time
+		suspects       bool
+		term           uint64
 	}
 )
 
@@ -103,40 +97,40 @@
 func (s *Slice) Step(now time.Time, e controller.Event) []controller.Action {
 	switch e := e.(type) {
 	case configurer.InForce:
-		s.apply(e.Document)
+		s.applyConfiguration(e.Document)
 	case observer.Observed:
 		if s.views.Observe(e) != nil {
-			return s.groups[e.Service].step(now)
+			return s.groups[e.Service].evaluate(now)
 		}
 	case gossiper.Heard:
-		return s.hear(now, e)
+		return s.handleReport(now, e)
 	case controller.Tick:
 		var out []controller.Action
-		for _, g := range s.order {
-			out = append(out, g.step(now)...)
+		for _, g := range s.sortedGroups {
+			out = append(out, g.evaluate(now)...)
 		}
 		return out
 	}
 	return nil
 }
 
-func (s *Slice) apply(d *configurer.Document) {
+func (s *Slice) applyConfiguration(d *configurer.Document) {
 	s.views = s.views.Apply(d)
 	old := s.groups
-	s.groups, s.order = map[string]*group{}, nil
-	for _, v := range s.views.ordered() {
+	s.groups, s.sortedGroups = map[string]*group{}, nil
+	for _, v := range s.views.sorted() {
 		n := v.Service.Name
 		g := old[n]
 		if g == nil {
-			g = &group{zone: s.Zone, opinions: map[string]opinion{}}
+			g = &group{zone: s.Zone, zoneReports: map[string]zoneReport{}}
 		}
 		g.view = v
 		s.groups[n] = g
-		s.order = append(s.order, g)
+		s.sortedGroups = append(s.sortedGroups, g)
 	}
 }
 
-func (s *Slice) hear(now time.Time, e gossiper.Heard) []controller.Action {
+func (s *Slice) handleReport(now time.Time, e gossiper.Heard) []controller.Action {
 	if e.Report.Zone == s.Zone {
 		return nil
 	}
@@ -146,14 +140,14 @@
 		if g == nil {
 			continue
 		}
-		g.hear(now, e, r)
-		out = append(out, g.step(now)...)
+		g.recordReport(now, e, r)
+		out = append(out, g.evaluate(now)...)
 	}
 	return out
 }
 
-func (g *group) hear(now time.Time, e gossiper.Heard, r gossiper.GroupReport) {
-	o := g.opinions[e.Report.Zone]
+func (g *group) recordReport(now time.Time, e gossiper.Heard, r gossiper.GroupReport) {
+	o := g.zoneReports[e.Report.Zone]
 	p := g.view.Primary()
 	if p < 0 {
 		return
@@ -164,22 +158,22 @@
 			continue
 		}
 		if o.term != term {
-			o = opinion{term: term}
+			o = zoneReport{term: term}
 		}
-		o.heard = now
+		o.reportedAt = now
 		o.suspects = m.Suspected
-		// The observation is no older than this, on this instance's clock.
+		// A lower bound of the observation's time, on this instance's clock.
 		at := e.Asked.Add(-m.Age)
-		if m.Failures == 0 && m.Status.Role == commander.RolePrimary && m.Status.Term == term && at.After(o.alive) {
-			o.alive = at
+		if m.Failures == 0 && m.Status.Role == commander.RolePrimary && m.Status.Term == term && at.After(o.primaryAliveAt) {
+			o.primaryAliveAt = at
 		}
-		g.opinions[e.Report.Zone] = o
+		g.zoneReports[e.Report.Zone] = o
 	}
 }
 
-// step weighs the evidence and emits what has changed.
-func (g *group) step(now time.Time) []controller.Action {
-	next := suspicion{term: g.view.Term(), evidence: g.weigh(now)}
+// evaluate updates the suspicion and emits what has changed.
+func (g *group) evaluate(now time.Time) []controller.Action {
+	next := suspicion{term: g.view.Term(), evidence: g.assessPrimary(now)}
 	if p := g.view.Primary(); p >= 0 {
 		next.member = g.view.Service.Members[p].Name
 	}
@@ -187,25 +181,25 @@
 	c := &g.current
 	same := c.member == next.member && c.term == next.term && (c.evidence == EvidenceNone) == (next.evidence == EvidenceNone)
 	if !same {
-		out = g.end()
+		out = g.withdraw()
 		next.since = now
 		g.current = next
 		if next.evidence != EvidenceNone {
 			out = append(out, g.emit(Suspected{
-				Service: g.view.Service.Name, Member: next.member, Term: next.term, On: true, Evidence: next.evidence.String(), Age: g.age(now),
+				Service: g.view.Service.Name, Member: next.member, Term: next.term, On: true, Evidence: next.evidence.String(), Age: g.statusAge(now),
 			}))
 		}
 	}
 	c.evidence = next.evidence
-	if c.evidence != EvidenceNone && !c.agreed && g.agree(now) {
+	if c.evidence != EvidenceNone && !c.agreed && g.shouldAct(now) {
 		c.agreed = true
-		out = append(out, g.emit(g.agreement(true)))
+		out = append(out, g.emit(g.agreedEvent(true)))
 	}
 	return out
 }
 
-// age is how long ago the question was sent that the primary answered last.
-func (g *group) age(now time.Time) time.Duration {
+// statusAge returns the time since the primary's last answered request was sent.
+func (g *group) statusAge(now time.Time) time.Duration {
 	p := g.view.Primary()
 	if p < 0 || g.view.Members[p].Seen.IsZero() {
 		return -1
@@ -213,20 +207,20 @@
 	return now.Sub(g.view.Members[p].Seen)
 }
 
-// end withdraws the current suspicion.
-func (g *group) end() []controller.Action {
+// withdraw ends the current suspicion.
+func (g *group) withdraw() []controller.Action {
 	c := g.current
 	if c.evidence == EvidenceNone {
 		return nil
 	}
 	out := []controller.Action{g.emit(Suspected{Service: g.view.Service.Name, Member: c.member, Term: c.term})}
 	if c.agreed {
-		out = append(out, g.emit(g.agreement(false)))
+		out = append(out, g.emit(g.agreedEvent(false)))
 	}
 	return out
 }
 
-func (g *group) agreement(on bool) Agreed {
+func (g *group) agreedEvent(on bool) Agreed {
 	c := g.current
 	return Agreed{Service: g.view.Service.Name, Member: c.member, Term: c.term, On: on, Evidence: c.evidence}
 }
--- a/internal/detector/view.go
+++ b/internal/detector/view.go
@@ -10,31 +10,29 @@
 )
 
 type (
-	// Known is what this instance has seen of one member at first hand.
+	// Known is the state of one member as observed by this instance.
 	Known struct {
 		Status commander.Status
-		// Seen is when the question was sent that gave Status; zero is never.
+		// Seen is when the request that returned Status was sent; zero is never.
 		Seen time.Time
-		// Failures counts the questions in a row without answer; the first of
-		// them was sent at FailingSince.
+		// Failures counts consecutive unanswered requests; the first of them was sent at FailingSince.
 		Failures     int
 		FailingSince time.Time
-		// Unreachable tells that the last of them was refused, not unanswered.
+		// Unreachable is set when the last failed request was refused, not timed out.
 		Unreachable bool
 	}
 
-	// View is what is known of one group.
+	// View is the observed state of one group.
 	View struct {
 		Service *configurer.Service
 		Members []Known
 	}
 
-	// Views holds the groups of a configuration, by service.
+	// Views holds the groups of a configuration by service name.
 	Views map[string]*View
 )
 
-// Apply returns the views of a newer configuration; what is known of members that
-// stay is kept.
+// Apply returns the views of a newer configuration, and keeps the state of unchanged members.
 func (w Views) Apply(d *configurer.Document) Views {
 	next := Views{}
 	for i := range d.Services {
@@ -52,10 +50,9 @@
 	return next
 }
 
-// Observe takes in an answer, or its absence. It returns nil for a group or a
-// member that the configuration doesn't know, and for what another instance
-// observed: that says nothing of whether this one reaches the member, and lacks
-// what a status tells of replication.
+// Observe processes the result of a status request. It returns nil for unknown groups and
+// members, and for observations of other instances, which neither show that this instance
+// reaches the member nor include its replication state.
 func (w Views) Observe(e observer.Observed) *View {
 	v := w[e.Service]
 	if v == nil || e.From != "" {
@@ -65,13 +62,13 @@
 	if i < 0 {
 		return nil
 	}
-	v.Members[i].observe(e)
+	v.Members[i].update(e)
 	return v
 }
 
-func (k *Known) observe(e observer.Observed) {
-	// Answers may overtake one another: an older one must not undo a newer.
-	// A question that was never sent, for want of a connection, tells nothing.
+func (k *Known) update(e observer.Observed) {
+	// Ignores responses received out of order, and requests that were not sent for lack of a
+	// connection.
 	if e.Started.Before(k.Seen) || errors.Is(e.Err, commander.ErrBusy) {
 		return
 	}
@@ -86,7 +83,7 @@
 	k.Unreachable = errors.Is(e.Err, commander.ErrUnreachable)
 }
 
-// Index returns the place of a member in the configuration, or -1.
+// Index returns the index of a member in the configuration, or -1.
 func (v *View) Index(member string) int {
 	for i, m := range v.Service.Members {
 		if m.Name == member {
@@ -96,7 +93,7 @@
 	return -1
 }
 
-// Term returns the newest term that any member was seen to obey.
+// Term returns the newest term of any member.
 func (v *View) Term() uint64 {
 	var term uint64
 	for _, k := range v.Members {
@@ -105,7 +102,7 @@
 	return term
 }
 
-// Primary returns the place of the newest term's primary, or -1.
+// Primary returns the index of the newest term's primary, or -1.
 func (v *View) Primary() int {
 	term := v.Term()
 	for i, k := range v.Members {
