--- a/internal/charter/charter.go
+++ b/internal/charter/charter.go
@@ -1,6 +1,6 @@
-// Package charter makes of entry instances' log lines what an engineer on call looks at
-// first: when statements were refused, late or tried again, and why; how long they waited;
-// which connections could not be opened; when the lead moved and dependencies were lost.
+// Package charter summarizes the log lines of entry instances for the engineer on call: which
+// statements were refused, slow or retried and why, how long they waited, which connections
+// failed, when primaries changed, and which dependencies were lost.
 package charter
 
 import (
@@ -16,38 +16,36 @@
 )
 
 const (
-	// longestMillis bounds what is told apart in histograms; statements end sooner.
-	longestMillis = 60_000
-	// histogramDigits is how exactly.
+	// maxLatencyMillis is the largest value that histograms record; statements end sooner.
+	maxLatencyMillis = 60_000
+	// histogramDigits is the number of significant digits in histograms.
 	histogramDigits = 2
-	// outcomeTried is that of a try that another one follows.
-	outcomeTried = "tried"
+	// outcomeRetried is the outcome of a failed attempt that was retried.
+	outcomeRetried = "tried"
 )
 
 type (
-	// Report is what a log tells.
+	// Report is the summary of a log.
 	Report struct {
 		From, To time.Time
-		// Failures counts by second what was not served in the end.
+		// Failures counts the statements that failed for good, by second since From.
 		Failures map[int]int
-		// Series are counts a second, by name and second since From.
+		// Series holds event counts by name and second since From.
 		Series map[string]map[int]int
-		// Latency and Wait are in milliseconds, by second since From; Groups is the
-		// latency by group.
+		// Latency and Wait are in milliseconds, by second since From; Groups is the latency by group.
 		Latency, Wait map[int]*hdrhistogram.Histogram
 		Groups        map[string]*hdrhistogram.Histogram
 		Causes        []Cause
 		Moves         []Move
 		Losses        []Loss
-		// Dropped counts lines that instances did not write: what is counted is the least
-		// that happened.
+		// Dropped counts lines that instances dropped, so that all counts are lower bounds.
 		Dropped int
 
-		// begun are the changes of the lead that have not ended, by group.
-		begun map[string]Move
+		// unfinishedChanges holds changes of the primary without a logged end, by group.
+		unfinishedChanges map[string]Move
 	}
 
-	// Cause is why statements failed at first or for good, in which groups.
+	// Cause is a reason for failed or retried statements, with counts by group.
 	Cause struct {
 		Outcome, Reason string
 		Groups          map[string]int
@@ -55,14 +53,14 @@
 		First, Last     time.Time
 	}
 
-	// Move is a change of the lead.
+	// Move is a change of a group's primary.
 	Move struct {
 		At                              time.Time
 		Group, Reason, From, To, Result string
 		Took                            time.Duration
 	}
 
-	// Loss is a dependency's absence; Until is zero where it was not seen to return.
+	// Loss is an outage of a dependency; Until is zero if its end was not logged.
 	Loss struct {
 		At, Until            time.Time
 		Instance, Dependency string
@@ -70,20 +68,20 @@
 	}
 )
 
-// The series of a report beside those of outcomes.
+// The names of series other than those of outcomes.
 const (
 	SeriesServed   = "served"
-	SeriesNoPlace  = "connections refused, no place"
+	SeriesNoPlace  = "connections refused, connection limit"
 	SeriesNotOpen  = "connections failed"
 	SeriesLost     = "connections lost while idle"
-	SeriesCallers  = "connections of callers cut"
-	SeriesCarriers = "members reached through others"
+	SeriesCallers  = "connections of callers closed"
+	SeriesCarriers = "members reached via other instances"
 )
 
-// Summarize reads log lines, in order of time, into a report.
+// Summarize builds a report from log lines ordered by time.
 func Summarize(lines []explainer.Line) *Report {
 	r := &Report{
-		Failures: map[int]int{}, begun: map[string]Move{}, Series: map[string]map[int]int{}, Latency: map[int]*hdrhistogram.Histogram{},
+		Failures: map[int]int{}, unfinishedChanges: map[string]Move{}, Series: map[string]map[int]int{}, Latency: map[int]*hdrhistogram.Histogram{},
 		Wait: map[int]*hdrhistogram.Histogram{}, Groups: map[string]*hdrhistogram.Histogram{},
 	}
 	if len(lines) == 0 {
@@ -95,24 +93,24 @@
 	for _, l := range lines {
 		switch l.Fields["part"] {
 		case "served":
-			r.served(l)
+			r.addServed(l)
 		case "request":
-			r.request(l, causes)
+			r.addRequest(l, causes)
 		case "connection":
-			r.connection(l)
+			r.addConnection(l)
 		case "peers":
 			if l.Fields["event"] == "carried" {
-				r.count(SeriesCarriers, l.At)
+				r.countEvent(SeriesCarriers, l.At)
 			}
 		case "duty":
-			r.duty(l)
+			r.addPrimaryChange(l)
 		case "belief":
-			r.dependency(l, lost)
+			r.addDependency(l, lost)
 		case "journal":
-			r.Dropped += int(number(l, "lines"))
+			r.Dropped += int(intField(l, "lines"))
 		}
 	}
-	for _, m := range r.begun {
+	for _, m := range r.unfinishedChanges {
 		r.Moves = append(r.Moves, m)
 	}
 	slices.SortStableFunc(r.Moves, func(a, b Move) int { return a.At.Compare(b.At) })
@@ -125,33 +123,33 @@
 	return r
 }
 
-func (r *Report) second(at time.Time) int { return int(at.Sub(r.From) / time.Second) }
+func (r *Report) secondOf(at time.Time) int { return int(at.Sub(r.From) / time.Second) }
 
-func (r *Report) count(series string, at time.Time) {
+func (r *Report) countEvent(series string, at time.Time) {
 	if r.Series[series] == nil {
 		r.Series[series] = map[int]int{}
 	}
-	r.Series[series][r.second(at)]++
+	r.Series[series][r.secondOf(at)]++
 }
 
-func (r *Report) served(l explainer.Line) {
-	r.count(SeriesServed, l.At)
-	record(r.Latency, r.second(l.At), number(l, "ms"))
-	record(r.Wait, r.second(l.At), number(l, "waited-ms"))
-	record(r.Groups, l.Fields["group"], number(l, "ms"))
+func (r *Report) addServed(l explainer.Line) {
+	r.countEvent(SeriesServed, l.At)
+	recordMillis(r.Latency, r.secondOf(l.At), intField(l, "ms"))
+	recordMillis(r.Wait, r.secondOf(l.At), intField(l, "waited-ms"))
+	recordMillis(r.Groups, l.Fields["group"], intField(l, "ms"))
 }
 
-func (r *Report) request(l explainer.Line, causes map[[2]string]*Cause) {
+func (r *Report) addRequest(l explainer.Line, causes map[[2]string]*Cause) {
 	outcome, reason, group := l.Fields["outcome"], l.Fields["reason"], l.Fields["group"]
 	if outcome == "caller-cut" {
-		r.count(SeriesCallers, l.At)
+		r.countEvent(SeriesCallers, l.At)
 	}
 	if reason == "" {
 		return
 	}
-	r.count(outcome+", "+reason, l.At)
-	if outcome != outcomeTried {
-		r.Failures[r.second(l.At)]++
+	r.countEvent(outcome+", "+reason, l.At)
+	if outcome != outcomeRetried {
+		r.Failures[r.secondOf(l.At)]++
 	}
 	key := [2]string{outcome, reason}
 	c, ok := causes[key]
@@ -163,7 +161,7 @@
 	c.Groups[group]++
 }
 
-func (r *Report) connection(l explainer.Line) {
+func (r *Report) addConnection(l explainer.Line) {
 	series := SeriesNotOpen
 	if l.Fields["event"] == "connection-lost" {
 		series = SeriesLost
@@ -171,30 +169,30 @@
 	if strings.Contains(l.Fields["cause"], "too-many-connections") {
 		series = SeriesNoPlace
 	}
-	r.count(series, l.At)
+	r.countEvent(series, l.At)
 }
 
-// duty takes in changes of the lead. The holder of a duty may die in the middle of one, so
-// one that began and was not seen to end is listed as well.
-func (r *Report) duty(l explainer.Line) {
+// addPrimaryChange adds a change of the primary. A change without a logged end is kept as
+// unfinished, since the instance may have died during it.
+func (r *Report) addPrimaryChange(l explainer.Line) {
 	group := l.Fields["group"]
 	switch l.Fields["event"] {
 	case "move-begins":
-		r.begun[group] = Move{At: l.At, Group: group, Reason: l.Fields["reason"], From: l.Fields["primary"], Result: "not seen to end"}
+		r.unfinishedChanges[group] = Move{At: l.At, Group: group, Reason: l.Fields["reason"], From: l.Fields["primary"], Result: "end not logged"}
 		return
 	case "move-ended":
-		delete(r.begun, group)
+		delete(r.unfinishedChanges, group)
 	default:
 		return
 	}
 	r.Moves = append(r.Moves, Move{
 		At: l.At, Group: group, Reason: l.Fields["reason"], From: l.Fields["from"], To: l.Fields["to"],
-		Result: l.Fields["outcome"], Took: time.Duration(number(l, "ms")) * time.Millisecond,
+		Result: l.Fields["outcome"], Took: time.Duration(intField(l, "ms")) * time.Millisecond,
 	})
 }
 
-// dependency matches losses with returns of the same instance.
-func (r *Report) dependency(l explainer.Line, lost map[[2]string]int) {
+// addDependency pairs the loss and the return of a dependency on the same instance.
+func (r *Report) addDependency(l explainer.Line, lost map[[2]string]int) {
 	key := [2]string{l.Source(), l.Fields["dependency"]}
 	switch l.Fields["event"] {
 	case "dependency-lost":
@@ -208,9 +206,9 @@
 	}
 }
 
-// number reads a field; one that is missing or none counts as 0, as for lines of older
+// intField parses a field; a missing or invalid one counts as 0, as in lines of older
 // versions.
-func number(l explainer.Line, field string) int64 {
+func intField(l explainer.Line, field string) int64 {
 	n, err := strconv.ParseInt(l.Fields[field], 10, 64)
 	if err != nil {
 		return 0
@@ -218,15 +216,15 @@
 	return n
 }
 
-func record[K comparable](m map[K]*hdrhistogram.Histogram, key K, millis int64) {
+func recordMillis[K comparable](m map[K]*hdrhistogram.Histogram, key K, millis int64) {
 	h, ok := m[key]
 	if !ok {
-		h = hdrhistogram.New(1, longestMillis, histogramDigits)
+		h = hdrhistogram.New(1, maxLatencyMillis, histogramDigits)
 		m[key] = h
 	}
-	// The only error is a value out of range, which this one can't be.
-	_ = h.RecordValue(min(max(millis, 1), longestMillis))
+	// The value is in range, so there is no error.
+	_ = h.RecordValue(min(max(millis, 1), maxLatencyMillis))
 }
 
-// names returns the report's series in order.
-func (r *Report) names() []string { return slices.Sorted(maps.Keys(r.Series)) }
+// seriesNames returns the names of the report's series, sorted.
+func (r *Report) seriesNames() []string { return slices.Sorted(maps.Keys(r.Series)) }
--- a/internal/charter/page.go
+++ b/internal/charter/page.go
@@ -26,8 +26,8 @@
 const (
 	plotWidth, plotHeight = 24 * vg.Centimeter, 8 * vg.Centimeter
 	timeFormat            = "15:04:05.000"
-	// mostCauses bounds the table; the rest is many reasons of a few statements each.
-	mostCauses = 60
+	// maxCauseRows bounds the table of causes; the rest are rare ones.
+	maxCauseRows = 60
 )
 
 type (
@@ -37,7 +37,7 @@
 		Groups []groupRow
 		Causes []causeRow
 		More   int
-		// Served and Failed count statements; Worst is the second with most failures.
+		// Served and Failed count statements; Worst is the second with the most failures.
 		Served, Failed int
 		FailedPercent  float64
 		Worst          second
@@ -54,7 +54,7 @@
 		GroupsText string
 	}
 
-	// lossRow is what all instances saw of one dependency.
+	// lossRow combines the losses of one dependency on all instances.
 	lossRow struct {
 		Dependency, Cause string
 		First, Last       time.Time
@@ -72,7 +72,7 @@
 		P50, P99, Max int64
 	}
 
-	line struct {
+	plotLine struct {
 		name  string
 		value func(second int) (float64, bool)
 	}
@@ -84,27 +84,27 @@
 var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
 	"clock": func(t time.Time) string {
 		if t.IsZero() {
-			return "not seen"
+			return "not logged"
 		}
 		return t.Format(timeFormat)
 	},
 }).Parse(pageText))
 
-// Write writes the report as one HTML page with its plots inside.
+// Write writes the report as one HTML page with embedded plots.
 func (r *Report) Write(w io.Writer) error {
 	p := page{Report: r, LossRows: r.lossRows()}
-	for _, c := range r.Causes[:min(mostCauses, len(r.Causes))] {
-		p.Causes = append(p.Causes, causeRow{c, c.groups()})
+	for _, c := range r.Causes[:min(maxCauseRows, len(r.Causes))] {
+		p.Causes = append(p.Causes, causeRow{c, c.groupsText()})
 	}
 	p.More = len(r.Causes) - len(p.Causes)
-	p.count()
+	p.sumStatements()
 	for _, g := range slices.Sorted(maps.Keys(r.Groups)) {
 		h := r.Groups[g]
 		p.Groups = append(p.Groups, groupRow{Group: g, Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P99: h.ValueAtQuantile(99), Max: h.Max()})
 	}
-	var outcomes, connections []line
-	for _, name := range r.names() {
-		s := line{name, func(second int) (float64, bool) { return float64(r.Series[name][second]), true }}
+	var outcomes, connections []plotLine
+	for _, name := range r.seriesNames() {
+		s := plotLine{name, func(second int) (float64, bool) { return float64(r.Series[name][second]), true }}
 		switch {
 		case name == SeriesServed:
 		case strings.HasPrefix(name, "connections"), name == SeriesCarriers:
@@ -115,11 +115,11 @@
 	}
 	for _, f := range []struct {
 		title, unit string
-		lines       []line
+		lines       []plotLine
 	}{
-		{"Statements refused, unknown, aborted or tried again", "a second", outcomes},
-		{"Time that served statements took", "ms", quantiles(r.Latency)},
-		{"Time that served statements waited for a connection", "ms", quantiles(r.Wait)},
+		{"Statements refused, aborted, retried or of unknown outcome", "a second", outcomes},
+		{"Latency of served statements", "ms", latencyLines(r.Latency)},
+		{"Connection wait of served statements", "ms", latencyLines(r.Wait)},
 		{"Connections", "a second", connections},
 	} {
 		image, err := r.draw(f.unit, f.lines)
@@ -131,8 +131,9 @@
 	return pageTemplate.Execute(w, p)
 }
 
-// count sums up how much was served and failed, and when most failed.
-func (p *page) count() {
+// sumStatements counts served and failed statements, and finds the second with the most
+// failures.
+func (p *page) sumStatements() {
 	worst := 0
 	for at, n := range p.Failures {
 		p.Failed += n
@@ -150,8 +151,9 @@
 	p.Worst = second{p.From.Add(time.Duration(worst) * time.Second), n, n + p.Series[SeriesServed][worst]}
 }
 
-// groups names the only group of a cause, or how many there are and the first by count.
-func (c Cause) groups() string {
+// groupsText names the only group of a cause, or counts the groups and names the most affected
+// one.
+func (c Cause) groupsText() string {
 	names := slices.SortedFunc(maps.Keys(c.Groups), func(a, b string) int {
 		return cmp.Or(cmp.Compare(c.Groups[b], c.Groups[a]), cmp.Compare(a, b))
 	})
@@ -161,25 +163,25 @@
 	return fmt.Sprintf("%d, most in %s (%d)", len(names), names[0], c.Groups[names[0]])
 }
 
-// lossRows sums the losses up by dependency.
+// lossRows combines the losses by dependency.
 func (r *Report) lossRows() []lossRow {
 	rows := map[string]*lossRow{}
 	instances := map[[2]string]bool{}
 	for _, l := range r.Losses {
-		x, ok := rows[l.Dependency]
+		row, ok := rows[l.Dependency]
 		if !ok {
-			x = &lossRow{Dependency: l.Dependency, Cause: l.Cause, First: l.At}
-			rows[l.Dependency] = x
+			row = &lossRow{Dependency: l.Dependency, Cause: l.Cause, First: l.At}
+			rows[l.Dependency] = row
 		}
 		if key := [2]string{l.Dependency, l.Instance}; !instances[key] {
 			instances[key] = true
-			x.Instances++
+			row.Instances++
 		}
 		if l.Until.IsZero() {
-			x.Open++
+			row.Open++
 		}
-		if l.Until.After(x.Last) {
-			x.Last = l.Until
+		if l.Until.After(row.Last) {
+			row.Last = l.Until
 		}
 	}
 	var list []lossRow
@@ -189,8 +191,8 @@
 	return list
 }
 
-// quantiles are lines of the median and of the slowest hundredth.
-func quantiles(m map[int]*hdrhistogram.Histogram) []line {
+// latencyLines returns plot lines of the median and the 99th percentile.
+func latencyLines(m map[int]*hdrhistogram.Histogram) []plotLine {
 	at := func(q float64) func(int) (float64, bool) {
 		return func(second int) (float64, bool) {
 			h, ok := m[second]
@@ -200,18 +202,18 @@
 			return float64(h.ValueAtQuantile(q)), true
 		}
 	}
-	return []line{{"p50", at(50)}, {"p99", at(99)}}
+	return []plotLine{{"p50", at(50)}, {"p99", at(99)}}
 }
 
-// draw plots lines over the report's seconds.
-func (r *Report) draw(unit string, lines []line) (template.HTML, error) {
+// draw plots lines over the report's time range as SVG.
+func (r *Report) draw(unit string, lines []plotLine) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "seconds since "+r.From.Format(timeFormat), unit
 	p.Y.Min = 0
 	p.Legend.Top = true
 	for i, l := range lines {
 		var points plotter.XYs
-		for second := range r.second(r.To) + 1 {
+		for second := range r.secondOf(r.To) + 1 {
 			if v, ok := l.value(second); ok {
 				points = append(points, plotter.XY{X: float64(second), Y: v})
 			}
@@ -219,13 +221,13 @@
 		if len(points) == 0 {
 			continue
 		}
-		x, err := plotter.NewLine(points)
+		curve, err := plotter.NewLine(points)
 		if err != nil {
 			return "", err
 		}
-		x.Color, x.Dashes = plotutil.Color(i), plotutil.Dashes(i/len(plotutil.DefaultColors))
-		p.Add(x)
-		p.Legend.Add(l.name, x)
+		curve.Color, curve.Dashes = plotutil.Color(i), plotutil.Dashes(i/len(plotutil.DefaultColors))
+		p.Add(curve)
+		p.Legend.Add(l.name, curve)
 	}
 	p.BackgroundColor = color.Transparent
 	c := vgsvg.New(plotWidth, plotHeight)
