--- a/internal/elector/decide.go
+++ b/internal/elector/decide.go
@@ -35,7 +35,7 @@
 	minRebalanceInterval = 8 * time.Second
 	maxRebalanceInterval = 2 * time.Minute
 	// laggingRebalanceInterval replaces minRebalanceInterval when a lagging replica can be
-	// promoted: the old primary then serves reads in its place.
+	// promoted, since the old primary then serves reads instead.
 	laggingRebalanceInterval = 2500 * time.Millisecond
 	// deadConnectionTimeout is how long members keep connections of hosts that lost power. They
 	// may fill a member when this instance starts.
--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -17,8 +17,8 @@
 const (
 	// DutyPrefix is the store's key prefix of ownership records.
 	DutyPrefix = "oriolegw/duty/"
-	// leaseTTL bounds the time without an owner after one has died. Renewal is attempted several
-	// times within it.
+	// leaseTTL bounds how long a group lacks an owner after a crash. It allows for several
+	// renewals.
 	leaseTTL           = 2500 * time.Millisecond
 	leaseRenewInterval = 700 * time.Millisecond
 	// leaseSafetyMargin is kept at the end of the lease for requests in flight.
--- a/internal/elector/primary_change_test.go
+++ b/internal/elector/primary_change_test.go
@@ -497,7 +497,7 @@
 	})
 }
 
-// assertPrimaryUnchanged asserts that the first primary leads in the first term.
+// assertPrimaryUnchanged asserts that the first primary is still in its first term.
 func (s *harness) assertPrimaryUnchanged(t *testing.T) {
 	t.Helper()
 	id, term := s.group.Leader()
