--- a/internal/charter/page.go
+++ b/internal/charter/page.go
@@ -31,6 +31,7 @@
 )
 
 type (
+	// page is the data of the HTML template.
 	page struct {
 		*Report
 		Plots  []figure
@@ -44,11 +45,13 @@
 		LossRows       []lossRow
 	}
 
+	// second counts the statements of one second.
 	second struct {
 		At          time.Time
 		Failed, All int
 	}
 
+	// causeRow is a row of the table of causes.
 	causeRow struct {
 		Cause
 		GroupsText string
@@ -61,17 +64,20 @@
 		Instances, Open   int
 	}
 
+	// figure is one plot as inline SVG.
 	figure struct {
 		Title string
 		Image template.HTML
 	}
 
+	// groupRow is a row of the table of groups.
 	groupRow struct {
 		Group         string
 		Count         int64
 		P50, P99, Max int64
 	}
 
+	// plotLine is a named function of the second to plot.
 	plotLine struct {
 		name  string
 		value func(second int) (float64, bool)
--- a/internal/detector/slice.go
+++ b/internal/detector/slice.go
@@ -56,6 +56,7 @@
 		sortedGroups []*group
 	}
 
+	// group is the detection state of one group.
 	group struct {
 		zone string // the instance's availability zone
 		view *View
@@ -84,6 +85,7 @@
 		isolated          bool   // the replicas miss the primary's heartbeats
 	}
 
+	// zoneReport is what another availability zone last reported of the primary.
 	zoneReport struct {
 		reportedAt time.Time
 		// primaryAliveAt is when the primary last responded in that zone.
--- a/internal/elector/departed.go
+++ b/internal/elector/departed.go
@@ -64,6 +64,7 @@
 	return ""
 }
 
+// exclude removes a departed member from those whose logs count, since replica by covers it.
 func (k *Keeper) exclude(id, by string) {
 	k.Log("event", "member-counted-out", "group", k.Group.Name, "member", id, "covered-by", by)
 	k.excluded[id] = true
@@ -117,6 +118,7 @@
 	return all
 }
 
+// missingMember represents a recorded member that is not registered.
 func (k *Keeper) missingMember(id, address string) tracker.Member {
 	return tracker.Member{ID: id, Group: k.Group.Name, Address: address, Leaving: true, Missing: true}
 }
--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -80,6 +80,7 @@
 		group   string
 	}
 
+	// groupOwnership is this instance's state of one group's ownership.
 	groupOwnership struct {
 		record storer.Pair
 		held   bool
--- a/internal/elector/keeper.go
+++ b/internal/elector/keeper.go
@@ -283,6 +283,7 @@
 	}
 }
 
+// buildView determines the primary from the members' statuses and returns the group's view.
 func (k *Keeper) buildView() View {
 	now := k.Clock()
 	v := View{Now: now, Ordered: k.orderedAt, Booted: k.Booted, MovePause: k.rebalanceInterval}
--- a/internal/promoter/slice.go
+++ b/internal/promoter/slice.go
@@ -62,11 +62,13 @@
 		lastAttempt  uint64
 	}
 
+	// peer is the last report of another instance.
 	peer struct {
 		reportedAt time.Time
 		suspects   bool
 	}
 
+	// group is the promotion state of one group.
 	group struct {
 		slice         *Slice
 		view          *detector.View
@@ -193,6 +195,7 @@
 	return time.Duration(rank)*rankDelay + time.Duration(s.Random.Int64N(int64(rankJitter)))
 }
 
+// rankWeight orders the instances, differently for each group and term.
 func rankWeight(service string, term uint64, instance string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(service + "/" + strconv.FormatUint(term, 10) + "/" + instance))
@@ -317,6 +320,7 @@
 	return out
 }
 
+// reachable reports whether a member has responded recently.
 func (g *group) reachable(now time.Time, i int) bool {
 	k := g.view.Members[i]
 	return k.Failures == 0 && !k.Seen.IsZero() && now.Sub(k.Seen) < maxStatusAge
