--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -1,8 +1,8 @@
-// Package carrier lends connections to targets between instances. An instance that can't
-// reach a target itself borrows the connection of one that does, for one exchange or one
-// transaction, and speaks on it as on its own: what was sent, what was answered and what
-// that proves is decided where the caller is, and a carrier that dies is a connection that
-// broke. A loan takes one hop: what is lent is always the lender's own.
+// Package carrier forwards connections to targets between instances. An instance that can't
+// reach a target borrows a peer's connection for one exchange or one transaction and uses it
+// like its own: statements, replies and session state are handled by the borrower. If the peer
+// fails, the borrower sees a broken connection. Loans are never forwarded: a peer lends only
+// its own connections.
 package carrier
 
 import (
@@ -20,199 +20,201 @@
 )
 
 const (
-	// openTimeout bounds the opening of a lane to a peer: three round trips, 16 ms each
-	// between regions, and a busy machine as long again and half.
-	openTimeout = 150 * time.Millisecond
-	// answerGrace is how much longer than the peer may wait for a connection its answer
-	// is waited for: the way, a busy machine, and the accountant's answer before.
-	answerGrace = 200 * time.Millisecond
-	// peersAsked is how many peers are asked for one loan, the nearest first.
-	peersAsked = 6
-	// refusedFor is how long a peer that does not reach a member is not asked for it.
-	refusedFor = time.Second
-	// lanesKept is how many idle lanes to a peer are kept, and laneIdle for how long.
-	lanesKept = 8
-	laneIdle  = 30 * time.Second
+	// dialTimeout bounds opening a stream to a peer: three round trips between regions.
+	dialTimeout = 150 * time.Millisecond
+	// replyGrace is added to the time that the peer may wait for a connection, to cover the
+	// round trip and the admission check.
+	replyGrace = 200 * time.Millisecond
+	// maxPeersTried is how many peers are tried for one loan, nearest first.
+	maxPeersTried = 6
+	// refusalTTL is how long a peer that can't reach a member is not asked for it.
+	refusalTTL = time.Second
+	// maxIdleStreams is how many idle streams are kept per peer.
+	maxIdleStreams    = 8
+	streamIdleTimeout = 30 * time.Second
 )
 
 var (
-	// errNoCarrier means that no peer lends a connection.
-	errNoCarrier = errors.New("no peer lends a connection")
-	// errUnreached means that the peer doesn't reach the members either.
-	errUnreached = errors.New("peer does not reach the members")
+	// errNoPeer means that no peer lent a connection.
+	errNoPeer = errors.New("no peer lends a connection")
+	// errUnreachable means that the peer can't reach the members either.
+	errUnreachable = errors.New("peer does not reach the members")
 )
 
-// Carrier borrows for this instance and lends to others. Set the exported fields before use.
+// Carrier borrows connections from peers and lends this instance's own. Set the exported fields
+// before use.
 type Carrier struct {
 	Introducer *introducer.Introducer
 	Links      *linker.Client
 	Codec      messenger.MemberCodec
 	Clock      func() tracker.Stamp
-	// Pool returns the connections of a group, nil where the group isn't known.
+	// Pool returns the connection pool of a group, nil if the group is unknown.
 	Pool func(group string) *lender.Pool
-	// Connections returns how many connections a member of a group takes from all
-	// instances, 0 where that isn't known; Customers how many customers' connections are
-	// told apart. Zones is how many availability zones there are.
+	// Connections returns how many connections a member of a group accepts from all instances,
+	// 0 if unknown.
 	Connections func(group string) int
-	Customers   func() int
-	Zones       int
-	// Leaving reports that this instance ends soon: it lends nothing new.
+	// Customers returns how many client accounts have connections of their own.
+	Customers func() int
+	// Zones is the number of availability zones.
+	Zones int
+	// Leaving reports whether this instance is draining; it then lends nothing new.
 	Leaving func() bool
-	// Log is called with the fields of a line.
+	// Log writes a line of alternating keys and values.
 	Log func(fields ...any)
 
-	mutex sync.Mutex
-	lanes map[string][]*lane
-	// carriers are the addresses that last lent a connection to a member.
-	carriers map[string]string
-	holdings map[string]*holding
-	// refused is since when a peer does not reach a member.
-	refused map[[2]string]tracker.Stamp
-	// avoided is when a holder was last tried in vain: for all members, or for one of them.
-	avoided map[[2]string]tracker.Stamp
-	closed  bool
+	mutex       sync.Mutex
+	idleStreams map[string][]*peerStream
+	// lastLender is the address of the peer that last lent a connection to a member.
+	lastLender  map[string]string
+	assignments map[string]*assignment
+	// refusals is when a peer last refused a member, by peer address and member.
+	refusals map[[2]string]tracker.Stamp
+	// holderFailures is when a holder last failed, by address and member; an empty member
+	// stands for all.
+	holderFailures map[[2]string]tracker.Stamp
+	closed         bool
 
 	lent     atomic.Int64
 	borrowed atomic.Int64
 }
 
-// Lent returns how many connections are lent to peers now.
+// Lent returns how many connections are currently lent to peers.
 func (c *Carrier) Lent() int { return int(c.lent.Load()) }
 
-// Borrowed returns how many loans this instance has taken in all.
+// Borrowed returns how many loans this instance has taken since it started.
 func (c *Carrier) Borrowed() int { return int(c.borrowed.Load()) }
 
-// Close ends all lanes.
+// Close closes all idle streams.
 func (c *Carrier) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.closed = true
-	for _, list := range c.lanes {
+	for _, list := range c.idleStreams {
 		for _, l := range list {
 			l.close()
 		}
 	}
-	c.lanes = nil
+	c.idleStreams = nil
 }
 
-// Carry borrows a connection to the first of the members that a peer reaches. It
+// Carry borrows a connection to one of the members from the first peer that lends one. It
 // implements lender.Pool's Carry.
 func (c *Carrier) Carry(ctx context.Context, group string, members []string, r lender.Request) (*lender.Conn, error) {
-	for _, address := range c.peers(members) {
+	for _, address := range c.candidatePeers(members) {
 		if time.Now().After(r.Until) || ctx.Err() != nil {
 			break
 		}
 		conn, err := c.borrow(ctx, address, group, members, r)
 		if err == nil {
-			c.keepCarrier(conn.Member, address)
+			c.rememberLender(conn.Member, address)
 			c.borrowed.Add(1)
 			return conn, nil
 		}
-		if final(err) || ctx.Err() != nil {
+		if isFinal(err) || ctx.Err() != nil {
 			return nil, err
 		}
-		c.noteRefusal(address, members, err)
+		c.recordRefusal(address, members, err)
 	}
-	return nil, errNoCarrier
+	return nil, errNoPeer
 }
 
-// final reports whether another peer would answer the same.
-func final(err error) bool { return errors.Is(err, lender.ErrFull) || isLimit(err) }
+// isFinal reports whether every other peer would refuse with the same error.
+func isFinal(err error) bool { return errors.Is(err, lender.ErrFull) || isLimitError(err) }
 
-func isLimit(err error) bool {
+func isLimitError(err error) bool {
 	var limit *lender.LimitError
 	return errors.As(err, &limit)
 }
 
-// peers returns whom to ask: who lent one before, then those nearby who have not said that
-// they don't reach the members.
-func (c *Carrier) peers(members []string) []string {
+// candidatePeers returns the peers to ask: the last lender first, then the nearest peers
+// without a recent refusal.
+func (c *Carrier) candidatePeers(members []string) []string {
 	now := c.Clock()
 	known := c.Introducer.Peers(now)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var list []string
 	for _, m := range members {
-		if a, ok := c.carriers[m]; ok {
+		if a, ok := c.lastLender[m]; ok {
 			list = append(list, a)
 			break
 		}
 	}
 	for _, p := range known {
-		at, refused := c.refused[[2]string{p.Address, members[0]}]
-		if len(list) < peersAsked && (!refused || now-at > refusedFor) && (len(list) == 0 || list[0] != p.Address) {
+		at, refused := c.refusals[[2]string{p.Address, members[0]}]
+		if len(list) < maxPeersTried && (!refused || now-at > refusalTTL) && (len(list) == 0 || list[0] != p.Address) {
 			list = append(list, p.Address)
 		}
 	}
 	return list
 }
 
-func (c *Carrier) keepCarrier(member, address string) {
+func (c *Carrier) rememberLender(member, address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.carriers == nil {
-		c.carriers = map[string]string{}
+	if c.lastLender == nil {
+		c.lastLender = map[string]string{}
 	}
-	if c.carriers[member] != address {
-		c.carriers[member] = address
+	if c.lastLender[member] != address {
+		c.lastLender[member] = address
 		c.Log("event", "carried", "member", member, "by", address)
 	}
 }
 
-func (c *Carrier) noteRefusal(address string, members []string, err error) {
+func (c *Carrier) recordRefusal(address string, members []string, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.refused == nil {
-		c.refused = map[[2]string]tracker.Stamp{}
+	if c.refusals == nil {
+		c.refusals = map[[2]string]tracker.Stamp{}
 	}
 	now := c.Clock()
-	for k, at := range c.refused {
-		if now-at > refusedFor {
-			delete(c.refused, k)
+	for k, at := range c.refusals {
+		if now-at > refusalTTL {
+			delete(c.refusals, k)
 		}
 	}
 	for _, m := range members {
-		if c.carriers[m] == address {
-			delete(c.carriers, m)
+		if c.lastLender[m] == address {
+			delete(c.lastLender, m)
 			c.Log("event", "carrier-lost", "member", m, "by", address, "cause", err)
 		}
-		c.refused[[2]string{address, m}] = now
+		c.refusals[[2]string{address, m}] = now
 	}
 }
 
-// take returns an idle lane to a peer, or opens one.
-func (c *Carrier) take(ctx context.Context, address string) (*lane, error) {
+// getStream returns an idle stream to a peer, or opens one.
+func (c *Carrier) getStream(ctx context.Context, address string) (*peerStream, error) {
 	c.mutex.Lock()
-	for list := c.lanes[address]; len(list) > 0; list = c.lanes[address] {
+	for list := c.idleStreams[address]; len(list) > 0; list = c.idleStreams[address] {
 		l := list[len(list)-1]
-		c.lanes[address] = list[:len(list)-1]
-		if !l.ended() && time.Since(l.idleFrom) < laneIdle {
+		c.idleStreams[address] = list[:len(list)-1]
+		if !l.isClosed() && time.Since(l.idleSince) < streamIdleTimeout {
 			c.mutex.Unlock()
 			return l, nil
 		}
 		l.close()
 	}
 	c.mutex.Unlock()
-	open, cancel := context.WithTimeout(ctx, openTimeout)
+	open, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	return openLane(open, c.Links, address)
+	return openPeerStream(open, c.Links, address)
 }
 
-// put keeps a lane for the next loan.
-func (c *Carrier) put(l *lane) {
+// putStream keeps a stream for the next loan.
+func (c *Carrier) putStream(l *peerStream) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.closed || l.ended() || len(c.lanes[l.address]) >= lanesKept {
+	if c.closed || l.isClosed() || len(c.idleStreams[l.address]) >= maxIdleStreams {
 		l.close()
 		return
 	}
-	if c.lanes == nil {
-		c.lanes = map[string][]*lane{}
+	if c.idleStreams == nil {
+		c.idleStreams = map[string][]*peerStream{}
 	}
-	l.idleFrom = time.Now()
-	c.lanes[l.address] = append(c.lanes[l.address], l)
-	if oldest := c.lanes[l.address][0]; time.Since(oldest.idleFrom) > laneIdle {
-		c.lanes[l.address] = c.lanes[l.address][1:]
+	l.idleSince = time.Now()
+	c.idleStreams[l.address] = append(c.idleStreams[l.address], l)
+	if oldest := c.idleStreams[l.address][0]; time.Since(oldest.idleSince) > streamIdleTimeout {
+		c.idleStreams[l.address] = c.idleStreams[l.address][1:]
 		oldest.close()
 	}
 }
--- a/internal/carrier/carrier_test.go
+++ b/internal/carrier/carrier_test.go
@@ -25,25 +25,25 @@
 
 var key = []linker.Secret{{Number: 1, Value: []byte("key")}}
 
-// stage is a group, an instance that lends, and the links of one that borrows.
-type stage struct {
-	net    *wirer.Net
-	pool   *lender.Pool
-	lender *carrier.Carrier
-	links  *linker.Client
-	// leaving is what the lender says of itself.
+// fixture is a group, a lending instance, and the client of a borrowing one.
+type fixture struct {
+	net     *wirer.Net
+	pool    *lender.Pool
+	lender  *carrier.Carrier
+	links   *linker.Client
 	leaving atomic.Bool
 }
 
 const lenderAddress = "10.8.0.1:7100"
 
-func play(t *testing.T, happens func(t *testing.T, s *stage)) {
+// withLender runs a test with a lending instance on virtual time.
+func withLender(t *testing.T, test func(t *testing.T, s *fixture)) {
 	t.Helper()
-	playPool(t, func(*lender.Pool) {}, happens)
+	withLenderPool(t, func(*lender.Pool) {}, test)
 }
 
-// playPool is play with fields of the lender's pool set before it runs.
-func playPool(t *testing.T, prepare func(*lender.Pool), happens func(t *testing.T, s *stage)) {
+// withLenderPool is withLender with additional setup of the lender's pool.
+func withLenderPool(t *testing.T, prepare func(*lender.Pool), test func(t *testing.T, s *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -55,12 +55,12 @@
 		known := &tracker.Group{Name: "g", Zone: "a", Near: func(string) bool { return false }}
 		known.Members(g.Registered())
 		host := n.Host("10.8.0.1", "a")
-		s := &stage{net: n, pool: &lender.Pool{Group: known, Network: host, Codec: platform.Lines{}, Who: "lender", Clock: clock}}
+		s := &fixture{net: n, pool: &lender.Pool{Group: known, Network: host, Codec: platform.Lines{}, Who: "lender", Clock: clock}}
 		s.pool.Configure(8, nil)
 		prepare(s.pool)
-		nobody := &introducer.Introducer{Self: introducer.Peer{Name: "lender", Address: lenderAddress, Zone: "a"}, Near: known.Near}
+		discovery := &introducer.Introducer{Self: introducer.Peer{Name: "lender", Address: lenderAddress, Zone: "a"}, Near: known.Near}
 		s.lender = &carrier.Carrier{
-			Introducer: nobody, Codec: platform.Lines{}, Clock: clock, Leaving: s.leaving.Load, Log: func(...any) {},
+			Introducer: discovery, Codec: platform.Lines{}, Clock: clock, Leaving: s.leaving.Load, Log: func(...any) {},
 			Pool: func(group string) *lender.Pool {
 				if group != "g" {
 					return nil
@@ -68,7 +68,7 @@
 				return s.pool
 			},
 		}
-		x := &teller.Teller{Introducer: nobody, Clock: clock, Log: func(...any) {}, Lend: s.lender.Lend}
+		x := &teller.Teller{Introducer: discovery, Clock: clock, Log: func(...any) {}, Lend: s.lender.Lend}
 		server := &linker.Server{
 			Address: lenderAddress, Network: host, Secrets: key, Versions: linker.CurrentVersions,
 			Log: log.NewNopLogger(), Count: func(string) {}, Register: x.Register,
@@ -85,12 +85,12 @@
 			<-ended
 			g.Wait()
 		}()
-		happens(t, s)
+		test(t, s)
 	})
 }
 
-// stream opens a lane as a peer does that keeps to nothing.
-func (s *stage) stream(t *testing.T) (wire.DRPCNeighbours_LendClient, func()) {
+// openStream opens a raw loan stream to the lender.
+func (s *fixture) openStream(t *testing.T) (wire.DRPCNeighbours_LendClient, func()) {
 	t.Helper()
 	conn, err := s.links.Open(t.Context(), lenderAddress)
 	must.NoError(t, err)
@@ -104,12 +104,12 @@
 	}
 }
 
-func ask(members ...string) *wire.LendRequest {
+func loanRequest(members ...string) *wire.LendRequest {
 	return &wire.LendRequest{Ask: &wire.LendAsk{Group: "g", Members: members, WaitMs: 500}}
 }
 
-// mustServe shows that the lender's own callers still find a working connection.
-func (s *stage) mustServe(t *testing.T) {
+// mustExchange checks that the lender's own requests are still answered.
+func (s *fixture) mustExchange(t *testing.T) {
 	t.Helper()
 	c, err := s.pool.Borrow(t.Context(), lender.Request{Choose: func() []string { return []string{"g-1"} }, Until: time.Now().Add(time.Second)})
 	must.NoError(t, err)
@@ -120,44 +120,43 @@
 	s.pool.Return(c)
 }
 
-// A peer asks for what is not there, speaks out of turn, leaves in the middle of a
-// statement, or gives a connection back with an answer still to come. It loses its lane;
-// the lender's own callers are served, and nobody gets another's answer.
-func TestPeersThatKeepToNothing(t *testing.T) {
-	cases := map[string]func(t *testing.T, s *stage, x wire.DRPCNeighbours_LendClient){
-		"unknown group": func(t *testing.T, _ *stage, x wire.DRPCNeighbours_LendClient) {
+// A peer that violates the protocol loses its stream; the lender's own requests are served and
+// never see another request's reply.
+func TestMisbehavingPeers(t *testing.T) {
+	cases := map[string]func(t *testing.T, s *fixture, x wire.DRPCNeighbours_LendClient){
+		"unknown group": func(t *testing.T, _ *fixture, x wire.DRPCNeighbours_LendClient) {
 			must.NoError(t, x.Send(&wire.LendRequest{Ask: &wire.LendAsk{Group: "other", Members: []string{"g-1"}}}))
 			r, err := x.Recv()
 			must.NoError(t, err)
 			must.Eq(t, wire.LendRefusal_UNREACHED, r.Refusal)
 		},
-		"unknown member": func(t *testing.T, _ *stage, x wire.DRPCNeighbours_LendClient) {
-			must.NoError(t, x.Send(ask("nobody")))
+		"unknown member": func(t *testing.T, _ *fixture, x wire.DRPCNeighbours_LendClient) {
+			must.NoError(t, x.Send(loanRequest("nobody")))
 			r, err := x.Recv()
 			must.NoError(t, err)
 			must.Eq(t, wire.LendRefusal_UNREACHED, r.Refusal)
 		},
-		"data without a loan": func(t *testing.T, _ *stage, x wire.DRPCNeighbours_LendClient) {
+		"data without a loan": func(t *testing.T, _ *fixture, x wire.DRPCNeighbours_LendClient) {
 			must.NoError(t, x.Send(&wire.LendRequest{Data: []byte("QUERY a FETCH k\r\n")}))
 			_, err := x.Recv()
 			must.Error(t, err)
 		},
-		"two requests at once": func(t *testing.T, _ *stage, x wire.DRPCNeighbours_LendClient) {
-			must.NoError(t, x.Send(ask("g-1")))
-			must.NoError(t, x.Send(ask("g-1")))
+		"overlapping requests": func(t *testing.T, _ *fixture, x wire.DRPCNeighbours_LendClient) {
+			must.NoError(t, x.Send(loanRequest("g-1")))
+			must.NoError(t, x.Send(loanRequest("g-1")))
 			_, err := x.Recv()
 			must.NoError(t, err)
 			_, err = x.Recv()
 			must.Error(t, err)
 		},
-		"gone in a statement": func(t *testing.T, _ *stage, x wire.DRPCNeighbours_LendClient) {
-			must.NoError(t, x.Send(ask("g-1")))
+		"disconnects during a statement": func(t *testing.T, _ *fixture, x wire.DRPCNeighbours_LendClient) {
+			must.NoError(t, x.Send(loanRequest("g-1")))
 			_, err := x.Recv()
 			must.NoError(t, err)
 			must.NoError(t, x.Send(&wire.LendRequest{Data: []byte("QUERY a FETCH k\r\nQUERY b FET")}))
 		},
-		"given back with an answer to come": func(t *testing.T, _ *stage, x wire.DRPCNeighbours_LendClient) {
-			must.NoError(t, x.Send(ask("g-1")))
+		"returned with a reply outstanding": func(t *testing.T, _ *fixture, x wire.DRPCNeighbours_LendClient) {
+			must.NoError(t, x.Send(loanRequest("g-1")))
 			_, err := x.Recv()
 			must.NoError(t, err)
 			must.NoError(t, x.Send(&wire.LendRequest{Data: []byte("QUERY a FETCH other\r\n")}))
@@ -166,12 +165,12 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(t *testing.T, s *stage) {
-				x, end := s.stream(t)
+			withLender(t, func(t *testing.T, s *fixture) {
+				x, end := s.openStream(t)
 				c(t, s, x)
 				end()
 				for range 3 {
-					s.mustServe(t)
+					s.mustExchange(t)
 				}
 				must.Eq(t, 0, s.lender.Lent())
 			})
@@ -179,44 +178,40 @@
 	}
 }
 
-// An instance has been told to end. A peer's transaction that it still took on would be cut
-// when it ends, a few seconds later, while others could have carried it to its commit.
-func TestLeavingInstanceLendsNothingNew(t *testing.T) {
-	play(t, func(t *testing.T, s *stage) {
-		x, end := s.stream(t)
+// A draining instance must not take on transactions that its shutdown would abort.
+func TestDrainingInstanceRefusesNewLoans(t *testing.T) {
+	withLender(t, func(t *testing.T, s *fixture) {
+		x, end := s.openStream(t)
 		defer end()
-		must.NoError(t, x.Send(ask("g-1")))
+		must.NoError(t, x.Send(loanRequest("g-1")))
 		r, err := x.Recv()
 		must.NoError(t, err)
 		must.Eq(t, "g-1", r.Member)
 		must.NoError(t, x.Send(&wire.LendRequest{End: &wire.LendEnd{}}))
 		s.leaving.Store(true)
-		must.NoError(t, x.Send(ask("g-1")))
+		must.NoError(t, x.Send(loanRequest("g-1")))
 		r, err = x.Recv()
 		must.NoError(t, err)
 		must.Eq(t, wire.LendRefusal_UNREACHED, r.Refusal)
 	})
 }
 
-// Two instances each take the other for the holder of the zone's connections, or each
-// can't reach a member and asks the other. What a peer asks for is served from own
-// connections or not at all: passed on, a request would go round until its time is up, and
-// take a lane from each instance on its way.
-func TestLoansTakeOneHop(t *testing.T) {
-	var passedOn atomic.Int64
-	pass := func() (*lender.Conn, error) {
-		passedOn.Add(1)
+// Two instances that each take the other for the holder must not pass a request back and forth.
+func TestLoansAreNotForwarded(t *testing.T) {
+	var forwarded atomic.Int64
+	forward := func() (*lender.Conn, error) {
+		forwarded.Add(1)
 		return nil, lender.ErrFull
 	}
 	prepare := func(p *lender.Pool) {
 		p.Elsewhere = func(string, string) bool { return true }
-		p.Central = func(context.Context, string, lender.Request) (*lender.Conn, error) { return pass() }
-		p.Carry = func(context.Context, string, []string, lender.Request) (*lender.Conn, error) { return pass() }
+		p.Central = func(context.Context, string, lender.Request) (*lender.Conn, error) { return forward() }
+		p.Carry = func(context.Context, string, []string, lender.Request) (*lender.Conn, error) { return forward() }
 	}
-	playPool(t, prepare, func(t *testing.T, s *stage) {
-		x, end := s.stream(t)
+	withLenderPool(t, prepare, func(t *testing.T, s *fixture) {
+		x, end := s.openStream(t)
 		defer end()
-		must.NoError(t, x.Send(ask("g-1")))
+		must.NoError(t, x.Send(loanRequest("g-1")))
 		r, err := x.Recv()
 		must.NoError(t, err)
 		must.Eq(t, "g-1", r.Member)
@@ -224,21 +219,20 @@
 		s.net.Cut("10.8.0.1", "10.9.1.1")
 		time.Sleep(3 * time.Second)
 		for range 5 {
-			must.NoError(t, x.Send(ask("g-1")))
+			must.NoError(t, x.Send(loanRequest("g-1")))
 			r, err = x.Recv()
 			must.NoError(t, err)
 			if r.Refusal == wire.LendRefusal_NOT_REFUSED {
 				must.NoError(t, x.Send(&wire.LendRequest{End: &wire.LendEnd{Broken: true}}))
 			}
 		}
-		must.Eq(t, int64(0), passedOn.Load())
+		must.Eq(t, int64(0), forwarded.Load())
 	})
 }
 
-// An instance has just started and asked for a group's holders before it has read who else
-// there is. When it has, another holds the zone's connections at once, not half a second
-// later: until then it would open its own.
-func TestHoldersFollowTheFirstReading(t *testing.T) {
+// The cached holders of a just started instance are replaced as soon as it discovers its peers,
+// so that it doesn't open connections of its own until the cache expires.
+func TestHoldersFollowFirstDiscovery(t *testing.T) {
 	i := &introducer.Introducer{Self: introducer.Peer{Name: "z", Address: "z:1", Zone: "a", Millicores: 192}, Near: func(string) bool { return false }}
 	c := &carrier.Carrier{
 		Introducer: i, Clock: func() tracker.Stamp { return time.Hour }, Connections: func(string) int { return 12 }, Zones: 3, Log: func(...any) {},
--- a/internal/carrier/place.go
+++ b/internal/carrier/placement.go
@@ -9,11 +9,9 @@
 	"github.com/oriolegw/oriolegw/internal/tracker"
 )
 
-// This file finds who holds connections.
-
-// Lenders returns the addresses of the instances that lend connections beside members while
-// none is cut off, as far as groups are placed so; groups lists the members of each. Both sides
-// of a cut agree on them.
+// Lenders returns the addresses of the instances that hold connections for the members of
+// groups with placement concentrator.PlaceMember. It considers all remembered instances,
+// reachable or not, so that both sides of a network partition compute the same list.
 func (c *Carrier) Lenders(groups map[string][]string) []string {
 	zones := map[string][]introducer.Peer{}
 	for _, p := range c.Introducer.Remembered() {
@@ -25,7 +23,7 @@
 			continue
 		}
 		for _, m := range members {
-			near := zones[c.zoneOf(group, m)]
+			near := zones[c.memberZone(group, m)]
 			if len(near) == 0 {
 				near = zones[c.Introducer.Self.Zone]
 			}
@@ -42,8 +40,7 @@
 	return list
 }
 
-// First returns the instance that comes first for a key, as rank orders them; this one if it is
-// alone and leaves.
+// First returns the preferred instance for a key, or this one if no other is available.
 func (c *Carrier) First(key string, list []introducer.Peer) introducer.Peer {
 	ranked := c.rank(key, list)
 	if len(ranked) == 0 || ranked[0] == "" {
@@ -53,9 +50,9 @@
 	return list[i]
 }
 
-// beside ranks the instances of a member's availability zone as holders of its connections,
-// or those of this one's where that has none; the mutex is held.
-func (c *Carrier) beside(member, zone string) holders {
+// rankInZone ranks the instances of a member's availability zone as holders, or those of this
+// instance's zone if that zone has none. The mutex is held.
+func (c *Carrier) rankInZone(member, zone string) holders {
 	now := c.Clock()
 	near := c.Introducer.In(now, zone)
 	if len(near) == 0 {
@@ -64,7 +61,7 @@
 	return c.rank(member, near)
 }
 
-// rank orders instances as holders. One that leaves holds nothing any more.
+// rank orders instances as holders for a key, without this one while it is draining.
 func (c *Carrier) rank(key string, list []introducer.Peer) holders {
 	var candidates []concentrator.Candidate
 	at := map[string]string{}
@@ -79,14 +76,14 @@
 		at[p.Name] = p.Address
 	}
 	var ranked holders
-	for _, name := range concentrator.Holders(key, candidates)[:min(holdersTried, len(candidates))] {
+	for _, name := range concentrator.Holders(key, candidates)[:min(maxHoldersTried, len(candidates))] {
 		ranked = append(ranked, at[name])
 	}
 	return ranked
 }
 
-// zoneOf returns a member's availability zone, "" where that isn't known.
-func (c *Carrier) zoneOf(group, member string) string {
+// memberZone returns a member's availability zone, "" if unknown.
+func (c *Carrier) memberZone(group, member string) string {
 	if c.Pool == nil {
 		return ""
 	}
@@ -98,24 +95,24 @@
 	return m.Zone
 }
 
-// place decides a group's placement anew.
-func (c *Carrier) place(now tracker.Stamp, group string, h *holding) {
+// updatePlacement recomputes a group's placement and holders.
+func (c *Carrier) updatePlacement(now tracker.Stamp, group string, h *assignment) {
 	zone := c.Introducer.Zone(now)
-	// Zones have about as many instances each.
-	f := concentrator.Fleet{Connections: c.Connections(group), Instances: len(zone) * c.Zones, Zones: c.Zones, Customers: c.customers()}
-	h.zone, h.members = nil, map[string]holders{}
+	// Assumes that all zones have about as many instances.
+	f := concentrator.Fleet{Connections: c.Connections(group), Instances: len(zone) * c.Zones, Zones: c.Zones, Customers: c.customerCount()}
+	h.zoneHolders, h.memberHolders = nil, map[string]holders{}
 	switch h.Decide(f) {
 	case concentrator.PlaceOwn:
-		h.sharers = f.Instances
+		h.holderCount = f.Instances
 	case concentrator.PlaceZone:
-		h.sharers = c.Zones
-		h.zone = c.rank(group, zone)
+		h.holderCount = c.Zones
+		h.zoneHolders = c.rank(group, zone)
 	case concentrator.PlaceMember:
-		h.sharers = 1
+		h.holderCount = 1
 	}
 }
 
-func (c *Carrier) customers() int {
+func (c *Carrier) customerCount() int {
 	if c.Customers == nil {
 		return 1
 	}
--- a/internal/carrier/serve.go
+++ b/internal/carrier/serve.go
@@ -11,50 +11,50 @@
 )
 
 const (
-	// longestWait bounds how long a peer's request waits here, whatever it asks for.
-	longestWait = 5 * time.Second
-	// writeTimeout bounds the sending to a target that has stopped reading.
+	// maxPeerWait bounds how long a peer's request may wait for a connection.
+	maxPeerWait = 5 * time.Second
+	// writeTimeout bounds a write to a target.
 	writeTimeout = time.Second
-	// pieceBytes is how much of a target's answer is passed on at a time.
-	pieceBytes = 4096
+	// chunkBytes is the size of the buffer for target responses.
+	chunkBytes = 4096
 )
 
-// errProtocol ends a lane on which something comes out of turn.
-var errProtocol = errors.New("message out of turn")
+// errProtocol means that the peer sent an unexpected message.
+var errProtocol = errors.New("unexpected message")
 
-// Lend serves a lane: one loan after the other.
+// Lend serves the loans of one stream, one after another.
 func (c *Carrier) Lend(stream wire.DRPCNeighbours_LendStream) error {
 	for {
 		r, err := stream.Recv()
 		if err != nil {
-			return nil // the peer has closed the lane
+			return nil // the peer closed the stream
 		}
 		if r.Ask == nil {
 			return errProtocol
 		}
-		conn, p, err := c.find(stream.Context(), r.Ask)
+		conn, p, err := c.borrowForPeer(stream.Context(), r.Ask)
 		if err != nil {
-			if err := stream.Send(refusalOf(err)); err != nil {
+			if err := stream.Send(refusalReply(err)); err != nil {
 				return err
 			}
 			continue
 		}
-		if err := c.lend(stream, p, conn); err != nil {
+		if err := c.forward(stream, p, conn); err != nil {
 			return err
 		}
 	}
 }
 
-// find borrows one of this instance's own connections for a peer. A request waits with
-// those of this instance, in the same order.
-func (c *Carrier) find(ctx context.Context, a *wire.LendAsk) (*lender.Conn, *lender.Pool, error) {
+// borrowForPeer borrows one of this instance's own connections for a peer. The request queues
+// with local ones.
+func (c *Carrier) borrowForPeer(ctx context.Context, a *wire.LendAsk) (*lender.Conn, *lender.Pool, error) {
 	p := c.Pool(a.Group)
 	if p == nil || c.Leaving() {
-		return nil, nil, errUnreached
+		return nil, nil, errUnreachable
 	}
-	wait := min(time.Duration(a.WaitMs)*time.Millisecond, longestWait)
+	wait := min(time.Duration(a.WaitMs)*time.Millisecond, maxPeerWait)
 	if len(p.Reached(a.Members)) == 0 {
-		return nil, nil, errUnreached
+		return nil, nil, errUnreachable
 	}
 	conn, err := p.Borrow(ctx, lender.Request{
 		Choose:   func() []string { return a.Members },
@@ -63,30 +63,30 @@
 	return conn, p, err
 }
 
-// lend passes bytes on between a peer and a connection, until the peer gives it back.
-func (c *Carrier) lend(stream wire.DRPCNeighbours_LendStream, p *lender.Pool, conn *lender.Conn) error {
+// forward copies data between a peer and a connection until the peer returns it.
+func (c *Carrier) forward(stream wire.DRPCNeighbours_LendStream, p *lender.Pool, conn *lender.Conn) error {
 	c.lent.Add(1)
 	defer c.lent.Add(-1)
-	if err := stream.Send(&wire.LendReply{Member: conn.Member, Born: conn.Born, State: stateTo(conn.State())}); err != nil {
+	if err := stream.Send(&wire.LendReply{Member: conn.Member, Born: conn.Born, State: encodeState(conn.State())}); err != nil {
 		conn.Close()
 		p.Return(conn)
 		return err
 	}
 	var ending atomic.Bool
-	// The last user's deadlines have passed: with them, the first write of a loan fails.
+	// Clears the previous user's deadlines, which may have passed.
 	_ = conn.Raw().SetDeadline(time.Time{})
 	balance := c.Codec.Balance()
-	back := make(chan error, 1)
-	go func() { back <- passBack(stream, conn, &ending, balance.Received) }()
-	end, err := passOn(stream, conn, balance.Sent)
+	copied := make(chan error, 1)
+	go func() { copied <- copyToPeer(stream, conn, &ending, balance.Received) }()
+	end, err := copyToTarget(stream, conn, balance.Sent)
 	ending.Store(true)
 	_ = conn.Raw().SetReadDeadline(time.Now())
-	// Given back before its last answer has come, the connection would hand that answer
-	// to whoever borrows it next.
-	if stray := <-back; stray != nil || err != nil || end.Broken || !balance.Even() {
+	// A connection with an outstanding reply must not be reused: its next borrower would read
+	// that reply.
+	if extra := <-copied; extra != nil || err != nil || end.Broken || !balance.Even() {
 		conn.Close()
 	} else {
-		conn.SetState(stateFrom(end.State))
+		conn.SetState(decodeState(end.State))
 	}
 	switch {
 	case end.GetNoRoom():
@@ -98,8 +98,8 @@
 	return err
 }
 
-// passOn sends a peer's bytes to the target until the peer ends the loan.
-func passOn(stream wire.DRPCNeighbours_LendStream, conn *lender.Conn, sent func([]byte)) (*wire.LendEnd, error) {
+// copyToTarget sends a peer's data to the target until the peer ends the loan.
+func copyToTarget(stream wire.DRPCNeighbours_LendStream, conn *lender.Conn, sent func([]byte)) (*wire.LendEnd, error) {
 	for {
 		r, err := stream.Recv()
 		switch {
@@ -113,15 +113,15 @@
 		sent(r.Data)
 		_ = conn.Raw().SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := conn.Raw().Write(r.Data); err != nil {
-			return nil, errors.Wrap(err, "pass on to target")
+			return nil, errors.Wrap(err, "write to target")
 		}
 	}
 }
 
-// passBack sends the target's bytes to the peer until the loan ends. The error is nil when
-// nothing has come after its end.
-func passBack(stream wire.DRPCNeighbours_LendStream, conn *lender.Conn, ending *atomic.Bool, received func([]byte)) error {
-	b := make([]byte, pieceBytes)
+// copyToPeer sends the target's data to the peer until the loan ends. It returns nil if no data
+// arrived after the end.
+func copyToPeer(stream wire.DRPCNeighbours_LendStream, conn *lender.Conn, ending *atomic.Bool, received func([]byte)) error {
+	b := make([]byte, chunkBytes)
 	for {
 		n, err := conn.Raw().Read(b)
 		if n > 0 {
@@ -137,14 +137,14 @@
 			if ending.Load() && lender.IsTimeout(err) {
 				return nil
 			}
-			// The peer must learn that nothing more comes.
+			// Signals the peer that no more data follows.
 			_ = stream.Close()
 			return err
 		}
 	}
 }
 
-func refusalOf(err error) *wire.LendReply {
+func refusalReply(err error) *wire.LendReply {
 	var limit *lender.LimitError
 	switch {
 	case errors.As(err, &limit):
@@ -156,7 +156,7 @@
 	}
 }
 
-func stateTo(s lender.State) *wire.SessionState {
+func encodeState(s lender.State) *wire.SessionState {
 	w := &wire.SessionState{Values: s.Values}
 	for p, name := range s.Prepared {
 		w.Prepared = append(w.Prepared, &wire.Prepared{Name: name, Writes: p.Writes, Shape: p.Shape})
@@ -164,7 +164,7 @@
 	return w
 }
 
-func stateFrom(w *wire.SessionState) lender.State {
+func decodeState(w *wire.SessionState) lender.State {
 	s := lender.State{Values: w.GetValues(), Prepared: map[lender.Prepared]string{}}
 	for _, p := range w.GetPrepared() {
 		s.Prepared[lender.Prepared{Writes: p.Writes, Shape: p.Shape}] = p.Name
