--- a/internal/pooler/conn.go
+++ b/internal/pooler/conn.go
@@ -15,27 +15,27 @@
 )
 
 type (
-	// Conn is one connection to a target.
+	// Conn is a connection to a target.
 	Conn struct {
 		net.Conn
 		Frontend *pgproto3.Frontend
 		Place    Place
-		// Statements are the prepared statements that the target knows.
+		// Statements are the names of the statements prepared in the session.
 		Statements map[string]bool
-		// Settings are the statements that set up the session of the caller
-		// that the connection was last lent to; empty for none.
+		// Settings are the statements that configured the session for its last client; empty
+		// for none.
 		Settings string
-		// Position is the newest that the target has reported.
+		// Position is the newest log position reported by the target.
 		Position orderer.Position
-		// PID and Secret are what a cancel request names.
+		// PID and Secret identify the session in cancel requests.
 		PID    uint32
 		Secret []byte
-		// Tainted connections hold state of their borrower that other callers
-		// must not meet; they are destroyed once its transaction is over.
+		// Tainted connections hold session state of a client and are closed after its
+		// transaction.
 		Tainted bool
-		// Broken connections are closed when they come back.
+		// Broken connections are closed on return.
 		Broken bool
-		// Long is set while it is lent to a transaction.
+		// Long is set while the connection is checked out by a transaction.
 		Long bool
 
 		socket *socket
@@ -43,88 +43,87 @@
 		used   time.Time
 	}
 
-	// socket is a connection whose Close leaves it to the pool to end it.
+	// socket is a network connection that the pool closes itself; Close only interrupts it.
 	socket struct {
 		net.Conn
 		address string
-		// application is the name that it was opened under.
-		application string
-		// since is when it began to linger.
-		since time.Time
-		pid   uint32
-		// clean: it was given up between two requests.
+		// application is the application name of the session.
+		application  string
+		closingSince time.Time
+		pid          uint32
+		// clean is set if no request was running when the connection was closed.
 		clean bool
-		// failed: it never became a session that this side knows of.
-		failed bool
-		asking bool
-		asked  time.Time
+		// notEstablished is set if the startup of the session failed.
+		notEstablished bool
+		terminating    bool
+		terminatedAt   time.Time
 	}
 
-	// catcher is a network that remembers the connection that it opened.
-	catcher struct {
+	// capturingNetwork records the connection that it dials.
+	capturingNetwork struct {
 		networker.Network
-		caught *socket
+		captured *socket
 	}
 )
 
-// Close keeps the connection open: only the pool knows when its place in the
-// share is free.
+// Close interrupts reads and writes but leaves the connection open: the pool closes it and
+// releases its slot.
 func (s *socket) Close() error { return s.Conn.SetDeadline(time.Now()) }
 
-// NetConn returns the connection inside.
+// NetConn returns the underlying connection.
 func (s *socket) NetConn() net.Conn { return s.Conn }
 
 // Dial implements networker.Network.
-func (c *catcher) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (c *capturingNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	conn, err := c.Network.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	c.caught = &socket{Conn: conn, address: address}
-	return c.caught, nil
+	c.captured = &socket{Conn: conn, address: address}
+	return c.captured, nil
 }
 
-// open opens a connection to a place. After an error the socket, if there is
-// one, may still have become a session at the target.
-func open(ctx context.Context, n networker.Network, application string, place Place) (*Conn, *socket, error) {
+// openConn opens a connection to a place. If it returns a socket with an error, the target may
+// still have started a session.
+func openConn(ctx context.Context, n networker.Network, application string, place Place) (*Conn, *socket, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	parameters := map[string]string{"application_name": application}
 	if place.Term != 0 {
 		parameters["oriole.term"] = strconv.FormatUint(place.Term, 10)
 	}
-	k := &catcher{Network: n}
+	k := &capturingNetwork{Network: n}
 	pc, err := commander.Dial(ctx, k, place.Address, parameters)
 	if err != nil {
-		return nil, k.caught, err
+		return nil, k.captured, err
 	}
 	h, err := pc.Hijack()
 	if err != nil {
-		return nil, k.caught, errors.Wrap(err, "take over connection")
+		return nil, k.captured, errors.Wrap(err, "hijack connection")
 	}
-	k.caught.pid = h.PID
+	k.captured.pid = h.PID
 	c := &Conn{
 		Conn: h.Conn, Frontend: h.Frontend, Place: place, Statements: map[string]bool{},
-		PID: h.PID, Secret: h.SecretKey, socket: k.caught,
+		PID: h.PID, Secret: h.SecretKey, socket: k.captured,
 	}
 	c.Learn(h.ParameterStatuses["oriole.position"])
-	return c, k.caught, nil
+	return c, k.captured, nil
 }
 
-// Learn takes in a position that the target reported.
+// Learn updates the position from a value reported by the target.
 func (c *Conn) Learn(text string) {
 	if p, err := orderer.Parse(text); err == nil {
 		c.Position = p
 	}
 }
 
-// Ask runs one statement and returns its rows. An error that is not a
-// *pgconn.PgError leaves the connection broken.
+// Ask runs a statement and returns its rows. The connection is broken after any error other
+// than a *pgconn.PgError.
 func (c *Conn) Ask(ctx context.Context, sql string) ([][][]byte, error) {
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Now()) })
-	rows, refused, err := c.ask(sql)
+	rows, refused, err := c.query(sql)
 	if !stop() && err == nil {
-		err = ctx.Err() // the deadline of the next exchange is already set
+		err = ctx.Err() // the expired deadline is already set
 	}
 	if err != nil {
 		c.Broken = true
@@ -136,7 +135,7 @@
 	return rows, nil
 }
 
-func (c *Conn) ask(sql string) (rows [][][]byte, refused *pgconn.PgError, err error) {
+func (c *Conn) query(sql string) (rows [][][]byte, refused *pgconn.PgError, err error) {
 	c.Frontend.Send(&pgproto3.Query{String: sql})
 	if err := c.Frontend.Flush(); err != nil {
 		return nil, nil, err
@@ -144,7 +143,7 @@
 	for {
 		m, err := c.Frontend.Receive()
 		if err != nil {
-			if refused != nil { // a fatal refusal comes before the end
+			if refused != nil { // a FATAL error precedes the end of the stream
 				c.Broken = true
 				return nil, refused, nil
 			}
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -1,9 +1,9 @@
-// Package pooler keeps this instance's connections to targets and lends each to
-// one request at a time, within the instance's share of the group's budget.
+// Package pooler keeps this instance's connections to targets and checks each out to one
+// request at a time, within the instance's share of the group's connection budget.
 //
-// A connection counts against the share from before it is dialled until the
-// target is known to have ended it (linger.go), so that the sum over all
-// instances, counted at the targets, stays within the budget.
+// A connection occupies a slot of the share from before it is dialed until the target is known
+// to have ended the session (closing.go), so that the connections of all instances, counted at
+// the targets, stay within the budget.
 package pooler
 
 import (
@@ -20,88 +20,87 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// restTime is several times what the slower of the two deployments takes for
-	// a new connection, 30 ms.
-	restTime = 100 * time.Millisecond
+	// minIdleBeforeEviction exceeds the time that opening a connection takes.
+	minIdleBeforeEviction = 100 * time.Millisecond
 )
 
 type (
-	// Pool holds the connections of one instance to one group. Set the exported
-	// fields, then call Run; the other methods may be called by anyone.
+	// Pool holds the connections of one instance to one group. Set the exported fields, then
+	// call Run; the other methods are safe for concurrent use.
 	Pool struct {
 		Network networker.Network
-		// Resized is called, without locks, when Lendable may have changed.
+		// Resized is called, without locks held, when Lendable may have changed.
 		Resized func()
-		// Count counts an event by name, for the metrics.
+		// Count increments the named metric.
 		Count func(name string)
 
-		mutex   sync.Mutex
-		share   Share
-		revoked bool
-		idle    []*Conn
-		lent    map[*Conn]struct{}
-		dialing map[string]int // by address
-		linger  map[*socket]struct{}
-		waiting int
-		wanted  []Place
-		askers  []*asker
-		fresh   []*socket // lingering, not yet waited for
-		fresher chan struct{}
-		closed  bool
-		changed chan struct{}
+		mutex          sync.Mutex
+		share          Share
+		revoked        bool
+		idle           []*Conn
+		checkedOut     map[*Conn]struct{}
+		dialing        map[string]int // by address
+		closing        map[*socket]struct{}
+		waiters        int
+		wanted         []Place
+		controlWaiters []*controlWaiter
+		newlyClosing   []*socket // not yet awaited
+		closingSignal  chan struct{}
+		closed         bool
+		changed        chan struct{}
 	}
 
-	// Share is what a pool may hold.
+	// Share is the part of the budget that a pool may use.
 	Share struct {
-		// Connections is how many, in whatever state.
+		// Connections is the maximum number of connections, in any state.
 		Connections int
-		// Application names the connections that are opened from now on. The
-		// targets end, and then refuse, connections by it (docs/TARGET.md).
+		// Application names new connections. Targets terminate and refuse connections by this
+		// name.
 		Application string
-		// Number rises with each change.
+		// Number increases with each change.
 		Number uint64
 	}
 
-	// Use is how a share is used.
+	// Use is the current use of a share.
 	Use struct {
 		Share Share
-		// Held counts against the share, Used is lent, wanted or on its way out.
+		// Held counts all occupied slots; Used counts connections that are checked out,
+		// requested or closing.
 		Held, Used int
-		// Starved is set while a control question waits for a connection.
+		// Starved is set while a control statement waits for a target without any connection.
 		Starved bool
 		// Revoked is set when a target refuses the application's connections.
 		Revoked bool
 	}
 
-	// Place is what a connection is good for.
+	// Place identifies a target and the role for which a connection was opened.
 	Place struct {
 		Address string
-		// Term binds the connection to a primary's term; 0 is for replicas.
+		// Term is the primary's term that the connection is bound to; 0 for replicas.
 		Term uint64
 	}
 )
 
-// ErrBusy means that no connection became free in time. It is no evidence
-// against a target.
+// ErrBusy means that no connection became free in time. It doesn't indicate a target failure.
 var ErrBusy = commander.ErrBusy
 
-// Borrow lends a connection to the place, a new one if the share allows.
+// Borrow checks out a connection to the place, or opens one if the share allows.
 func (p *Pool) Borrow(ctx context.Context, place Place) (*Conn, error) {
-	p.enter(1)
-	defer p.enter(-1)
-	proved := false // the target has shown a sign of life
+	p.addWaiters(1)
+	defer p.addWaiters(-1)
+	probed := false
 	for {
-		o := p.take(place, proved)
+		o := p.tryCheckout(place, probed)
 		switch {
 		case o.conn != nil:
 			return o.conn, nil
 		case o.dial:
 			return p.dial(ctx, place)
-		case o.prove:
-			if err := p.prove(ctx, place.Address); err != nil {
+		case o.probe:
+			if err := p.probe(ctx, place.Address); err != nil {
 				return nil, err
 			}
-			proved = true
+			probed = true
 			continue
 		}
 		select {
@@ -112,82 +111,80 @@
 	}
 }
 
-func (p *Pool) enter(n int) {
+func (p *Pool) addWaiters(n int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.open()
-	p.waiting += n
+	p.initialize()
+	p.waiters += n
 }
 
-func (p *Pool) open() {
-	if p.lent == nil {
-		p.lent, p.dialing, p.linger = map[*Conn]struct{}{}, map[string]int{}, map[*socket]struct{}{}
-		p.changed, p.fresher = make(chan struct{}), make(chan struct{}, 1)
+func (p *Pool) initialize() {
+	if p.checkedOut == nil {
+		p.checkedOut, p.dialing, p.closing = map[*Conn]struct{}{}, map[string]int{}, map[*socket]struct{}{}
+		p.changed, p.closingSignal = make(chan struct{}), make(chan struct{}, 1)
 	}
 }
 
-// offer is what a pool has for whoever wants a connection: an idle one, the right
-// to open one, or something to wait for. With prove set, the target must show
-// that it lives before a place of the share is spent on it.
-type offer struct {
+// checkout is the outcome of an attempt to get a connection: an idle one, permission to dial, a
+// target that has to be probed first, or a channel to wait on.
+type checkout struct {
 	conn  *Conn
 	dial  bool
-	prove bool
+	probe bool
 	wait  chan struct{}
 }
 
-// take returns an offer to traffic.
-func (p *Pool) take(place Place, proved bool) offer {
+// tryCheckout attempts to get a connection for a client request.
+func (p *Pool) tryCheckout(place Place, probed bool) checkout {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.discardOld(place)
+	p.discardStale(place)
 	if c := p.takeIdle(func(c *Conn) bool { return c.Place == place }); c != nil {
-		return offer{conn: c}
+		return checkout{conn: c}
 	}
-	if p.pressed() || !p.mayAdd(place.Address) {
-		return offer{wait: p.changed}
+	if p.orderWaiting() || !p.mayOpenAt(place.Address) {
+		return checkout{wait: p.changed}
 	}
-	if !proved && p.risky(place.Address) {
-		return offer{prove: true}
+	if !probed && p.mayHang(place.Address) {
+		return checkout{probe: true}
 	}
 	if p.held() < p.share.Connections {
 		p.dialing[place.Address]++
-		return offer{dial: true}
+		return checkout{dial: true}
 	}
-	p.giveUpIdle(place)
-	return offer{wait: p.changed}
+	p.evictIdleFor(place)
+	return checkout{wait: p.changed}
 }
 
-// takeIdle takes the idle connection that was used last.
+// takeIdle checks out the most recently used idle connection that matches.
 func (p *Pool) takeIdle(match func(*Conn) bool) *Conn {
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		if c := p.idle[i]; match(c) {
 			p.idle = slices.Delete(p.idle, i, i+1)
-			p.lent[c] = struct{}{}
+			p.checkedOut[c] = struct{}{}
 			return c
 		}
 	}
 	return nil
 }
 
-// discardOld closes idle connections to a primary that can't bring it work: those
-// bound to an older term, which it refuses, and those bound to none, over which
-// control has asked it. They would stand in the way of the ones that can.
-func (p *Pool) discardOld(place Place) {
+// discardStale closes idle connections to a primary that are bound to an older term or to none.
+// The primary refuses writes on them, and they would occupy slots.
+func (p *Pool) discardStale(place Place) {
 	if place.Term == 0 {
 		return
 	}
-	p.discard(func(c *Conn) bool {
+	p.closeIdleIf(func(c *Conn) bool {
 		return c.Place.Address == place.Address && c.Place.Term < place.Term
 	})
 }
 
-// discard closes the idle connections that match; the mutex is held.
-func (p *Pool) discard(match func(*Conn) bool) {
+// closeIdleIf closes the idle connections that match. The mutex is held.
+func (p *Pool) closeIdleIf(match func(*Conn) bool) {
 	kept := p.idle[:0]
 	for _, c := range p.idle {
 		if match(c) {
-			p.retire(c)
+			p.closeIdle(c)
 			continue
 		}
 		kept = append(kept, c)
@@ -195,38 +192,36 @@
 	p.idle = kept
 }
 
-// retire ends a connection that is between two requests.
-func (p *Pool) retire(c *Conn) {
+// closeIdle closes a connection on which no request is running.
+func (p *Pool) closeIdle(c *Conn) {
 	c.socket.clean = true
-	p.lingerOn(c.socket)
+	p.startClosing(c.socket)
 }
 
-// mayAdd keeps one connection of the share away from the address, when the
-// share has two or more. A target that freezes keeps the connections it has, for
-// as long as it is frozen: if that were the whole share, the instance could not
-// reach the primary that takes over. Work that meets only connections of open
-// transactions may take the last one all the same, from a target that is seen to
-// be alive: it would wait for a caller, and not for the target.
-func (p *Pool) mayAdd(address string) bool {
-	n, long := p.at(address)
-	return n < max(1, p.share.Connections-1) || long
+// mayOpenAt reports whether another connection to the address is allowed. One slot of a share
+// of two or more is reserved for other addresses, since a frozen target would otherwise occupy
+// the whole share and block failover to another primary. The reserve is released if all
+// connections to the address are in open transactions.
+func (p *Pool) mayOpenAt(address string) bool {
+	n, allLong := p.countAt(address)
+	return n < max(1, p.share.Connections-1) || allLong
 }
 
-// at counts the connections at an address; long is set when all of them are
-// lent to transactions.
-func (p *Pool) at(address string) (n int, long bool) {
+// countAt counts the connections to an address; allLong is set if all of them are checked out
+// by transactions.
+func (p *Pool) countAt(address string) (n int, allLong bool) {
 	n = p.dialing[address]
-	long = n == 0
-	for c := range p.lent {
+	allLong = n == 0
+	for c := range p.checkedOut {
 		if c.Place.Address == address {
 			n++
-			long = long && c.Long
+			allLong = allLong && c.Long
 		}
 	}
-	for s := range p.linger {
+	for s := range p.closing {
 		if s.address == address {
 			n++
-			long = false
+			allLong = false
 		}
 	}
 	for _, c := range p.idle {
@@ -234,35 +229,32 @@
 			n++
 		}
 	}
-	return n, long
+	return n, allLong
 }
 
-// giveUpIdle closes an idle connection to another place, for the one that waits:
-// so connections move to where the demand is. What was used last stays.
-//
-// While the place has a connection that will come back, only what has rested is
-// given up. It answers requests that alternate between members faster than a
-// connection opens: without it each would close the connection that the next one
-// needs, and wait for the 10 or 30 ms that its own takes to open.
-func (p *Pool) giveUpIdle(place Place) {
-	if p.leaving() >= p.waiting {
-		return // enough are on their way out
+// evictIdleFor closes the least recently used idle connection to another place, to free a slot
+// for this one. If a connection to the place will be returned soon, only connections idle for
+// minIdleBeforeEviction are closed; this avoids thrashing when requests alternate between
+// members.
+func (p *Pool) evictIdleFor(place Place) {
+	if p.countClosingSoon() >= p.waiters {
+		return // enough are closing already
 	}
-	served := p.serves(place)
+	canWait := p.hasShortUse(place)
 	for i, c := range p.idle {
-		if c.Place == place || (served && time.Since(c.used) < restTime) {
+		if c.Place == place || (canWait && time.Since(c.used) < minIdleBeforeEviction) {
 			continue
 		}
 		p.idle = slices.Delete(p.idle, i, i+1)
-		p.retire(c)
+		p.closeIdle(c)
 		return
 	}
 }
 
-// serves reports that a connection to the place is open and lent to short work,
-// or about to be open.
-func (p *Pool) serves(place Place) bool {
-	for c := range p.lent {
+// hasShortUse reports whether a connection to the place is being dialed, or is checked out
+// outside a transaction.
+func (p *Pool) hasShortUse(place Place) bool {
+	for c := range p.checkedOut {
 		if c.Place == place && !c.Long {
 			return true
 		}
@@ -270,9 +262,9 @@
 	return p.dialing[place.Address] > 0
 }
 
-// held counts what counts against the share; the mutex is held.
+// held returns the number of occupied slots. The mutex is held.
 func (p *Pool) held() int {
-	n := len(p.idle) + len(p.lent) + len(p.linger)
+	n := len(p.idle) + len(p.checkedOut) + len(p.closing)
 	for _, k := range p.dialing {
 		n += k
 	}
@@ -284,17 +276,17 @@
 	p.mutex.Lock()
 	application := p.share.Application
 	p.mutex.Unlock()
-	c, s, err := open(ctx, p.Network, application, place)
+	c, s, err := openConn(ctx, p.Network, application, place)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.undial(place.Address)
+	p.dialDone(place.Address)
 	if s != nil {
 		s.application = application
 	}
 	if err != nil {
 		if s != nil {
-			s.failed = true
-			p.lingerOn(s)
+			s.notEstablished = true
+			p.startClosing(s)
 		}
 		var refused *pgconn.PgError
 		if errors.As(err, &refused) && refused.Code == commander.CodeRevoked && application == p.share.Application {
@@ -303,105 +295,106 @@
 		return nil, err
 	}
 	c.opened = time.Now()
-	p.lent[c] = struct{}{}
+	p.checkedOut[c] = struct{}{}
 	return c, nil
 }
 
-func (p *Pool) undial(address string) {
+func (p *Pool) dialDone(address string) {
 	if p.dialing[address]--; p.dialing[address] == 0 {
 		delete(p.dialing, address)
 	}
-	p.wake()
+	p.notifyChanged()
 }
 
-// Lengthen notes that a lent connection is held for as long as a caller likes.
+// Lengthen marks a connection as checked out by a transaction, whose duration the client
+// controls.
 func (p *Pool) Lengthen(c *Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	c.Long = true
-	p.wake()
+	p.notifyChanged()
 }
 
-// Return gives a connection back; a broken one is closed.
+// Return gives a connection back; broken ones are closed.
 func (p *Pool) Return(c *Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if _, ok := p.lent[c]; !ok {
+	if _, ok := p.checkedOut[c]; !ok {
 		return
 	}
-	delete(p.lent, c)
+	delete(p.checkedOut, c)
 	c.Long = false
 	if c.Broken || p.closed || p.held() >= p.share.Connections {
 		c.socket.clean = !c.Broken
-		p.lingerOn(c.socket)
+		p.startClosing(c.socket)
 		return
 	}
 	c.used = time.Now()
 	switch {
-	case p.hand(c):
+	case p.handToControl(c):
 		return
-	case p.pressed():
-		p.retire(c)
+	case p.orderWaiting():
+		p.closeIdle(c)
 		return
 	}
 	p.idle = append(p.idle, c)
-	p.wake()
+	p.notifyChanged()
 }
 
-func (p *Pool) wake() {
+func (p *Pool) notifyChanged() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// SetShare sets the share. Above it, connections are closed as they come back. A
-// share that is older than the one in force is ignored.
+// SetShare sets the share. Excess connections are closed as they are returned. A share older
+// than the current one is ignored.
 func (p *Pool) SetShare(s Share) {
 	p.mutex.Lock()
-	p.open()
+	p.initialize()
 	if s.Number >= p.share.Number {
 		if p.share.Application != s.Application {
-			// The targets have ended the connections of the old name.
-			p.discard(func(*Conn) bool { return true })
+			// The targets have terminated the connections of the old name.
+			p.closeIdleIf(func(*Conn) bool { return true })
 			p.revoked = false
 		}
 		p.share = s
-		p.shed()
-		p.wake()
+		p.closeExcessIdle()
+		p.notifyChanged()
 	}
 	p.mutex.Unlock()
 	p.resized()
 }
 
-// DropIdle closes the connections that are not lent.
+// DropIdle closes all idle connections.
 func (p *Pool) DropIdle() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, c := range p.idle {
-		p.lingerOn(c.socket)
+		p.startClosing(c.socket)
 	}
 	p.idle = nil
 }
 
-// shed closes idle connections above the share, the longest unused first.
-func (p *Pool) shed() {
-	for len(p.idle) > 0 && p.held()-len(p.linger) > p.share.Connections {
-		p.retire(p.idle[0])
+// closeExcessIdle closes the least recently used idle connections above the share.
+func (p *Pool) closeExcessIdle() {
+	for len(p.idle) > 0 && p.held()-len(p.closing) > p.share.Connections {
+		p.closeIdle(p.idle[0])
 		p.idle = p.idle[1:]
 	}
 }
 
-// Use returns how the share is used at this moment.
+// Use returns the current use of the share.
 func (p *Pool) Use() Use {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return Use{Share: p.share, Held: p.held(), Used: len(p.lent) + len(p.linger) + p.waiting, Starved: p.starved(), Revoked: p.revoked}
+	return Use{Share: p.share, Held: p.held(), Used: len(p.checkedOut) + len(p.closing) + p.waiters, Starved: p.controlStarved(), Revoked: p.revoked}
 }
 
-// Lendable returns how many connections can be lent at once.
+// Lendable returns how many connections can be checked out at once.
 func (p *Pool) Lendable() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return max(0, p.share.Connections-p.stuck())
+	return max(0, p.share.Connections-p.countStuck())
 }
 
 func (p *Pool) resized() {
--- a/internal/pooler/pooler_test.go
+++ b/internal/pooler/pooler_test.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	primaryIP = "10.0.0.1"
-	replicaIP = "10.0.0.2"
-	entryIP   = "10.0.0.9"
+	primaryIP  = "10.0.0.1"
+	replicaIP  = "10.0.0.2"
+	instanceIP = "10.0.0.9"
 )
 
 var (
@@ -25,9 +25,8 @@
 	replica = pooler.Place{Address: replicaIP + ":5432"}
 )
 
-// bench is a pool beside a primary and a replica that need 10 ms for a new
-// connection.
-type bench struct {
+// fixture is a pool with a primary and a replica that take 10 ms to open a connection.
+type fixture struct {
 	ctx   context.Context
 	net   *wirer.Net
 	pool  *pooler.Pool
@@ -35,14 +34,14 @@
 	other *replicator.Member
 }
 
-// withBench runs a test on virtual time.
-func withBench(t *testing.T, limit int, test func(t *testing.T, b *bench)) {
+// withFixture runs a test on virtual time.
+func withFixture(t *testing.T, limit int, test func(t *testing.T, b *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		n := wirer.New(1)
 		n.Latency = func(_, _ *wirer.Host) time.Duration { return time.Millisecond }
-		b := &bench{ctx: ctx, net: n}
+		b := &fixture{ctx: ctx, net: n}
 		done := make(chan error, 3)
 		member := func(name, ip string) *replicator.Member {
 			m := &replicator.Member{
@@ -53,7 +52,7 @@
 			return m
 		}
 		b.first, b.other = member("first", primaryIP), member("other", replicaIP)
-		b.pool = &pooler.Pool{Network: n.Host(entryIP, "entry")}
+		b.pool = &pooler.Pool{Network: n.Host(instanceIP, "entry")}
 		b.pool.SetShare(pooler.Share{Connections: limit, Application: "entry/1"})
 		go func() { done <- b.pool.Run(ctx) }()
 		defer func() {
@@ -67,7 +66,7 @@
 	})
 }
 
-func (b *bench) borrow(t *testing.T, p pooler.Place) *pooler.Conn {
+func (b *fixture) borrow(t *testing.T, p pooler.Place) *pooler.Conn {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(b.ctx, time.Second)
 	defer cancel()
@@ -76,7 +75,7 @@
 	return c
 }
 
-func (b *bench) mustNotBorrow(t *testing.T, p pooler.Place) {
+func (b *fixture) mustNotBorrow(t *testing.T, p pooler.Place) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(b.ctx, time.Second)
 	defer cancel()
@@ -84,13 +83,12 @@
 	must.Error(t, err)
 }
 
-// The instance gives up a connection while its target is cut off, so the target
-// goes on counting it. The place in the share stays taken until the cut heals and
-// the target has read the end; else the target would count one too many then.
-func TestPlaceIsFreeWhenTheTargetHasEndedTheSession(t *testing.T) {
-	withBench(t, 2, func(t *testing.T, b *bench) {
+// A connection is closed while its target is unreachable and still counts it. Its slot must
+// stay occupied until the target has ended the session.
+func TestSlotIsReleasedWhenTargetEndsSession(t *testing.T) {
+	withFixture(t, 2, func(t *testing.T, b *fixture) {
 		c := b.borrow(t, replica)
-		b.net.Cut(entryIP, replicaIP)
+		b.net.Cut(instanceIP, replicaIP)
 		c.Broken = true
 		b.pool.Return(c)
 		time.Sleep(10 * time.Second)
@@ -105,11 +103,10 @@
 	})
 }
 
-// The primary freezes with a connection lent, and requests keep coming for it.
-// Each new connection to it would hang and take one more place of the share, until
-// none is left to reach the primary that takes over. The share keeps a place.
-func TestFrozenTargetDoesNotTakeTheWholeShare(t *testing.T) {
-	withBench(t, 3, func(t *testing.T, b *bench) {
+// Requests to a frozen primary must not use up the share, which is needed to reach its
+// successor.
+func TestFrozenTargetDoesNotExhaustShare(t *testing.T) {
+	withFixture(t, 3, func(t *testing.T, b *fixture) {
 		c := b.borrow(t, primary)
 		b.first.Faults.Freeze()
 		c.Broken = true
@@ -126,11 +123,10 @@
 	})
 }
 
-// The old primary is frozen and keeps a connection; the rest of the share is idle
-// at replicas when the new primary is wanted. What the frozen one keeps must not
-// count as room that is about to come free: an idle connection is given up.
-func TestNewPrimaryIsReachedBesideAFrozenOne(t *testing.T) {
-	withBench(t, 2, func(t *testing.T, b *bench) {
+// Connections that a frozen target keeps must not count as slots that are about to be released;
+// an idle connection is evicted instead.
+func TestNewPrimaryIsReachableWhileOldOneIsFrozen(t *testing.T) {
+	withFixture(t, 2, func(t *testing.T, b *fixture) {
 		c := b.borrow(t, replica)
 		b.other.Faults.Freeze()
 		c.Broken = true
@@ -141,11 +137,9 @@
 	})
 }
 
-// All work wants the primary, which freezes with requests on every connection to
-// it. One place of the share was kept from it, so that the instance can reach the
-// new primary although the old one still counts the others.
-func TestOnePlaceIsKeptFromOneTarget(t *testing.T) {
-	withBench(t, 3, func(t *testing.T, b *bench) {
+// All requests use the primary, which freezes. One slot remains for reaching another member.
+func TestOneSlotIsReservedForOtherTargets(t *testing.T) {
+	withFixture(t, 3, func(t *testing.T, b *fixture) {
 		lent := []*pooler.Conn{b.borrow(t, primary), b.borrow(t, primary)}
 		b.mustNotBorrow(t, primary)
 		b.first.Faults.Freeze()
@@ -156,38 +150,37 @@
 	})
 }
 
-// The only connection that a share of two allows at the primary is lent to a
-// transaction whose caller is slow. Short work may then use the last place.
-func TestShortWorkPassesAnOpenTransaction(t *testing.T) {
-	withBench(t, 2, func(t *testing.T, b *bench) {
-		long := b.borrow(t, primary)
+// The reserved slot may be used while all other connections to the primary are in open
+// transactions.
+func TestShortWorkUsesLastSlotBesideOpenTransaction(t *testing.T) {
+	withFixture(t, 2, func(t *testing.T, b *fixture) {
+		inTransaction := b.borrow(t, primary)
 		b.mustNotBorrow(t, primary)
-		b.pool.Lengthen(long)
+		b.pool.Lengthen(inTransaction)
 		b.pool.Return(b.borrow(t, primary))
-		b.pool.Return(long)
+		b.pool.Return(inTransaction)
 	})
 }
 
-// An open connection goes silent for good while new ones work. Its end is never
-// seen, so its place would be lost for ever; the target is asked, over a new
-// connection, to end the session by its number.
-func TestSilentConnectionIsEndedByNumber(t *testing.T) {
-	withBench(t, 2, func(t *testing.T, b *bench) {
+// The end of a silent connection is never seen, so the target is queried over a new connection to
+// terminate the session; otherwise the slot would leak.
+func TestSilentConnectionIsTerminatedByPID(t *testing.T) {
+	withFixture(t, 2, func(t *testing.T, b *fixture) {
 		c := b.borrow(t, primary)
 		b.first.SilenceOpen()
 		c.Broken = true
 		b.pool.Return(c)
 		time.Sleep(5 * time.Second)
 		must.Eq(t, 2, b.pool.Lendable())
-		must.LessEq(t, 1, b.first.Status().Sessions, must.Sprint("the one that asked may be idle"))
+		must.LessEq(t, 1, b.first.Status().Sessions, must.Sprint("the connection that terminated it may be idle"))
 		must.Eq(t, b.first.Status().Sessions, b.pool.Use().Held)
 	})
 }
 
-// The target crashes with connections lent. The reset shows that it has
-// forgotten them, so their places are free at once.
-func TestResetFreesThePlace(t *testing.T) {
-	withBench(t, 2, func(t *testing.T, b *bench) {
+// A reset shows that a crashed target has dropped its sessions, so their slots are released at
+// once.
+func TestResetReleasesSlot(t *testing.T) {
+	withFixture(t, 2, func(t *testing.T, b *fixture) {
 		c := b.borrow(t, primary)
 		b.net.Kill(primaryIP)
 		c.Broken = true
@@ -197,13 +190,12 @@
 	})
 }
 
-// Another instance took this one for dead and evicted it, while it was only
-// paused. What it opens when it wakes is refused by the target, so that the place
-// is not used twice; under a new name it goes on.
+// An instance that was evicted while paused must not open connections under its old application
+// name, since its slots have been reassigned.
 func TestEvictedApplicationIsRefused(t *testing.T) {
-	withBench(t, 2, func(t *testing.T, b *bench) {
+	withFixture(t, 2, func(t *testing.T, b *fixture) {
 		c := b.borrow(t, primary)
-		remain, err := commander.Evict(b.ctx, b.net.Host(entryIP, "entry"), primary.Address, "entry/1", 0)
+		remain, err := commander.Evict(b.ctx, b.net.Host(instanceIP, "entry"), primary.Address, "entry/1", 0)
 		must.NoError(t, err)
 		must.Eq(t, 0, remain)
 		must.Eq(t, 0, b.first.Status().Sessions)
@@ -218,21 +210,18 @@
 	})
 }
 
-// Two changes of the share arrive in the wrong order. The older one must not
-// raise the pool above what the ledger says by now.
+// Share updates arrive out of order. The older one must not raise the limit.
 func TestOlderShareIsIgnored(t *testing.T) {
-	withBench(t, 0, func(t *testing.T, b *bench) {
+	withFixture(t, 0, func(t *testing.T, b *fixture) {
 		b.pool.SetShare(pooler.Share{Connections: 1, Application: "entry/1", Number: 3})
 		b.pool.SetShare(pooler.Share{Connections: 2, Application: "entry/1", Number: 2})
 		must.Eq(t, 1, b.pool.Lendable())
 	})
 }
 
-// A share of one is idle at the replica when a request wants the primary. The
-// place moves: the old connection has ended at its target before the new one
-// starts at the other.
+// An idle connection's session has ended at its target before its slot is used at another one.
 func TestIdleConnectionMovesToDemand(t *testing.T) {
-	withBench(t, 1, func(t *testing.T, b *bench) {
+	withFixture(t, 1, func(t *testing.T, b *fixture) {
 		b.pool.Return(b.borrow(t, replica))
 		c := b.borrow(t, primary)
 		must.Eq(t, 0, b.other.Status().Sessions)
@@ -241,22 +230,20 @@
 	})
 }
 
-// Control asked a replica that has become the primary since. The connection that
-// it left idle is not bound to the new term, so it can't bring work there, and
-// with a share of two it is all that the address may have. It makes way.
-func TestControlMakesWayAtTheNewPrimary(t *testing.T) {
-	withBench(t, 2, func(t *testing.T, b *bench) {
+// An idle control connection that isn't bound to the new primary's term must not block the only
+// slot allowed for its address.
+func TestIdleControlConnectionIsReplacedAfterPromotion(t *testing.T) {
+	withFixture(t, 2, func(t *testing.T, b *fixture) {
 		_, err := b.pool.Ask(b.ctx, primary.Address, "SELECT * FROM oriole_status()", commander.Routine)
 		must.NoError(t, err)
 		b.pool.Return(b.borrow(t, primary))
 	})
 }
 
-// The whole share is open: one connection is lent at the primary, two have just
-// been used at the replica. The next request for the primary waits a moment for
-// the one there, in place of closing what the next read needs.
+// A request waits for a connection that is about to be returned, and doesn't evict recently
+// used ones that the next reads need.
 func TestAlternatingRequestsKeepTheirConnections(t *testing.T) {
-	withBench(t, 3, func(t *testing.T, b *bench) {
+	withFixture(t, 3, func(t *testing.T, b *fixture) {
 		reads := []*pooler.Conn{b.borrow(t, replica), b.borrow(t, replica)}
 		c := b.borrow(t, primary)
 		b.pool.Return(reads[0])
@@ -270,10 +257,9 @@
 	})
 }
 
-// Connections to the primary and the own replica are opened before anybody asks,
-// so the first requests don't wait for their start; a new primary's too.
-func TestWantedPlacesAreWarm(t *testing.T) {
-	withBench(t, 2, func(t *testing.T, b *bench) {
+// Wanted connections are opened in advance, so that the first requests don't wait for the dial.
+func TestWantedEndpointsAreOpenedAhead(t *testing.T) {
+	withFixture(t, 2, func(t *testing.T, b *fixture) {
 		b.pool.Want([]pooler.Place{primary, replica})
 		time.Sleep(time.Second)
 		before := time.Now()
@@ -283,32 +269,31 @@
 	})
 }
 
-// Every connection is busy without pause, and status questions keep coming. They
-// are asked between two requests; else what is known of targets would grow old
-// exactly while they are busy.
-func TestControlIsHeardUnderSaturation(t *testing.T) {
-	withBench(t, 1, func(t *testing.T, b *bench) {
-		asked := make(chan error, 1)
+// Control statements run between two requests when all connections are busy; otherwise the
+// members' states would become stale under load.
+func TestControlStatementsRunUnderSaturation(t *testing.T) {
+	withFixture(t, 1, func(t *testing.T, b *fixture) {
+		queried := make(chan error, 1)
 		c := b.borrow(t, primary)
 		go func() {
 			ctx, cancel := context.WithTimeout(b.ctx, time.Second)
 			defer cancel()
 			_, err := b.pool.Ask(ctx, primary.Address, "SELECT * FROM oriole_status()", commander.Routine)
-			asked <- err
+			queried <- err
 		}()
 		time.Sleep(50 * time.Millisecond)
 		b.pool.Return(c)
 		c = b.borrow(t, primary)
-		must.NoError(t, <-asked)
+		must.NoError(t, <-queried)
 		b.pool.Return(c)
 		must.Eq(t, 1, b.first.Status().Peak)
 	})
 }
 
-// No connection is free for a question: the answer is ErrBusy, which is no
-// evidence against the target.
-func TestBusyIsNoEvidence(t *testing.T) {
-	withBench(t, 1, func(t *testing.T, b *bench) {
+// A control statement that gets no connection fails with ErrBusy, which doesn't indicate a
+// target failure.
+func TestBusyIsNotReportedAsTargetFailure(t *testing.T) {
+	withFixture(t, 1, func(t *testing.T, b *fixture) {
 		c := b.borrow(t, primary)
 		ctx, cancel := context.WithTimeout(b.ctx, time.Second)
 		defer cancel()
