--- a/internal/gossiper/performer.go
+++ b/internal/gossiper/caller.go
@@ -41,12 +41,12 @@
 		g.Offered = FromFetchReply(w, nil)
 	}
 	for _, p := range w.GetPeers() {
-		g.Peers = append(g.Peers, fromPeer(p))
+		g.Peers = append(g.Peers, peerFromWire(p))
 	}
 	return g
 }
 
-// fetch asks for what differs, and for the whole if that does not fit.
+// fetch requests the difference to the base, and the whole document if that doesn't fit.
 func (c *Caller) fetch(ctx context.Context, a configurer.Fetch) configurer.Offered {
 	out := configurer.Offered{Source: configurer.SourcePeer}
 	for _, whole := range []bool{false, true} {
@@ -62,13 +62,13 @@
 	return out
 }
 
-// ToFetchReply answers a peer that asks for the document.
+// ToFetchReply returns the reply to a peer that requests the document.
 func ToFetchReply(h *configurer.Held, s *Snapshot, r *wire.FetchRequest) *wire.FetchReply {
 	out := &wire.FetchReply{}
 	if s != nil && r.NewerThan == 0 {
-		out.Peers = append(out.Peers, toPeer(s.Self))
+		out.Peers = append(out.Peers, peerToWire(s.Self))
 		for _, i := range s.Peers {
-			out.Peers = append(out.Peers, toPeer(i))
+			out.Peers = append(out.Peers, peerToWire(i))
 		}
 	}
 	if h == nil || h.Version <= r.NewerThan {
@@ -86,9 +86,8 @@
 	return out
 }
 
-// FromFetchReply reads a peer's document; base is the text of the version that
-// was asked with. The error is ErrDifference when the whole has to be fetched,
-// and then no version is blamed.
+// FromFetchReply decodes a peer's document; base is the text of the version in the request.
+// After ErrDifference, the whole document has to be fetched; no version is rejected.
 func FromFetchReply(w *wire.FetchReply, base []byte) configurer.Offered {
 	text := w.Document
 	if len(w.Steps) > 0 {
@@ -108,16 +107,16 @@
 	return configurer.Offer(w.Version, text, configurer.SourcePeer)
 }
 
-// FromRequest maps a peer's call.
+// FromRequest converts a peer's exchange request to an event.
 func FromRequest(w *wire.ExchangeRequest) Asked {
-	return Asked{Sender: fromPeer(w.GetSender()), Version: w.GetVersion()}
+	return Asked{Sender: peerFromWire(w.GetSender()), Version: w.GetVersion()}
 }
 
-// FromAnnouncement maps a peer's news.
+// FromAnnouncement converts a peer's announcement to an event.
 func FromAnnouncement(w *wire.Announcement) Announced {
-	a := Announced{Sender: fromPeer(w.GetSender()), Version: w.GetVersion(), Urgent: w.GetUrgent(), Gone: w.GetGone()}
+	a := Announced{Sender: peerFromWire(w.GetSender()), Version: w.GetVersion(), Urgent: w.GetUrgent(), Gone: w.GetGone()}
 	for _, l := range w.GetLeaving() {
-		a.Leaving = append(a.Leaving, signFromWire(l))
+		a.Leaving = append(a.Leaving, noticeFromWire(l))
 	}
 	return a
 }
--- a/internal/gossiper/exchange.go
+++ b/internal/gossiper/exchange.go
@@ -14,49 +14,48 @@
 )
 
 const (
-	// seedEvery is how often an instance that knows no peer asks a seed.
-	seedEvery = time.Second
-	// firstCost is what an exchange is taken to cost, in bytes, before the
-	// first: one in full with few groups.
-	firstCost = 300
+	// seedInterval is how often an instance that knows no peers asks a seed.
+	seedInterval = time.Second
+	// initialCost is the assumed size of a peer's first exchange, in bytes.
+	initialCost = 300
 )
 
-var errUnanswered = errors.New("observer got no answer")
+var errNoAnswer = errors.New("observer received no reply")
 
-// tick asks the peers whose turn has come, the latest first, as far as the budget
-// of bytes goes.
+// tick starts the exchanges that are due, the most overdue first, within the byte budget.
 func (s *Slice) tick(now time.Time) []controller.Action {
 	if s.dirty {
 		s.publish()
 	}
-	s.save(now)
-	out := s.seed(now)
-	for _, p := range s.waiting(now) {
-		if s.saved <= 0 {
+	s.refillBudget(now)
+	out := s.querySeed(now)
+	for _, p := range s.duePeers(now) {
+		if s.byteBudget <= 0 {
 			break
 		}
-		out = append(out, s.ask(now, p))
+		out = append(out, s.startExchange(now, p))
 	}
 	return append(out, s.repair(now)...)
 }
 
-// save adds to the budget what the time since the last tick allows.
-func (s *Slice) save(now time.Time) {
-	if !s.last.IsZero() {
-		s.saved = min(maxSaved, s.saved+now.Sub(s.last).Seconds()*bytesPerSecond)
+// refillBudget adds the bytes for the time since the last tick.
+func (s *Slice) refillBudget(now time.Time) {
+	if !s.lastTick.IsZero() {
+		s.byteBudget = min(maxByteBudget, s.byteBudget+now.Sub(s.lastTick).Seconds()*bytesPerSecond)
 	}
-	s.last = now
+	s.lastTick = now
 }
 
-func (s *Slice) waiting(now time.Time) []*peer {
+// duePeers returns the peers that are due, the most overdue first.
+func (s *Slice) duePeers(now time.Time) []*peer {
 	var out []*peer
-	for _, p := range s.sources {
-		if !p.open && !now.Before(p.next) {
+	for _, p := range s.targets {
+		if !p.inFlight && !now.Before(p.due) {
 			out = append(out, p)
 		}
 	}
 	slices.SortFunc(out, func(a, b *peer) int {
-		if c := cmp.Compare(b.late(now), a.late(now)); c != 0 {
+		if c := cmp.Compare(b.lateness(now), a.lateness(now)); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.instance.Name, b.instance.Name)
@@ -64,144 +63,143 @@
 	return out
 }
 
-// late is by how many of its paces a peer's turn has passed. Where the budget
-// does not suffice, all paces stretch by the same factor: by time alone, the
-// observers of other zones, which are many and asked rarely, would take the turns
-// of those on whom this instance's knowledge rests.
-func (p *peer) late(now time.Time) float64 {
-	return float64(now.Sub(p.next)+max(p.pace, pace)) / float64(max(p.pace, pace))
+// lateness returns the time since the previous due time in multiples of the interval. When the
+// budget is exhausted, all intervals stretch by the same factor; sorted by time alone, the many
+// peers with long intervals would displace those with short ones.
+func (p *peer) lateness(now time.Time) float64 {
+	return float64(now.Sub(p.due)+max(p.interval, exchangeInterval)) / float64(max(p.interval, exchangeInterval))
 }
 
-func (s *Slice) ask(now time.Time, p *peer) Exchange {
-	p.open, p.urgent, p.next = true, false, now.Add(max(p.pace, pace))
+// startExchange marks a peer's exchange as in flight and charges its expected cost to the
+// budget.
+func (s *Slice) startExchange(now time.Time, p *peer) Exchange {
+	p.inFlight, p.repeat, p.due = true, false, now.Add(max(p.interval, exchangeInterval))
 	if p.cost == 0 {
-		p.cost = firstCost
+		p.cost = initialCost
 	}
-	s.saved -= p.cost // set right by what it really took
+	s.byteBudget -= p.cost // corrected by the actual cost
 	return Exchange{Peer: p.instance, Request: &wire.ExchangeRequest{
-		Version: s.version, Run: p.held.run, Since: p.held.sequence, Shards: p.shards, Sender: toPeer(s.Self),
+		Version: s.version, Run: p.received.run, Since: p.received.sequence, Shards: p.shards, Sender: peerToWire(s.Self),
 	}}
 }
 
-// repair asks a random peer for the version that it has in force.
+// repair exchanges with a random peer, to learn its version.
 func (s *Slice) repair(now time.Time) []controller.Action {
 	if now.Before(s.nextRepair) || len(s.members) < 2 {
 		return nil
 	}
-	s.nextRepair = now.Add(repairEvery/2 + time.Duration(s.Random.Int64N(int64(repairEvery))))
+	s.nextRepair = now.Add(repairInterval/2 + time.Duration(s.Random.Int64N(int64(repairInterval))))
 	i := s.members[s.Random.IntN(len(s.members))]
 	p := s.peers[i.Name]
-	if p == nil || p.open {
+	if p == nil || p.inFlight {
 		return nil
 	}
-	return []controller.Action{s.ask(now, p)}
+	return []controller.Action{s.startExchange(now, p)}
 }
 
-// probe asks a peer that did not answer, and is therefore out of the view,
-// whether it does now.
-func (s *Slice) probe(i lister.Instance) Exchange {
-	return Exchange{Peer: i, Request: &wire.ExchangeRequest{Version: s.version, Sender: toPeer(s.Self)}}
+// probeExchange checks whether a peer that was removed from the view answers again.
+func (s *Slice) probeExchange(i lister.Instance) Exchange {
+	return Exchange{Peer: i, Request: &wire.ExchangeRequest{Version: s.version, Sender: peerToWire(s.Self)}}
 }
 
-// seed asks a seed while this instance knows no peer: it has just started, and
-// the platform, which has the list, is down.
-func (s *Slice) seed(now time.Time) []controller.Action {
+// querySeed asks a seed while no other instance is known, as after a start during an outage of
+// the platform's instance list.
+func (s *Slice) querySeed(now time.Time) []controller.Action {
 	if len(s.members) > 1 || len(s.Seeds) == 0 || now.Before(s.nextSeed) {
 		return nil
 	}
-	s.nextSeed = now.Add(seedEvery)
+	s.nextSeed = now.Add(seedInterval)
 	return []controller.Action{Greet{Address: s.Seeds[s.Random.IntN(len(s.Seeds))]}}
 }
 
-// exchanged takes a peer's report, or the failure to get one.
-func (s *Slice) exchanged(now time.Time, e Exchanged) []controller.Action {
+// handleExchanged processes a peer's report, or the failure to get one.
+func (s *Slice) handleExchanged(now time.Time, e Exchanged) []controller.Action {
 	p := s.peers[e.Peer.Name]
-	if p == nil || !p.open {
-		s.saved -= float64(e.Bytes)
+	if p == nil || !p.inFlight {
+		s.byteBudget -= float64(e.Bytes)
 	} else {
-		s.saved += p.cost - float64(e.Bytes)
-		p.open, p.cost = false, float64(e.Bytes)
+		s.byteBudget += p.cost - float64(e.Bytes)
+		p.inFlight, p.cost = false, float64(e.Bytes)
 	}
 	out := []controller.Action{controller.Emit{Event: lister.Called{Name: e.Peer.Name, OK: e.Err == nil}}}
 	if e.Err != nil {
 		if p != nil {
-			p.held = heldReport{}
+			p.received = receivedReport{}
 		}
 		return out
 	}
 	if e.Report.Instance != "" && e.Report.Instance != e.Peer.Name {
-		// The address has passed to another instance: what it tells must not
-		// count as this one's, least of all as a zone's say in a suspicion.
+		// The address belongs to another instance now, whose report must not count as this
+		// peer's vote.
 		return []controller.Action{controller.Emit{Event: lister.Called{Name: e.Peer.Name}}}
 	}
 	out = append(out, controller.Emit{Event: configurer.HeardOf{Version: e.Report.Version, Address: e.Peer.Address}})
 	if e.Report.Leaving {
-		gone := e.Peer
-		gone.State = lister.StateLeaving
-		out = append(out, controller.Emit{Event: lister.Met{Instance: gone}})
+		leaving := e.Peer
+		leaving.State = lister.StateLeaving
+		out = append(out, controller.Emit{Event: lister.Met{Instance: leaving}})
 	}
 	for _, w := range e.Report.Signs {
-		out = append(out, s.heardSign(now, signFromWire(w))...)
+		out = append(out, s.handleNotice(now, noticeFromWire(w))...)
 	}
 	if p == nil {
 		return out
 	}
-	out = append(out, s.read(now, p, e)...)
-	if p.urgent {
-		out = append(out, s.ask(now, p))
+	out = append(out, s.applyReport(now, p, e)...)
+	if p.repeat {
+		out = append(out, s.startExchange(now, p))
 	}
 	return out
 }
 
-// read hands on what a report says.
-func (s *Slice) read(now time.Time, p *peer, e Exchanged) []controller.Action {
+// applyReport emits the contents of a report.
+func (s *Slice) applyReport(now time.Time, p *peer, e Exchanged) []controller.Action {
 	d := s.documents[e.Report.Version]
 	if d == nil {
-		return nil // a version that is not here yet: it is being fetched
+		return nil // the version is still being fetched
 	}
-	r, ok := p.held.decode(p.instance, e.Report, d)
+	r, ok := p.received.decode(p.instance, e.Report, d)
 	if !ok {
-		p.held = heldReport{} // the next exchange asks for the whole
+		p.received = receivedReport{} // the next exchange requests a full report
 		return nil
 	}
 	out := []controller.Action{controller.Emit{Event: Heard{Report: r, Asked: e.Asked}}}
 	for _, g := range r.Groups {
 		for _, m := range g.Members {
 			at := [2]string{g.Service, m.Member}
-			out = append(out, reportedSign(p, r.Instance, m, at)...)
-			out = append(out, s.second(now, r, at, m, e.Asked)...)
+			out = append(out, noticeFromReport(p, r.Instance, m, at)...)
+			out = append(out, s.relayObservation(now, r, at, m, e.Asked)...)
 		}
 	}
 	return out
 }
 
-// second hands an observation of another instance on, where this one makes none
-// of its own and it is newer than what is known. The age is added on this
-// instance's clock, from before it asked: the observation is taken for older than
-// it is, never for younger.
-func (s *Slice) second(now time.Time, r Report, at [2]string, m MemberReport, asked time.Time) []controller.Action {
-	if s.observes(now, at) {
-		// Whether a target answers here is not for others to say: a primary
-		// that only this zone is cut off from must look so here.
+// relayObservation emits another instance's observation if this instance makes none itself and
+// it is newer than the known one. The age is added to the time before the request, so that it
+// is never understated.
+func (s *Slice) relayObservation(now time.Time, r Report, at [2]string, m MemberReport, asked time.Time) []controller.Action {
+	if s.observesDirectly(now, at) {
+		// Own observations take precedence: a primary that is unreachable only from this zone must
+		// appear unreachable here.
 		return nil
 	}
 	o := observer.Observed{Service: at[0], Member: at[1], Started: asked.Add(-m.Age), Status: m.Status, From: r.Instance}
 	if m.Failures > 0 {
-		o.Err = errors.Wrapf(errUnanswered, "%d times, says %s", m.Failures, r.Instance)
+		o.Err = errors.Wrapf(errNoAnswer, "%d times, reported by %s", m.Failures, r.Instance)
 		return []controller.Action{controller.Emit{Event: o}}
 	}
-	if m.Age == 0 || !o.Started.After(s.newest[at]) {
+	if m.Age == 0 || !o.Started.After(s.newestObservation[at]) {
 		return nil
 	}
-	s.newest[at] = o.Started
+	s.newestObservation[at] = o.Started
 	return []controller.Action{controller.Emit{Event: o}}
 }
 
-// observes tells whether this instance asks the member itself at present.
-func (s *Slice) observes(now time.Time, at [2]string) bool {
-	p, ok := s.places[at]
-	if !ok || s.own[p[0]] == nil {
+// observesDirectly reports whether this instance currently queries the member itself.
+func (s *Slice) observesDirectly(now time.Time, at [2]string) bool {
+	p, ok := s.positions[at]
+	if !ok || s.observedGroups[p[0]] == nil {
 		return false
 	}
-	return s.own[p[0]].members[p[1]].tells(now)
+	return s.observedGroups[p[0]].members[p[1]].isCurrent(now)
 }
--- a/internal/gossiper/fuzz_test.go
+++ b/internal/gossiper/fuzz_test.go
@@ -16,17 +16,16 @@
 )
 
 var (
-	peerInstance = lister.Instance{Name: "peer", Address: "10.0.0.9:7100", Zone: "b", State: lister.StateLive}
-	ownInstance  = lister.Instance{Name: "own", Address: "10.0.0.8:7100", Zone: "a", State: lister.StateLive}
-	oneGroup     = &configurer.Document{Services: []configurer.Service{{
+	peerInstance     = lister.Instance{Name: "peer", Address: "10.0.0.9:7100", Zone: "b", State: lister.StateLive}
+	ownInstance      = lister.Instance{Name: "own", Address: "10.0.0.8:7100", Zone: "a", State: lister.StateLive}
+	oneGroupDocument = &configurer.Document{Services: []configurer.Service{{
 		Name:    "lockers",
 		Members: []configurer.Member{{Name: "m1", Zone: "a"}, {Name: "m2", Zone: "b"}, {Name: "m3", Zone: "c"}},
 	}}}
 )
 
-// FuzzPeerMessages feeds an instance with whatever a peer that holds the fleet's
-// key may send. Nothing panics, no version is put in force by it, and no member
-// is told of that the document does not have.
+// FuzzPeerMessages processes arbitrary messages from an authenticated peer. They must not cause
+// a panic, put a version in force, or produce observations of unknown members.
 func FuzzPeerMessages(f *testing.F) {
 	full, err := proto.Marshal(&wire.Report{Instance: "peer", Version: 1, Run: 7, Sequence: 9, Groups: []*wire.Group{{
 		Service: 0, Offset: 100, Members: []*wire.Member{
@@ -42,11 +41,11 @@
 		s := &gossiper.Slice{Self: ownInstance, Run: 1, Random: rand.New(rand.NewPCG(1, 1))}
 		step := func(e controller.Event) {
 			for _, a := range s.Step(now, e) {
-				mustBeSound(t, a)
+				mustBeValidAction(t, a)
 			}
 			now = now.Add(time.Second)
 		}
-		step(configurer.InForce{Version: 1, Document: oneGroup})
+		step(configurer.InForce{Version: 1, Document: oneGroupDocument})
 		step(lister.Changed{Instances: []lister.Instance{ownInstance, peerInstance}})
 		var r wire.Report
 		if proto.Unmarshal(data, &r) == nil {
@@ -71,7 +70,7 @@
 	})
 }
 
-func mustBeSound(t *testing.T, a controller.Action) {
+func mustBeValidAction(t *testing.T, a controller.Action) {
 	e, ok := a.(controller.Emit)
 	if !ok {
 		return
@@ -80,6 +79,6 @@
 	case configurer.InForce:
 		t.Fatal("a report put a version in force")
 	case observer.Observed:
-		must.True(t, e.Service == "lockers" && oneGroup.Services[0].Holds(e.Member))
+		must.True(t, e.Service == "lockers" && oneGroupDocument.Services[0].Holds(e.Member))
 	}
 }
--- a/internal/gossiper/planner.go
+++ b/internal/gossiper/planner.go
@@ -9,60 +9,59 @@
 	"github.com/oriolegw/oriolegw/internal/observer"
 )
 
-// plan chooses whom to ask for which shards. For a shard that this instance
-// does not observe, one observer of its own zone; for one that it does, perZone
-// observers in each other zone that has members of the shard's groups, whose
-// suspicions count beside its own. Each instance ranks the observers by its own
-// name too, which spreads the askers over them.
-func (s *Slice) plan() {
+// choosePeers selects the peers to ask for each shard. For a shard that this instance doesn't
+// observe, it is one observer of its own zone; for one that it observes, peersPerZone observers
+// in each other zone with members, whose suspicions count as votes. Ranking by the asking
+// instance's name spreads the load over the observers.
+func (s *Slice) choosePeers() {
 	if s.document == nil {
 		return
 	}
 	shards := map[string]map[uint32]bool{}
-	paces := map[string]time.Duration{}
+	intervals := map[string]time.Duration{}
 	for shard := range uint32(observer.Shards) {
-		if s.zones[shard] == nil {
+		if s.shardZones[shard] == nil {
 			continue
 		}
-		sources, pause := s.from(shard)
-		for _, i := range sources {
+		peers, interval := s.peersForShard(shard)
+		for _, i := range peers {
 			if shards[i.Name] == nil {
-				shards[i.Name], paces[i.Name] = map[uint32]bool{}, pause
+				shards[i.Name], intervals[i.Name] = map[uint32]bool{}, interval
 			}
 			shards[i.Name][shard] = true
-			paces[i.Name] = min(paces[i.Name], pause)
+			intervals[i.Name] = min(intervals[i.Name], interval)
 		}
 	}
-	s.setPeers(shards, paces)
+	s.setPeers(shards, intervals)
 }
 
-// from returns whom to ask for a shard, and how often.
-func (s *Slice) from(shard uint32) ([]lister.Instance, time.Duration) {
-	mine := observer.Of(shard, s.Self.Zone, s.members)
+// peersForShard returns the peers to ask for a shard, and how often.
+func (s *Slice) peersForShard(shard uint32) ([]lister.Instance, time.Duration) {
+	zoneObservers := observer.Of(shard, s.Self.Zone, s.members)
 	key := s.Self.Name + "/" + strconv.Itoa(int(shard))
-	if !lister.Holds(mine, s.Self.Name) {
-		r := lister.Rank(key, mine)
-		if s.used[shard] {
-			return r[:min(1, len(r))], pace
+	if !lister.Holds(zoneObservers, s.Self.Name) {
+		r := lister.Rank(key, zoneObservers)
+		if s.usedShards[shard] {
+			return r[:min(1, len(r))], exchangeInterval
 		}
-		return r[:min(1, len(r))], strangerPace
+		return r[:min(1, len(r))], unusedInterval
 	}
 	var out []lister.Instance
-	for _, z := range s.zones[shard] {
+	for _, z := range s.shardZones[shard] {
 		if z == s.Self.Zone {
 			continue
 		}
 		r := lister.Rank(key, observer.Of(shard, z, s.members))
-		out = append(out, r[:min(perZone, len(r))]...)
+		out = append(out, r[:min(peersPerZone, len(r))]...)
 	}
-	if s.suspecting(shard) {
-		return out, pace
+	if s.hasSuspicion(shard) {
+		return out, exchangeInterval
 	}
-	return out, observersPace
+	return out, observerInterval
 }
 
-func (s *Slice) suspecting(shard uint32) bool {
-	for at := range s.suspects {
+func (s *Slice) hasSuspicion(shard uint32) bool {
+	for at := range s.suspected {
 		if observer.Shard(at[0]) == shard {
 			return true
 		}
@@ -70,16 +69,16 @@
 	return false
 }
 
-func (s *Slice) setPeers(shards map[string]map[uint32]bool, paces map[string]time.Duration) {
+func (s *Slice) setPeers(shards map[string]map[uint32]bool, intervals map[string]time.Duration) {
 	old := s.peers
-	s.peers, s.sources = map[string]*peer{}, nil
+	s.peers, s.targets = map[string]*peer{}, nil
 	for _, i := range s.members {
 		if i.Name == s.Self.Name {
 			continue
 		}
 		p := old[i.Name]
 		if p == nil {
-			p = &peer{doubted: map[[2]string]bool{}}
+			p = &peer{reportedLeaving: map[[2]string]bool{}}
 		}
 		p.instance = i
 		var list []uint32
@@ -88,17 +87,16 @@
 		}
 		slices.Sort(list)
 		if !slices.Equal(list, p.shards) {
-			// A peer tells what has changed since the last report: to hear of
-			// further shards in full, begin anew.
-			p.held, p.next = heldReport{}, time.Time{}
+			// Reports are incremental, so added shards need a full report.
+			p.received, p.due = receivedReport{}, time.Time{}
 		}
-		if paces[i.Name] < p.pace {
-			p.next = time.Time{}
+		if intervals[i.Name] < p.interval {
+			p.due = time.Time{}
 		}
-		p.shards, p.pace = list, paces[i.Name]
+		p.shards, p.interval = list, intervals[i.Name]
 		s.peers[i.Name] = p
 		if len(list) > 0 {
-			s.sources = append(s.sources, p)
+			s.targets = append(s.targets, p)
 		}
 	}
 }
--- a/internal/gossiper/report.go
+++ b/internal/gossiper/report.go
@@ -1,8 +1,7 @@
-// Package gossiper carries what instances tell each other: what they observed of
-// targets, which configuration they hold, and what they suspect. Instances pull:
-// each asks, at a pace that its budget of bytes sets, the few peers whose
-// observations it needs. A peer that has news worth more than the pace announces
-// it, and is then asked.
+// Package gossiper exchanges state between instances: observations of targets, configuration
+// versions and suspicions. Instances pull reports from the few peers whose observations they
+// need, at a rate limited by a byte budget. Urgent changes are announced, which triggers an
+// immediate exchange.
 package gossiper
 
 import (
@@ -14,83 +13,82 @@
 )
 
 type (
-	// Report is what one instance tells another.
+	// Report is the state of one instance as reported to another.
 	Report struct {
 		Instance string
 		Zone     string
-		// Version is the configuration in force on the instance.
+		// Version is the configuration version in force on the instance.
 		Version int64
 		Groups  []GroupReport
 	}
 
-	// GroupReport is what the instance knows of one group at first hand.
+	// GroupReport is the instance's own observations of one group.
 	GroupReport struct {
 		Service string
 		Members []MemberReport
 	}
 
-	// MemberReport is what it knows of one target.
+	// MemberReport is the instance's own observation of one target.
 	MemberReport struct {
 		Member string
-		// Status is the newest answer, without Followers.
+		// Status is the latest answer, without Followers.
 		Status commander.Status
-		// Age is how long ago, when the report was made, the question was sent
-		// that gave Status. Ages are durations on the sender's clock, so no two
-		// clocks are compared.
+		// Age is the time since the query that returned Status was sent, measured on the
+		// sender's clock, so that clocks are never compared.
 		Age time.Duration
-		// Failures counts the questions in a row without answer.
+		// Failures counts consecutive unanswered queries.
 		Failures int
-		// Suspected is the sender's own suspicion, not one that it heard.
+		// Suspected is the sender's own suspicion, not one received from peers.
 		Suspected bool
 		Leaving   bool
 	}
 
-	// Heard is a report that arrived. It was made after Asked, on this
-	// instance's clock: an observation in it is at most now - Asked + Age old.
+	// Heard is a received report. It was made after Asked on this instance's clock, so an
+	// observation in it is at most now - Asked + Age old.
 	Heard struct {
 		Report Report
 		Asked  time.Time
 	}
 
-	// Suspicion is this instance's own suspicion of a member, for its peers.
+	// Suspicion is this instance's own suspicion of a member, to be reported to its peers.
 	Suspicion struct {
 		Service string
 		Member  string
 		On      bool
 	}
 
-	// Announced is a peer's news.
+	// Announced is an announcement received from a peer.
 	Announced struct {
 		Sender  lister.Instance
 		Version int64
 		Leaving []LeavingSign
-		// Urgent asks for an exchange at once.
+		// Urgent requests an immediate exchange.
 		Urgent bool
-		// Gone says that the sender itself is leaving.
+		// Gone means that the sender itself is leaving.
 		Gone bool
 	}
 
-	// LeavingSign is a peer's sign that a target leaves, or no longer does.
+	// LeavingSign is a notice that a target is leaving, or no longer is.
 	LeavingSign struct {
 		Service string
 		Member  string
 		Leaving bool
-		// Origin is the instance that has the sign at first hand, Run its life,
-		// Number the number of the sign in that: the higher one counts.
+		// Origin is the instance that issued the notice, Run its run and Number the sequence
+		// number within the run; a higher one supersedes a lower one.
 		Origin string
 		Run    uint32
 		Number uint64
-		// Age is how long ago the origin gave it.
+		// Age is the time since the origin issued the notice.
 		Age time.Duration
 	}
 
-	// Asked says that a peer has asked this instance.
+	// Asked is an exchange request received from a peer.
 	Asked struct {
 		Sender  lister.Instance
 		Version int64
 	}
 
-	// Greeted is what a seed answered to an instance that knew no peer.
+	// Greeted is a seed's reply to an instance that knows no peers.
 	Greeted struct {
 		Peers   []lister.Instance
 		Offered configurer.Offered
--- a/internal/gossiper/server.go
+++ b/internal/gossiper/server.go
@@ -9,35 +9,35 @@
 )
 
 type (
-	// Server answers other instances. Set the exported fields; Register serves a
-	// connection of linker.Server.
+	// Server answers calls from other instances. Set the exported fields; Register is the
+	// linker.Server's callback for new connections.
 	Server struct {
-		// Exchange answers what this instance has observed.
+		// Exchange returns this instance's report.
 		Exchange func(context.Context, *wire.ExchangeRequest) (*wire.Report, error)
-		// Announced takes a peer's news.
+		// Announced processes a peer's announcement.
 		Announced func(context.Context, *wire.Announcement)
 		// Configuration returns the document in force.
 		Configuration func(*wire.FetchRequest) *wire.FetchReply
-		// Cancel cancels a request of a caller of this instance; nil if none.
+		// Cancel cancels a client request on this instance; it may be nil.
 		Cancel func(ctx context.Context, pid, secret uint32) error
 	}
 
-	// serving is one connection of a peer.
-	serving struct {
+	// peerSession is a connection from a peer.
+	peerSession struct {
 		*linker.Session
 		server *Server
-		// sender is who the peer says it is; told once on a connection.
+		// sender is the peer's identity, sent once per connection.
 		sender *wire.Peer
 	}
 )
 
-// Register registers the services for a connection.
+// Register registers the RPC service for a connection.
 func (s *Server) Register(m *drpcmux.Mux, session *linker.Session) error {
-	return wire.DRPCRegisterPeers(m, &serving{Session: session, server: s})
+	return wire.DRPCRegisterPeers(m, &peerSession{Session: session, server: s})
 }
 
 // Exchange implements wire.DRPCPeersServer.
-func (p *serving) Exchange(ctx context.Context, r *wire.ExchangeRequest) (*wire.Report, error) {
+func (p *peerSession) Exchange(ctx context.Context, r *wire.ExchangeRequest) (*wire.Report, error) {
 	if err := p.Ready(); err != nil {
 		return nil, err
 	}
@@ -49,7 +49,7 @@
 }
 
 // Announce implements wire.DRPCPeersServer.
-func (p *serving) Announce(ctx context.Context, r *wire.Announcement) (*wire.AnnounceReply, error) {
+func (p *peerSession) Announce(ctx context.Context, r *wire.Announcement) (*wire.AnnounceReply, error) {
 	if err := p.Ready(); err != nil {
 		return nil, err
 	}
@@ -58,7 +58,7 @@
 }
 
 // FetchConfiguration implements wire.DRPCPeersServer.
-func (p *serving) FetchConfiguration(_ context.Context, r *wire.FetchRequest) (*wire.FetchReply, error) {
+func (p *peerSession) FetchConfiguration(_ context.Context, r *wire.FetchRequest) (*wire.FetchReply, error) {
 	if err := p.Ready(); err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 }
 
 // Cancel implements wire.DRPCPeersServer.
-func (p *serving) Cancel(ctx context.Context, r *wire.CancelRequest) (*wire.CancelReply, error) {
+func (p *peerSession) Cancel(ctx context.Context, r *wire.CancelRequest) (*wire.CancelReply, error) {
 	if err := p.Ready(); err != nil {
 		return nil, err
 	}
--- a/internal/gossiper/slice.go
+++ b/internal/gossiper/slice.go
@@ -15,97 +15,89 @@
 )
 
 const (
-	// pace is how often a peer is asked while the budget of bytes allows.
-	pace = 200 * time.Millisecond
-	// observersPace is how often observers of different zones ask each other.
-	// They see the members themselves, and suspicions are announced: while one
-	// is on, the pace is full.
-	observersPace = time.Second
-	// strangerPace is how often an instance asks for groups that it neither
-	// observes nor uses: its first caller then meets a primary that is known.
-	strangerPace = 30 * time.Second
-	// repairEvery is how often a peer is asked that is picked at random, for
-	// its configuration's version. An announcement that got lost is made good
-	// by it: among n instances of which one knows, all know after some
-	// log2(n) + ln(n) rounds, but the announcements leave few to repair.
-	repairEvery = time.Second
-	// bytesPerSecond is the budget of what an instance asks for, both ways. As
-	// it answers as much as it asks, on average, twice this is what it sends
-	// and receives: 8 of the 9 KB/s that control may cost.
+	// exchangeInterval is how often a peer is asked while the byte budget allows it.
+	exchangeInterval = 200 * time.Millisecond
+	// observerInterval is how often observers of different zones ask each other. They query the
+	// members themselves; during a suspicion exchangeInterval applies.
+	observerInterval = time.Second
+	// unusedInterval is how often an instance asks for groups that it neither observes nor
+	// uses, so that their first request finds a known primary.
+	unusedInterval = 30 * time.Second
+	// repairInterval is how often a random peer is asked for its configuration version
+	// (anti-entropy). It repairs lost announcements.
+	repairInterval = time.Second
+	// bytesPerSecond is the budget of the exchanges that an instance starts, both directions.
+	// It answers about as many, so its total traffic is twice this.
 	bytesPerSecond = 4000
-	// maxSaved is how much unused budget is kept for a burst.
-	maxSaved = 2 * bytesPerSecond
-
-	// perZone is how many observers in each other zone of a group an observer
-	// asks, so that one that dies costs no zone its say in a suspicion.
-	perZone = 2
-	// fanOut is how many peers an instance tells of a new version or a leaving
-	// target. Each that did not know tells as many in turn. With 4, some 2% are
-	// told by nobody (the epidemic's fixed point, 1 - e^-4s = s); repair reaches
-	// them.
-	fanOut = 4
-
-	// maxDocuments is how many versions of the document are kept, to read the
-	// reports of peers that are a little ahead or behind.
+	// maxByteBudget is how much unused budget is kept for a burst.
+	maxByteBudget = 2 * bytesPerSecond
+
+	// peersPerZone is how many observers per other zone an observer asks, so that the failure
+	// of one doesn't lose its zone's vote on a suspicion.
+	peersPerZone = 2
+	// announceFanOut is how many peers receive an announcement. Each that did not know it
+	// forwards it to as many; repair reaches the rest.
+	announceFanOut = 4
+
+	// maxDocuments is how many versions of the document are kept to decode the reports of peers
+	// with another version.
 	maxDocuments = 4
-	// maxPeersTold is how many instances a newcomer is told of.
-	maxPeersTold = 32
+	// maxSeedPeers is how many instances are returned to a new instance.
+	maxSeedPeers = 32
 )
 
 type (
-	// Slice decides whom this instance asks, when, and what it tells. It
-	// answers the load that grows with instances times groups: only observers
-	// are asked, only for groups in use at the full pace, and a budget of bytes
-	// stretches the pace before it is exceeded. Set the exported fields before
-	// use.
+	// Slice decides which peers this instance asks, when, and what it announces. To bound the
+	// load, it asks only observers, uses the full rate only for groups in use, and extends the
+	// intervals to keep within a byte budget. Set the exported fields before use.
 	Slice struct {
 		Self lister.Instance
-		// Run is a random number of this life of the instance.
+		// Run is a random number for this start of the instance.
 		Run    uint32
 		Random *rand.Rand
-		// Published is where the server of peers finds what to tell.
+		// Published is the snapshot from which the server answers peers.
 		Published *atomic.Pointer[Snapshot]
-		// Seeds are peers to ask while no list of instances was read.
+		// Seeds are the addresses to ask while no other instance is known.
 		Seeds []string
 
-		version   int64
-		document  *configurer.Document
-		documents map[int64]*configurer.Document
-		places    map[[2]string][2]int
-		members   []lister.Instance
-		told      []lister.Instance
-		used      [observer.Shards]bool
-		own       []*ownGroup
-		zones     [observer.Shards][]string
-		sequence  uint64
-		dirty     bool
-		leaving   bool
-		signs     map[[2]string]heldSign
-		suspects  map[[2]string]bool
-
-		peers      map[string]*peer
-		sources    []*peer
-		newest     map[[2]string]time.Time
-		saved      float64
-		last       time.Time
-		nextRepair time.Time
-		nextSeed   time.Time
+		version        int64
+		document       *configurer.Document
+		documents      map[int64]*configurer.Document
+		positions      map[[2]string][2]int
+		members        []lister.Instance
+		seedPeers      []lister.Instance
+		usedShards     [observer.Shards]bool
+		observedGroups []*observedGroup
+		shardZones     [observer.Shards][]string
+		sequence       uint64
+		dirty          bool
+		leaving        bool
+		leavingNotices map[[2]string]storedNotice
+		suspected      map[[2]string]bool
+
+		peers             map[string]*peer
+		targets           []*peer
+		newestObservation map[[2]string]time.Time
+		byteBudget        float64
+		lastTick          time.Time
+		nextRepair        time.Time
+		nextSeed          time.Time
 	}
 
 	// peer is another instance that this one asks.
 	peer struct {
 		instance lister.Instance
 		shards   []uint32
-		pace     time.Duration
-		// cost is what the last exchange took, in bytes.
-		cost float64
-		held heldReport
-		open bool
-		next time.Time
-		// urgent says that an exchange is to follow the open one at once.
-		urgent bool
-		// doubted are the members that the peer says are leaving.
-		doubted map[[2]string]bool
+		interval time.Duration
+		// cost is the size of the last exchange, in bytes.
+		cost     float64
+		received receivedReport
+		inFlight bool
+		due      time.Time
+		// repeat requests another exchange as soon as the current one ends.
+		repeat bool
+		// reportedLeaving are the members that the peer reports as leaving.
+		reportedLeaving map[[2]string]bool
 	}
 
 	// Exchange asks a peer for its report.
@@ -114,24 +106,23 @@
 		Request *wire.ExchangeRequest
 	}
 
-	// Exchanged is how an Exchange ended.
+	// Exchanged is the outcome of an Exchange.
 	Exchanged struct {
 		Peer   lister.Instance
 		Report *wire.Report
 		Asked  time.Time
-		// Bytes is what the exchange cost, both ways.
+		// Bytes is the size of the exchange, both directions.
 		Bytes int64
 		Err   error
 	}
 
-	// Announce tells a peer of news; whether it arrives is not waited for.
+	// Announce sends an announcement to a peer, without a delivery guarantee.
 	Announce struct {
 		Peer lister.Instance
 		News *wire.Announcement
 	}
 
-	// Greet asks an address, whose instance is not known yet, for its
-	// document and for its peers.
+	// Greet asks a seed address for its document and its peers.
 	Greet struct{ Address string }
 )
 
@@ -149,83 +140,83 @@
 
 // Step implements controller.Slice.
 func (s *Slice) Step(now time.Time, e controller.Event) []controller.Action {
-	s.open()
+	s.initialize()
 	switch e := e.(type) {
 	case configurer.InForce:
-		return s.apply(e)
+		return s.applyDocument(e)
 	case lister.Changed:
 		s.members = e.Instances
-		s.choose()
-		s.plan()
+		s.chooseSeedPeers()
+		s.choosePeers()
 		s.publish()
 	case observer.Used:
-		s.use(e)
+		s.setUsed(e)
 	case observer.Observed:
-		s.observed(e)
+		s.handleObserved(e)
 	case Suspicion:
-		return s.suspect(e)
+		return s.handleSuspicion(e)
 	case drainer.Own:
-		return s.sign(now, e)
+		return s.handleOwnNotice(now, e)
 	case drainer.InstanceLeaving:
-		return s.leave()
+		return s.startLeaving()
 	case Announced:
-		return s.announced(now, e)
+		return s.handleAnnounced(now, e)
 	case Exchanged:
-		return s.exchanged(now, e)
+		return s.handleExchanged(now, e)
 	case Asked:
 		return []controller.Action{
 			controller.Emit{Event: lister.Met{Instance: e.Sender}},
 			controller.Emit{Event: configurer.HeardOf{Version: e.Version, Address: e.Sender.Address}},
 		}
 	case Greeted:
-		return greeted(e)
+		return handleGreeted(e)
 	case lister.Probe:
-		return []controller.Action{s.probe(e.Instance)}
+		return []controller.Action{s.probeExchange(e.Instance)}
 	case controller.Tick:
 		return s.tick(now)
 	}
 	return nil
 }
 
-func (s *Slice) open() {
+func (s *Slice) initialize() {
 	if s.peers != nil {
 		return
 	}
-	s.peers, s.newest = map[string]*peer{}, map[[2]string]time.Time{}
-	s.documents, s.signs = map[int64]*configurer.Document{}, map[[2]string]heldSign{}
-	s.suspects = map[[2]string]bool{}
-	s.saved = maxSaved
+	s.peers, s.newestObservation = map[string]*peer{}, map[[2]string]time.Time{}
+	s.documents, s.leavingNotices = map[int64]*configurer.Document{}, map[[2]string]storedNotice{}
+	s.suspected = map[[2]string]bool{}
+	s.byteBudget = maxByteBudget
 }
 
-// apply takes a new document over: what was observed of members that stay is
-// kept, and some peers are told at once.
-func (s *Slice) apply(e configurer.InForce) []controller.Action {
-	oldPlaces, oldOwn := s.places, s.own
+// applyDocument replaces the document, keeps the observations of remaining members and
+// announces the version.
+func (s *Slice) applyDocument(e configurer.InForce) []controller.Action {
+	oldPlaces, oldOwn := s.positions, s.observedGroups
 	s.version, s.document = e.Version, e.Document
 	s.documents[e.Version] = e.Document
-	s.forget()
-	s.own, s.places = make([]*ownGroup, len(e.Document.Services)), map[[2]string][2]int{}
-	s.zones = [observer.Shards][]string{}
+	s.dropOldDocuments()
+	s.observedGroups, s.positions = make([]*observedGroup, len(e.Document.Services)), map[[2]string][2]int{}
+	s.shardZones = [observer.Shards][]string{}
 	for i, v := range e.Document.Services {
 		shard := observer.Shard(v.Name)
 		for j, m := range v.Members {
 			at := [2]string{v.Name, m.Name}
-			s.places[at] = [2]int{i, j}
-			if !slices.Contains(s.zones[shard], m.Zone) {
-				s.zones[shard] = append(s.zones[shard], m.Zone)
+			s.positions[at] = [2]int{i, j}
+			if !slices.Contains(s.shardZones[shard], m.Zone) {
+				s.shardZones[shard] = append(s.shardZones[shard], m.Zone)
 			}
 			if o, ok := oldPlaces[at]; ok && oldOwn[o[0]] != nil {
-				*s.edit(at) = oldOwn[o[0]].members[o[1]]
+				*s.editMember(at) = oldOwn[o[0]].members[o[1]]
 			}
 		}
 	}
-	s.plan()
+	s.choosePeers()
 	s.publish()
-	return s.tell(&wire.Announcement{Version: s.version})
+	return s.broadcast(&wire.Announcement{Version: s.version})
 }
 
-// forget drops the oldest documents.
-func (s *Slice) forget() {
+// dropOldDocuments removes the oldest documents above maxDocuments.
+func (s *Slice) dropOldDocuments() {
 	for len(s.documents) > maxDocuments {
 		oldest := s.version
 		for v := range s.documents {
@@ -235,48 +226,48 @@
 	}
 }
 
-// use notes which shards callers here use.
-func (s *Slice) use(e observer.Used) {
+// setUsed records the shards of the groups that local requests use.
+func (s *Slice) setUsed(e observer.Used) {
 	var used [observer.Shards]bool
 	for _, n := range e.Services {
 		used[observer.Shard(n)] = true
 	}
-	if used == s.used {
+	if used == s.usedShards {
 		return
 	}
-	s.used = used
-	s.plan()
+	s.usedShards = used
+	s.choosePeers()
 }
 
-func (s *Slice) announce(to lister.Instance, w *wire.Announcement) Announce {
-	w.Sender, w.Version = toPeer(s.Self), s.version
-	return Announce{Peer: to, News: w}
+func (s *Slice) announce(to lister.Instance, message *wire.Announcement) Announce {
+	message.Sender, message.Version = peerToWire(s.Self), s.version
+	return Announce{Peer: to, News: message}
 }
 
-// tell announces news to fanOut peers: one of them in another zone, so that
-// news crosses zones however many instances a zone has.
-func (s *Slice) tell(w *wire.Announcement) []controller.Action {
-	var near, far []lister.Instance
+// broadcast sends an announcement to announceFanOut peers, at least one of them in another
+// zone.
+func (s *Slice) broadcast(message *wire.Announcement) []controller.Action {
+	var sameZone, otherZones []lister.Instance
 	for _, i := range s.members {
 		switch {
 		case i.Name == s.Self.Name:
 		case i.Zone == s.Self.Zone:
-			near = append(near, i)
+			sameZone = append(sameZone, i)
 		default:
-			far = append(far, i)
+			otherZones = append(otherZones, i)
 		}
 	}
-	s.shuffle(near)
-	s.shuffle(far)
+	s.shuffle(sameZone)
+	s.shuffle(otherZones)
 	var to []lister.Instance
-	to = append(to, far[:min(1, len(far))]...)
-	to = append(to, near[:min(fanOut-len(to), len(near))]...)
-	if more := fanOut - len(to); more > 0 && len(far) > 1 {
-		to = append(to, far[1:min(1+more, len(far))]...)
+	to = append(to, otherZones[:min(1, len(otherZones))]...)
+	to = append(to, sameZone[:min(announceFanOut-len(to), len(sameZone))]...)
+	if more := announceFanOut - len(to); more > 0 && len(otherZones) > 1 {
+		to = append(to, otherZones[1:min(1+more, len(otherZones))]...)
 	}
 	var out []controller.Action
 	for _, i := range to {
-		out = append(out, s.announce(i, &wire.Announcement{Leaving: w.Leaving, Urgent: w.Urgent, Gone: w.Gone}))
+		out = append(out, s.announce(i, &wire.Announcement{Leaving: message.Leaving, Urgent: message.Urgent, Gone: message.Gone}))
 	}
 	return out
 }
@@ -285,8 +276,8 @@
 	s.Random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
 
-// greeted takes what a seed told.
-func greeted(e Greeted) []controller.Action {
+// handleGreeted publishes the document and the peers that a seed returned.
+func handleGreeted(e Greeted) []controller.Action {
 	out := []controller.Action{controller.Emit{Event: e.Offered}}
 	for _, i := range e.Peers {
 		out = append(out, controller.Emit{Event: lister.Met{Instance: i}})
@@ -294,17 +285,16 @@
 	return out
 }
 
-// leave tells some peers that this instance is leaving; the others read it in its
-// reports, until it has left and its calls fail.
-func (s *Slice) leave() []controller.Action {
+// startLeaving announces that this instance is leaving. Other peers see it in reports.
+func (s *Slice) startLeaving() []controller.Action {
 	s.leaving = true
 	s.Self.State = lister.StateLeaving
 	s.publish()
-	return s.tell(&wire.Announcement{Gone: true})
+	return s.broadcast(&wire.Announcement{Gone: true})
 }
 
-// announced takes a peer's news.
-func (s *Slice) announced(now time.Time, e Announced) []controller.Action {
+// handleAnnounced processes a peer's announcement.
+func (s *Slice) handleAnnounced(now time.Time, e Announced) []controller.Action {
 	if e.Gone {
 		e.Sender.State = lister.StateLeaving
 	}
@@ -313,41 +303,41 @@
 		controller.Emit{Event: configurer.HeardOf{Version: e.Version, Address: e.Sender.Address}},
 	}
 	for _, l := range e.Leaving {
-		out = append(out, s.heardSign(now, l)...)
+		out = append(out, s.handleNotice(now, l)...)
 	}
 	if p := s.peers[e.Sender.Name]; p != nil && e.Urgent && len(p.shards) > 0 {
-		if p.open {
-			p.urgent = true
+		if p.inFlight {
+			p.repeat = true
 			return out
 		}
-		out = append(out, s.ask(now, p))
+		out = append(out, s.startExchange(now, p))
 	}
 	return out
 }
 
-func toPeer(i lister.Instance) *wire.Peer {
+func peerToWire(i lister.Instance) *wire.Peer {
 	return &wire.Peer{Name: i.Name, Address: i.Address, Zone: i.Zone}
 }
 
-func fromPeer(w *wire.Peer) lister.Instance {
+func peerFromWire(w *wire.Peer) lister.Instance {
 	return lister.Instance{Name: w.GetName(), Kind: lister.KindEntry, Address: w.GetAddress(), Zone: w.GetZone(), State: lister.StateLive}
 }
 
-// choose picks the instances that a newcomer is told of.
-func (s *Slice) choose() {
-	s.told = slices.Clone(s.members)
-	s.shuffle(s.told)
-	s.told = s.told[:min(maxPeersTold, len(s.told))]
+// chooseSeedPeers picks random instances to return to new instances.
+func (s *Slice) chooseSeedPeers() {
+	s.seedPeers = slices.Clone(s.members)
+	s.shuffle(s.seedPeers)
+	s.seedPeers = s.seedPeers[:min(maxSeedPeers, len(s.seedPeers))]
 }
 
-// publish lets the server of peers see what this instance now has to tell.
+// publish makes the current state available to the server.
 func (s *Slice) publish() {
 	s.dirty = false
 	if s.Published == nil {
 		return
 	}
-	n := &Snapshot{Self: s.Self, Version: s.version, Run: s.Run, Sequence: s.sequence, Leaving: s.leaving, groups: slices.Clone(s.own)}
-	n.signs = s.held()
-	n.Members, n.Peers = s.members, s.told
+	n := &Snapshot{Self: s.Self, Version: s.version, Run: s.Run, Sequence: s.sequence, Leaving: s.leaving, groups: slices.Clone(s.observedGroups)}
+	n.notices = s.currentNotices()
+	n.Members, n.Peers = s.members, s.seedPeers
 	s.Published.Store(n)
 }
--- a/internal/gossiper/snapshot.go
+++ b/internal/gossiper/snapshot.go
@@ -12,47 +12,46 @@
 )
 
 type (
-	// Snapshot is what this instance tells its peers. It is never changed once
-	// published.
+	// Snapshot is the immutable state that this instance reports to its peers.
 	Snapshot struct {
 		Self    lister.Instance
 		Version int64
-		// Run tells one life of the instance from the next: sequences start
-		// anew in each.
+		// Run identifies this start of the instance; sequence numbers restart with each.
 		Run      uint32
 		Sequence uint64
 		Leaving  bool
-		// Members are all live instances that this one knows.
+		// Members are all live instances known to this one.
 		Members []lister.Instance
-		// Peers are some that a new instance may ask.
+		// Peers are instances that a new instance may ask.
 		Peers []lister.Instance
-		// groups are by service; nil where nothing was observed here.
-		groups []*ownGroup
-		signs  []heldSign
+		// groups are indexed by service; nil where nothing was observed.
+		groups  []*observedGroup
+		notices []storedNotice
 	}
 
-	// ownGroup is what this instance observed of a group. It is never changed
-	// once it stands in a snapshot: a change copies it.
-	ownGroup struct {
+	// observedGroup is this instance's observations of a group. It is immutable once published;
+	// changes copy it.
+	observedGroup struct {
 		shard   uint32
-		members []ownMember
+		members []observedMember
 	}
 
-	// ownMember is what this instance observed of a target.
-	ownMember struct {
-		status    commander.Status
-		seen      time.Time
-		asked     time.Time
-		failures  int
-		suspected bool
-		leaving   bool
-		// changed is the sequence at which anything but seen and the offsets
-		// last changed, moved that at which the offsets did.
-		changed, moved uint64
+	// observedMember is this instance's observation of a target.
+	observedMember struct {
+		status     commander.Status
+		answeredAt time.Time
+		queriedAt  time.Time
+		failures   int
+		suspected  bool
+		leaving    bool
+		// changed is the sequence number of the last change of anything but answeredAt and the
+		// offsets; offsetsChanged is that of the last change of the offsets.
+		changed, offsetsChanged uint64
 	}
 
-	// heldReport is what a peer has told so far, by service and member index.
-	heldReport struct {
+	// receivedReport is the state accumulated from a peer's reports, by service and member
+	// index.
+	receivedReport struct {
 		version  int64
 		run      uint32
 		sequence uint64
@@ -60,33 +59,31 @@
 	}
 )
 
-// firstHand is how long ago a question may be for its answer still to be told:
-// an instance that no longer observes a group soon says nothing of it.
-const firstHand = 5 * time.Second
+// observationTTL is how long after its last query a member is still reported, so that former
+// observers stop reporting it.
+const observationTTL = 5 * time.Second
 
-// Report makes the answer to an exchange. Members are named by their place in
-// the document of the version. Of those that have not changed since the report
-// that the peer holds, only the age is told, and of those that only moved on in
-// the log, how far they are behind the first of the group: some 8 bytes where
-// names, owner and positions would take 50.
+// Report returns the reply to an exchange. Members are identified by their index in the
+// document. For members unchanged since the peer's last report only the age is sent, and for
+// those whose log position advanced, the lag behind the group's most advanced member.
 func (s *Snapshot) Report(now time.Time, r *wire.ExchangeRequest) *wire.Report {
 	out := &wire.Report{Version: s.Version, Run: s.Run, Sequence: s.Sequence, Leaving: s.Leaving}
 	since := r.Since
 	if r.Run != s.Run {
 		since, out.Instance = 0, s.Self.Name
 	}
-	for _, g := range s.signs {
-		g.Age = now.Sub(g.at)
-		out.Signs = append(out.Signs, signToWire(g.LeavingSign))
+	for _, g := range s.notices {
+		g.Age = now.Sub(g.givenAt)
+		out.Signs = append(out.Signs, noticeToWire(g.LeavingSign))
 	}
-	var wanted [observer.Shards]bool
+	var requested [observer.Shards]bool
 	for _, n := range r.Shards {
 		if n < observer.Shards {
-			wanted[n] = true
+			requested[n] = true
 		}
 	}
 	for i, g := range s.groups {
-		if g == nil || !wanted[g.shard] {
+		if g == nil || !requested[g.shard] {
 			continue
 		}
 		if w := g.toWire(now, since); w != nil {
@@ -97,15 +94,15 @@
 	return out
 }
 
-func (g *ownGroup) toWire(now time.Time, since uint64) *wire.Group {
+func (g *observedGroup) toWire(now time.Time, since uint64) *wire.Group {
 	w := &wire.Group{}
 	for i := range g.members {
-		if m := &g.members[i]; m.moves(since) {
+		if m := &g.members[i]; m.onlyOffsetsChanged(since) {
 			w.Offset = max(w.Offset, m.status.Received.Offset)
 		}
 	}
 	for i := range g.members {
-		if m := &g.members[i]; m.tells(now) {
+		if m := &g.members[i]; m.isCurrent(now) {
 			w.Members = append(w.Members, m.toWire(uint32(i), now, since, w.Offset))
 		}
 	}
@@ -115,40 +112,42 @@
 	return w
 }
 
-func (m *ownMember) tells(now time.Time) bool {
-	return m.leaving || (!m.asked.IsZero() && now.Sub(m.asked) < firstHand)
+// isCurrent reports whether the observation is recent enough to be reported.
+func (m *observedMember) isCurrent(now time.Time) bool {
+	return m.leaving || (!m.queriedAt.IsZero() && now.Sub(m.queriedAt) < observationTTL)
 }
 
-// moves tells whether only the offsets have changed since.
-func (m *ownMember) moves(since uint64) bool { return m.changed <= since && m.moved > since }
+// onlyOffsetsChanged reports whether only the offsets have changed since a sequence number.
+func (m *observedMember) onlyOffsetsChanged(since uint64) bool {
+	return m.changed <= since && m.offsetsChanged > since
+}
 
-func (m *ownMember) toWire(index uint32, now time.Time, since, offset uint64) *wire.Member {
+func (m *observedMember) toWire(index uint32, now time.Time, since, offset uint64) *wire.Member {
 	w := &wire.Member{Member: index}
-	if !m.seen.IsZero() {
-		// Rounded up, so that an age is never told too small; 0 is never seen.
-		w.AgeMs = uint32(now.Sub(m.seen)/time.Millisecond) + 1
+	if !m.answeredAt.IsZero() {
+		// Rounded up, so that the age is never understated; 0 means never answered.
+		w.AgeMs = uint32(now.Sub(m.answeredAt)/time.Millisecond) + 1
 	}
 	switch {
-	case m.moves(since):
+	case m.onlyOffsetsChanged(since):
 		w.Change = wire.Change_POSITION
 		w.ReceivedBehind = offset - m.status.Received.Offset
 		w.ReplayedBehind = offset - m.status.Replayed.Offset
 	case m.changed > since:
 		w.Change, w.Failures, w.Suspected, w.Leaving = wire.Change_EVERYTHING, uint32(m.failures), m.suspected, m.leaving
-		if !m.seen.IsZero() {
+		if !m.answeredAt.IsZero() {
 			w.Status = statusToWire(m.status)
 		}
 	}
 	return w
 }
 
-// decode completes a report with what the peer told before, and gives members
-// their names back. It returns false for a report that can't be completed: the
-// next exchange then asks for the whole.
-func (h *heldReport) decode(from lister.Instance, w *wire.Report, d *configurer.Document) (Report, bool) {
+// decode merges an incremental report into the received state and resolves member names. It
+// returns false if the report doesn't fit; the next exchange then asks for a full one.
+func (h *receivedReport) decode(from lister.Instance, w *wire.Report, d *configurer.Document) (Report, bool) {
 	out := Report{Instance: from.Name, Zone: from.Zone, Version: w.Version}
 	if h.run != w.Run || h.version != w.Version || h.members == nil {
-		*h = heldReport{run: w.Run, version: w.Version, members: map[[2]uint32]MemberReport{}}
+		*h = receivedReport{run: w.Run, version: w.Version, members: map[[2]uint32]MemberReport{}}
 	}
 	for _, g := range w.Groups {
 		if int(g.Service) >= len(d.Services) {
@@ -161,7 +160,7 @@
 				return out, false
 			}
 			at := [2]uint32{g.Service, m.Member}
-			n, ok := complete(h.members[at], v.Members[m.Member].Name, m, g.Offset)
+			n, ok := applyChange(h.members[at], v.Members[m.Member].Name, m, g.Offset)
 			if !ok {
 				return out, false
 			}
@@ -174,8 +173,8 @@
 	return out, true
 }
 
-// complete makes a member's report from the one before and what has changed.
-func complete(held MemberReport, name string, m *wire.Member, offset uint64) (MemberReport, bool) {
+// applyChange merges a change into a member's previous report.
+func applyChange(held MemberReport, name string, m *wire.Member, offset uint64) (MemberReport, bool) {
 	n := held
 	switch m.Change {
 	case wire.Change_EVERYTHING:
