--- a/internal/configurer/check.go
+++ b/internal/configurer/check.go
@@ -8,8 +8,8 @@
 	"github.com/oriolegw/oriolegw/pkg/verifier"
 )
 
-// The limits of a document. They are wide: they catch a wrong unit or a slip of
-// the hand, and bound what an instance keeps in memory.
+// Limits of a document. They catch wrong units and typing errors, and bound the memory of an
+// instance.
 const (
 	maxServices    = 10000
 	maxUsers       = 10000
@@ -23,16 +23,15 @@
 	maxShare       = 1000
 )
 
-// Check reads a document and reports all its mistakes. The document is only
-// good when there are none. The operators' program, the console and the
-// instances all call it, so that what was accepted can also be applied.
+// Check decodes a document and reports all its problems; the document is valid only if there
+// are none. The operators' program, the console and the instances use it alike.
 func Check(file string, text []byte) (*Document, inspector.Problems) {
 	d := &Document{}
 	problems := inspector.Read(file, text, func(n inspector.Node) {
-		c := checker{
-			address: inspector.Unique("address"),
-			service: inspector.Unique("service"),
-			user:    inspector.Unique("user"),
+		c := reader{
+			checkAddress: inspector.Unique("address"),
+			checkService: inspector.Unique("service"),
+			checkUser:    inspector.Unique("user"),
 		}
 		n.Object(
 			inspector.Need("services", func(n inspector.Node) {
@@ -46,16 +45,16 @@
 	return d, problems
 }
 
-// checker knows what must be unique in the whole document.
-type checker struct {
-	address, service, user func(inspector.Node, string)
+// reader decodes a document and tracks the names that must be unique in it.
+type reader struct {
+	checkAddress, checkService, checkUser func(inspector.Node, string)
 }
 
-func (c *checker) readService(n inspector.Node) Service {
+func (c *reader) readService(n inspector.Node) Service {
 	var s Service
 	var members inspector.Node
 	n.Object(
-		inspector.Need("name", func(n inspector.Node) { s.Name = n.Name(); c.service(n, s.Name) }),
+		inspector.Need("name", func(n inspector.Node) { s.Name = n.Name(); c.checkService(n, s.Name) }),
 		inspector.Need("members", func(n inspector.Node) { members = n; s.Members = c.readMembers(n) }),
 		inspector.Need("connections", func(n inspector.Node) { s.Connections = n.Int(1, maxConnections) }),
 		inspector.Need("slots", func(n inspector.Node) { s.Slots = n.Int(0, maxSlots) }),
@@ -63,18 +62,18 @@
 		inspector.May("reader-rules", func(n inspector.Node) { s.Rules = readRules(n) }),
 		inspector.May("customers", func(n inspector.Node) { s.Customers = readCustomers(n) }),
 	)
-	checkLeaving(members, s.Members)
+	rejectAllLeaving(members, s.Members)
 	return s
 }
 
-func (c *checker) readMembers(n inspector.Node) []Member {
+func (c *reader) readMembers(n inspector.Node) []Member {
 	var out []Member
 	unique := inspector.Unique("member")
 	n.Each(1, maxMembers, func(n inspector.Node) {
 		var m Member
 		n.Object(
 			inspector.Need("name", func(n inspector.Node) { m.Name = n.Name(); unique(n, m.Name) }),
-			inspector.Need("address", func(n inspector.Node) { m.Address = n.Address(); c.address(n, m.Address) }),
+			inspector.Need("address", func(n inspector.Node) { m.Address = n.Address(); c.checkAddress(n, m.Address) }),
 			inspector.Need("availability-zone", func(n inspector.Node) { m.Zone = n.Name() }),
 			inspector.May("leaving", func(n inspector.Node) { m.Leaving = n.Bool() }),
 		)
@@ -83,16 +82,16 @@
 	return out
 }
 
-// checkLeaving refuses a group whose members all leave: no member would be left
-// to take over as primary, and every request would be refused.
-func checkLeaving(n inspector.Node, members []Member) {
+// rejectAllLeaving reports a group in which all members are leaving, since none could become
+// primary.
+func rejectAllLeaving(n inspector.Node, members []Member) {
 	for _, m := range members {
 		if !m.Leaving {
 			return
 		}
 	}
 	if len(members) > 0 {
-		n.Problem(fmt.Sprintf("all %d members leaving", len(members)), "at least one member that stays")
+		n.Problem(fmt.Sprintf("all %d members leaving", len(members)), "at least one member that is not leaving")
 	}
 }
 
@@ -131,10 +130,10 @@
 	return out
 }
 
-func (c *checker) readUser(n inspector.Node) User {
+func (c *reader) readUser(n inspector.Node) User {
 	var u User
 	n.Object(
-		inspector.Need("name", func(n inspector.Node) { u.Name = n.Text(); c.user(n, u.Name) }),
+		inspector.Need("name", func(n inspector.Node) { u.Name = n.Text(); c.checkUser(n, u.Name) }),
 		inspector.Need("password-verifier", func(n inspector.Node) {
 			u.Verifier = n.Text()
 			if _, err := verifier.Parse(u.Verifier); err != nil && u.Verifier != "" {
--- a/internal/configurer/check_test.go
+++ b/internal/configurer/check_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-const minimal = `{"services": [{
+const minimalDocument = `{"services": [{
   "name": "lockers", "connections": 20, "slots": 3,
   "members": [{"name": "m1", "address": "10.0.0.1:5432", "availability-zone": "hobart"}],
 }]}`
@@ -22,7 +22,7 @@
 	return text
 }
 
-// The samples of both deployments hold, and survive being written and read.
+// The sample documents are valid and survive a round trip through Encode and Decode.
 func TestSamples(t *testing.T) {
 	for name, connections := range map[string]int{"keyhold-document.json": 20, "kellerman-document.json": 60} {
 		t.Run(name, func(t *testing.T) {
@@ -31,67 +31,65 @@
 			must.Len(t, 3, d.Services)
 			must.Eq(t, connections, d.Services[0].Connections)
 			must.Len(t, 3, d.Services[0].Members)
-			again, err := configurer.Decode(configurer.Encode(d))
+			decoded, err := configurer.Decode(configurer.Encode(d))
 			must.NoError(t, err)
-			must.Eq(t, d, again)
+			must.Eq(t, d, decoded)
 		})
 	}
 }
 
-// Each change of a sound document is one mistake, reported at its place.
-func TestMistakes(t *testing.T) {
+// Each invalid change to a valid document is reported with its position.
+func TestInvalidDocuments(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
-		"unknown key":     {`"slots"`, `"slot"`, `d.json:2:41: services[0]: found unknown key "slot"`},
-		"duplicate key":   {`"slots": 3`, `"slots": 3, "slots": 4`, `d.json:2:53: services[0]: found key "slots" a second time; allowed: each key once; the first stands in line 2`},
-		"missing key":     {`"connections": 20, `, ``, `d.json:1:15: services[0]: found no key "connections"`},
-		"wrong kind":      {`20`, `"20"`, `d.json:2:37: services[0].connections: found "20"; allowed: a whole number from 1 to 10000`},
-		"fraction":        {`20`, `2.5`, `d.json:2:37: services[0].connections: found 2.5`},
-		"out of range":    {`20`, `0`, `d.json:2:37: services[0].connections: found 0`},
-		"host name":       {`10.0.0.1:5432`, `db1:5432`, `d.json:3:41: services[0].members[0].address: found "db1:5432"; allowed: an IP number and a port`},
-		"upper case":      {`hobart`, `Hobart`, `d.json:3:79: services[0].members[0].availability-zone: found "Hobart"`},
-		"nobody stays":    {`"hobart"`, `"hobart", "leaving": true`, `d.json:3:14: services[0].members: found all 1 members leaving`},
-		"two of a kind":   {`3,`, `3, "reader-rules": [{"kind": "a", "max-age-ms": 1}, {"kind": "a", "max-age-ms": 2}],`, `found kind "a" a second time`},
-		"not a verifier":  {`}]}`, `}], "users": [{"name": "crew", "password-verifier": "secret"}]}`, `users[0].password-verifier: found not a SCRAM-SHA-256 verifier`},
-		"list for object": {`{"services"`, `[{"services"`, `d.json:`},
+		"unknown key":      {`"slots"`, `"slot"`, `d.json:2:41: services[0]: found unknown key "slot"`},
+		"duplicate key":    {`"slots": 3`, `"slots": 3, "slots": 4`, `d.json:2:53: services[0]: found key "slots" a second time; allowed: each key once; the first stands in line 2`},
+		"missing key":      {`"connections": 20, `, ``, `d.json:1:15: services[0]: found no key "connections"`},
+		"wrong kind":       {`20`, `"20"`, `d.json:2:37: services[0].connections: found "20"; allowed: a whole number from 1 to 10000`},
+		"fraction":         {`20`, `2.5`, `d.json:2:37: services[0].connections: found 2.5`},
+		"out of range":     {`20`, `0`, `d.json:2:37: services[0].connections: found 0`},
+		"host name":        {`10.0.0.1:5432`, `db1:5432`, `d.json:3:41: services[0].members[0].address: found "db1:5432"; allowed: an IP number and a port`},
+		"upper case":       {`hobart`, `Hobart`, `d.json:3:79: services[0].members[0].availability-zone: found "Hobart"`},
+		"all leaving":      {`"hobart"`, `"hobart", "leaving": true`, `d.json:3:14: services[0].members: found all 1 members leaving`},
+		"duplicate kind":   {`3,`, `3, "reader-rules": [{"kind": "a", "max-age-ms": 1}, {"kind": "a", "max-age-ms": 2}],`, `found kind "a" a second time`},
+		"invalid verifier": {`}]}`, `}], "users": [{"name": "crew", "password-verifier": "secret"}]}`, `users[0].password-verifier: found not a SCRAM-SHA-256 verifier`},
+		"list for object":  {`{"services"`, `[{"services"`, `d.json:`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, problems := configurer.Check("d.json", []byte(strings.Replace(minimal, c.old, c.new, 1)))
+			_, problems := configurer.Check("d.json", []byte(strings.Replace(minimalDocument, c.old, c.new, 1)))
 			must.Positive(t, len(problems))
 			must.StrContains(t, problems.Error(), c.want)
 		})
 	}
 }
 
-func TestAllMistakesAtOnce(t *testing.T) {
-	text := strings.NewReplacer("20", "0", `"slots": 3`, `"slots": -1`, "10.0.0.1", "here").Replace(minimal)
+func TestAllProblemsAreReported(t *testing.T) {
+	text := strings.NewReplacer("20", "0", `"slots": 3`, `"slots": -1`, "10.0.0.1", "here").Replace(minimalDocument)
 	_, problems := configurer.Check("d.json", []byte(text))
 	must.Len(t, 3, problems)
 }
 
-// An operator who publishes with a newer program uses a key that this instance
-// does not know. It takes over everything else, the mark of a leaving target for
-// one; publishing with this version refuses the key.
-func TestKeyOfANewerVersion(t *testing.T) {
-	text := []byte(strings.Replace(minimal, `"slots"`, `"burst": {"size": 9}, "slots"`, 1))
+// A key added by a newer version must not prevent an instance from applying the rest of the
+// document, but publishing it with this version is refused.
+func TestUnknownKeyOfNewerVersion(t *testing.T) {
+	text := []byte(strings.Replace(minimalDocument, `"slots"`, `"burst": {"size": 9}, "slots"`, 1))
 	_, problems := configurer.Check("d.json", text)
 	must.Len(t, 1, problems)
 	d, err := configurer.Decode(text)
 	must.NoError(t, err)
 	must.Eq(t, 3, d.Services[0].Slots)
-	_, err = configurer.Decode([]byte(strings.Replace(minimal, "20", "0", 1)))
+	_, err = configurer.Decode([]byte(strings.Replace(minimalDocument, "20", "0", 1)))
 	must.Error(t, err)
 }
 
-func TestMinimal(t *testing.T) {
-	d, problems := configurer.Check("d.json", []byte(minimal))
+func TestMinimalDocument(t *testing.T) {
+	d, problems := configurer.Check("d.json", []byte(minimalDocument))
 	must.NoError(t, problems.Err())
 	must.Eq(t, time.Duration(0), d.Services[0].Hold)
 }
 
-// Whatever is read, it is a document that can be written and read again, or a
-// list of problems.
+// Any input must yield either problems or a document that survives a round trip.
 func FuzzCheck(f *testing.F) {
-	f.Add([]byte(minimal))
+	f.Add([]byte(minimalDocument))
 	f.Add(sample(f, "keyhold-document.json"))
 	f.Add([]byte(`{"services": [{"members": {}, "members": []}], "services": null}`))
 	f.Add([]byte(`{"services": [null, 1, "a", [], {}], "users": [{"name": 1}]}`))
@@ -101,8 +99,8 @@
 			must.NotEq(t, "", problems.Error())
 			return
 		}
-		again, err := configurer.Decode(configurer.Encode(d))
+		decoded, err := configurer.Decode(configurer.Encode(d))
 		must.NoError(t, err)
-		must.Eq(t, configurer.Encode(d), configurer.Encode(again))
+		must.Eq(t, configurer.Encode(d), configurer.Encode(decoded))
 	})
 }
--- a/internal/configurer/difference_test.go
+++ b/internal/configurer/difference_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func text(services int) []byte {
+func encodedDocument(services int) []byte {
 	d := &configurer.Document{}
 	for i := range services {
 		d.Services = append(d.Services, configurer.Service{Name: fmt.Sprintf("service-%d", i), Connections: 60, Members: service("m1", "m2", "m3").Members})
@@ -18,10 +18,10 @@
 	return configurer.Encode(d)
 }
 
-// Operators change a line or a service of a long document, in any place, or
-// everything: what comes out is the new document, and small changes are small.
+// Applying the difference must yield the new document, and small changes must yield small
+// differences.
 func TestDifference(t *testing.T) {
-	base := text(200)
+	base := encodedDocument(200)
 	for _, c := range []struct {
 		name string
 		next []byte
@@ -29,8 +29,8 @@
 	}{
 		{"same", base, 100},
 		{"one line", bytes.Replace(base, []byte(`"connections": 60`), []byte(`"connections": 61`), 1), 2000},
-		{"service added", text(201), 4000},
-		{"service removed", text(199), 2000},
+		{"service added", encodedDocument(201), 4000},
+		{"service removed", encodedDocument(199), 2000},
 		{"everything", []byte("{}"), 200},
 		{"nothing", nil, 100},
 	} {
@@ -44,8 +44,8 @@
 	}
 }
 
-// Any two texts: what is applied to the base is the text that was compared.
-func TestDifferenceOfAnyTexts(t *testing.T) {
+// Applying the difference of any two texts to the first must yield the second.
+func TestDifferenceOfRandomTexts(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	line := func() []byte { return []byte(fmt.Sprintf("line %d\n", random.IntN(20))) }
 	for range 500 {
@@ -62,13 +62,13 @@
 	}
 }
 
-// A peer applies a difference to a text that it was not made for, or one whose
-// ranges are nonsense: an error, never a wrong document.
-func TestDifferenceThatDoesNotFit(t *testing.T) {
-	base := text(10)
-	d := configurer.Compare(base, text(11))
+// A difference with a wrong base or invalid ranges must fail rather than yield a wrong
+// document.
+func TestDifferenceRejectsMismatch(t *testing.T) {
+	base := encodedDocument(10)
+	d := configurer.Compare(base, encodedDocument(11))
 	for name, bad := range map[string]func() error{
-		"other base": func() error { _, err := d.Apply(text(9)); return err },
+		"other base": func() error { _, err := d.Apply(encodedDocument(9)); return err },
 		"base of the same length": func() error {
 			_, err := d.Apply(bytes.ReplaceAll(base, []byte(`": 60`), []byte(`": 61`)))
 			return err
--- a/internal/configurer/document.go
+++ b/internal/configurer/document.go
@@ -1,5 +1,5 @@
-// Package configurer holds the one document that operators declare services in:
-// its form, its check, and which version of it is in force.
+// Package configurer defines the document in which operators declare services, validates it,
+// and determines which version of it is in force.
 package configurer
 
 import (
@@ -10,65 +10,62 @@
 )
 
 type (
-	// Document is the whole configuration of a fleet.
+	// Document is the configuration of a fleet.
 	Document struct {
 		Services []Service
-		// Users are the callers that may connect where the settings ask for a
-		// password.
+		// Users are the users that may connect where password authentication is enabled.
 		Users []User
 	}
 
-	// User is a caller's name with what its password is checked against.
+	// User is a client user and its password verifier.
 	User struct {
 		Name string
-		// Verifier is made from the password by the verifier package; the
-		// password itself is stored nowhere.
+		// Verifier is derived from the password by the verifier package; the password itself is
+		// not stored.
 		Verifier string
 	}
 
-	// Service is a database group with its members, rules and budget. Callers
-	// name it as their database.
+	// Service is a database group with its members, reader rules and connection budget. Clients
+	// connect to it as their database.
 	Service struct {
 		Name    string
 		Members []Member
-		// Connections is the budget: how many connections all instances
-		// together may hold to all members of the group.
+		// Connections is the budget: the maximum number of connections from all instances to
+		// all members of the group.
 		Connections int
-		// Slots is how many statements a member runs at once.
+		// Slots is the number of statements that a member runs concurrently.
 		Slots int
-		// Hold is how long a request that was not run waits for a primary.
+		// Hold is how long a request that has not run yet waits for a primary.
 		Hold time.Duration
-		// Rules say how stale a read may be, for each kind of request.
+		// Rules bound the staleness of reads by kind of request.
 		Rules []ReaderRule
-		// Customers share the service.
+		// Customers are the client accounts that share the service.
 		Customers []Customer
 	}
 
-	// Member is one target of a group.
+	// Member is a target of a group.
 	Member struct {
 		Name    string
 		Address string
 		Zone    string
-		// Leaving members get no new work; a primary that leaves is replaced
-		// first.
+		// Leaving members receive no new requests; a leaving primary is replaced first.
 		Leaving bool
 	}
 
-	// ReaderRule bounds the age of what a kind of request may be shown. Callers
-	// name the kind in a leading comment, /* kind=drop-status */, or in the
-	// parameter oriole.kind. Kind "default" is for requests that name none.
+	// ReaderRule bounds the staleness of reads for a kind of request. Clients specify the kind
+	// in a leading comment, /* kind=drop-status */, or in the parameter oriole.kind.
 	ReaderRule struct {
 		Kind string
-		// MaxAge is the stated age; 0 sends the request to the primary.
+		// MaxAge is the staleness bound; 0 sends the request to the primary.
 		MaxAge time.Duration
 	}
 
-	// Customer is a party whose callers share a service with others. Its users are those
-	// of callers; this document has no keys and no limits.
+	// Customer is a client account with the users that belong to it. API keys and rate limits
+	// are not part of this document.
 	Customer = identifier.Customer
 )
 
-// DefaultKind is the kind of a request that names none.
+// DefaultKind is the kind of requests that specify none.
 const DefaultKind = "default"
 
 // Service returns the service with the name, or nil.
@@ -83,8 +80,7 @@
 	return &d.Services[i]
 }
 
-// Verifier returns what a user's password is checked against; an empty text when
-// there is no such user.
+// Verifier returns a user's password verifier, or "" if there is no such user.
 func (d *Document) Verifier(user string) string {
 	for _, u := range d.Users {
 		if u.Name == user {
@@ -94,8 +90,8 @@
 	return ""
 }
 
-// MaxAge returns the stated age of a kind of request; known is false when the
-// service has no rule for it and none for the default kind.
+// MaxAge returns the staleness bound for a kind of request; known is false if the service has a
+// rule neither for it nor for the default kind.
 func (s *Service) MaxAge(kind string) (age time.Duration, known bool) {
 	for _, k := range []string{kind, DefaultKind} {
 		for _, r := range s.Rules {
@@ -107,5 +103,5 @@
 	return 0, false
 }
 
-// Quorum returns how many members are a majority.
+// Quorum returns the number of members in a majority.
 func (s *Service) Quorum() int { return len(s.Members)/2 + 1 }
--- a/internal/configurer/wire.go
+++ b/internal/configurer/encoding.go
@@ -44,11 +44,9 @@
 	}
 )
 
-// Decode reads a document that was published: JSON with comments. Keys that are
-// not known here are passed over. They were known to the program that published
-// the document, so they are of a newer version: during an upgrade, an instance
-// that refused them would stay with the old document for everything else, and
-// send work to a target that has long been marked as leaving.
+// Decode decodes a published document: JSON with comments. Unknown keys are ignored: they were
+// valid for the newer program that published the document, and an instance that rejected it
+// would stay with an outdated configuration during an upgrade.
 func Decode(text []byte) (*Document, error) {
 	d, problems := Check("document", text)
 	if err := problems.Known().Err(); err != nil {
@@ -57,11 +55,11 @@
 	return d, nil
 }
 
-// Encode writes a document in its canonical form.
+// Encode returns a document in its canonical form.
 func Encode(d *Document) []byte {
 	w := wireDocument{Services: []wireService{}}
 	for _, s := range d.Services {
-		w.Services = append(w.Services, toWire(s))
+		w.Services = append(w.Services, serviceToWire(s))
 	}
 	for _, u := range d.Users {
 		w.Users = append(w.Users, wireUser{Name: u.Name, Verifier: u.Verifier})
@@ -73,7 +71,7 @@
 	return append(text, '\n')
 }
 
-func toWire(s Service) wireService {
+func serviceToWire(s Service) wireService {
 	w := wireService{
 		Name: s.Name, Connections: s.Connections, Slots: s.Slots, HoldMS: int(s.Hold.Milliseconds()),
 		Members: []wireMember{}, Rules: []wireRule{}, Customers: []wireCustomer{},
--- a/internal/configurer/slice.go
+++ b/internal/configurer/slice.go
@@ -12,109 +12,97 @@
 	"github.com/oriolegw/oriolegw/internal/storer"
 )
 
-// Key is where the store holds the document. Its revision is the version: the
-// store only raises it.
+// Key is the document's key in the store. Its revision, which only increases, is the document's
+// version.
 const Key = "oriolegw/configuration"
 
 const (
-	// watchers is how many instances of a zone watch the store's key. Two, so
-	// that one may die or pause: 22 waiting calls in 11 zones. If all 1,800
-	// watched, each change would wake as many readers as the store serves in a
-	// second, and the waiting calls alone would fill its rate.
-	watchers = 2
-	watchKey = "configuration"
-	// watchFor ends a watch that has gone silent for good; the next one gets
-	// whatever it missed.
-	watchFor = 10 * time.Second
-	// maxPrevious is how many texts are kept to tell differences from: two
-	// minutes' worth at 2,500 changes a day, 4 MB at the largest.
+	// watchersPerZone is how many instances of a zone watch the key: two for redundancy. If all
+	// did, each change would trigger a read per instance, beyond the store's request rate.
+	watchersPerZone = 2
+	watchKey        = "configuration"
+	// watchTimeout ends a watch whose connection may be silently lost; the next watch returns
+	// missed changes.
+	watchTimeout = 10 * time.Second
+	// maxPrevious is how many earlier texts are kept as bases for differences.
 	maxPrevious = 4
-	// The pauses after which a store that failed is called again.
-	firstPause = 250 * time.Millisecond
-	maxPause   = 4 * time.Second
+	// Backoff between store calls after failures.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 4 * time.Second
 )
 
 type (
-	// Slice decides which document is in force on this instance: the one with
-	// the highest version that it was ever offered and could read. Versions are
-	// the store's revisions of one key, so they only rise there; the slice lets
-	// them only rise here; and an instance that starts with an empty memory
-	// learns the newest from the store or from its peers, whichever answers.
-	// Set the exported fields before use.
+	// Slice determines the document in force on this instance: the valid one with the highest
+	// version received from the store or a peer. The version never decreases while the instance
+	// runs. Set the exported fields before use.
 	Slice struct {
 		Instance string
 		Zone     string
 		Random   *rand.Rand
-		// Held is where the server of peers finds the document in force. It may
-		// be nil.
+		// Held publishes the document in force to the peer server. It may be nil.
 		Held *atomic.Pointer[Held]
 
 		inForce  int64
 		rejected int64
 		text     []byte
 
-		// watcher is what the instances' view says; busy and next are of the
-		// store, fetching and hint of the peers.
-		watcher  bool
-		busy     bool
-		checked  bool
-		next     time.Time
-		pause    time.Duration
-		fetching bool
-		hint     HeardOf
+		// isWatcher follows from the list of instances. storeCallInFlight to backoff concern calls
+		// to the store, fetching and pending those to peers.
+		isWatcher         bool
+		storeCallInFlight bool
+		hasReadStore      bool
+		nextStoreCall     time.Time
+		backoff           time.Duration
+		fetching          bool
+		pending           HeardOf
 	}
 
-	// Held is a document in force with its version, and those in force before
-	// it, the newest first.
+	// Held is the document in force and its predecessors, newest first.
 	Held struct {
 		Version  int64
 		Text     []byte
 		Previous []Held
 	}
 
-	// Read asks the store for the document.
+	// Read reads the document from the store.
 	Read struct{}
 
-	// Watch asks the store for the first change after a version.
+	// Watch waits for the first change in the store after a version.
 	Watch struct{ Since int64 }
 
-	// Fetch asks a peer for its document, if it is newer.
+	// Fetch requests a peer's document if it is newer.
 	Fetch struct {
 		Address   string
 		NewerThan int64
-		// Base is the text in force: the peer may answer with what differs.
+		// Base is the text in force, to which the peer may send a difference.
 		Base []byte
 	}
 
-	// HeardOf says that a peer has a version in force.
+	// HeardOf reports the version that a peer has in force.
 	HeardOf struct {
 		Version int64
 		Address string
 	}
 
-	// Offered is a document that was read, from the store or from a peer, or
-	// the failure to read one.
+	// Offered is a document read from the store or a peer, or the failure to read one.
 	Offered struct {
 		Version  int64
 		Document *Document
-		// Text is the document as it was published.
-		Text []byte
-		Err  error
-		// Source is where it came from.
-		Source Source
+		Text     []byte
+		Err      error
+		Source   Source
 	}
 
-	// Source is where a document came from.
+	// Source is where a document was read from.
 	Source string
 
-	// InForce says that a newer document is now in force.
+	// InForce reports that a newer document is in force.
 	InForce struct {
 		Version  int64
 		Document *Document
 	}
 
-	// Rejected says that a version could not be read, and why. What was in
-	// force stays so.
+	// Rejected reports that a version could not be decoded. The document in force remains.
 	Rejected struct {
 		Version int64
 		Err     error
@@ -158,39 +146,38 @@
 func (s *Slice) Step(now time.Time, e controller.Event) []controller.Action {
 	switch e := e.(type) {
 	case lister.Changed:
-		s.watcher = lister.Holds(lister.Top(watchKey, s.Zone, watchers, e.Instances), s.Instance)
+		s.isWatcher = lister.Holds(lister.Top(watchKey, s.Zone, watchersPerZone, e.Instances), s.Instance)
 	case controller.Tick:
-		return s.ask(now)
+		return s.callStore(now)
 	case HeardOf:
-		return s.heard(e)
+		return s.fetchNewer(e)
 	case Offered:
-		return s.offered(now, e)
+		return s.handleOffered(now, e)
 	}
 	return nil
 }
 
-// ask decides on the next call to the store. An instance that is no watcher
-// calls it only while nothing is in force: at 540 replacements a day that is a
-// call every 160 s.
-func (s *Slice) ask(now time.Time) []controller.Action {
-	if s.busy || now.Before(s.next) || (!s.watcher && s.inForce > 0) {
+// callStore decides on the next call to the store. An instance that is not a watcher calls it
+// only while no document is in force.
+func (s *Slice) callStore(now time.Time) []controller.Action {
+	if s.storeCallInFlight || now.Before(s.nextStoreCall) || (!s.isWatcher && s.inForce > 0) {
 		return nil
 	}
-	s.busy = true
-	if max(s.inForce, s.rejected) == 0 || !s.checked {
+	s.storeCallInFlight = true
+	if max(s.inForce, s.rejected) == 0 || !s.hasReadStore {
 		return []controller.Action{Read{}}
 	}
 	return []controller.Action{Watch{Since: max(s.inForce, s.rejected)}}
 }
 
-// heard fetches a newer version from the peer that has it, one at a time.
-func (s *Slice) heard(e HeardOf) []controller.Action {
+// fetchNewer fetches a newer version from a peer, one fetch at a time.
+func (s *Slice) fetchNewer(e HeardOf) []controller.Action {
 	if e.Version <= s.inForce || e.Version == s.rejected || e.Address == "" {
 		return nil
 	}
 	if s.fetching {
-		if e.Version > s.hint.Version {
-			s.hint = e
+		if e.Version > s.pending.Version {
+			s.pending = e
 		}
 		return nil
 	}
@@ -198,48 +185,44 @@
 	return []controller.Action{Fetch{Address: e.Address, NewerThan: s.inForce, Base: s.text}}
 }
 
-func (s *Slice) offered(now time.Time, e Offered) []controller.Action {
+func (s *Slice) handleOffered(now time.Time, e Offered) []controller.Action {
 	out := s.apply(e)
 	if e.Source == SourcePeer {
 		s.fetching = false
-		hint := s.hint
-		s.hint = HeardOf{}
-		return append(out, s.heard(hint)...)
+		hint := s.pending
+		s.pending = HeardOf{}
+		return append(out, s.fetchNewer(hint)...)
 	}
-	s.busy = false
+	s.storeCallInFlight = false
 	if e.Err != nil && e.Version == 0 {
-		// A watch that failed may have missed changes that the store no
-		// longer tells of: read before the next.
-		s.checked = false
-		s.pause = min(max(2*s.pause, firstPause), maxPause)
-		s.next = now.Add(s.pause/2 + time.Duration(s.Random.Int64N(int64(s.pause))))
+		// The failed watch may have missed changes, so the next call is a read.
+		s.hasReadStore = false
+		s.backoff = min(max(2*s.backoff, minBackoff), maxBackoff)
+		s.nextStoreCall = now.Add(s.backoff/2 + time.Duration(s.Random.Int64N(int64(s.backoff))))
 		return out
 	}
-	s.checked, s.pause = true, 0
+	s.hasReadStore, s.backoff = true, 0
 	return out
 }
 
-// apply puts a newer document in force. Versions only rise: an answer that was
-// late, or a peer that was cut off for an hour, must not bring back what
-// operators have replaced.
+// apply puts a newer document in force. Late responses and peers with an older version must not
+// revert a change.
 func (s *Slice) apply(e Offered) []controller.Action {
 	if e.Version <= s.inForce || e.Version == s.rejected {
 		return nil
 	}
 	if e.Document == nil {
-		// It can't be read, here or anywhere: what is in force stays. The
-		// version is remembered, so that it is fetched and told once. An older
-		// one that peers hold is still taken by an instance that has none.
+		// The version is recorded so that it is fetched and reported only once. An instance
+		// without a document still accepts an older version from a peer.
 		s.rejected = e.Version
 		return []controller.Action{controller.Emit{Event: Rejected{Version: e.Version, Err: e.Err}}}
 	}
-	s.hold(e.Version, e.Text)
+	s.keepText(e.Version, e.Text)
 	return []controller.Action{controller.Emit{Event: InForce{Version: e.Version, Document: e.Document}}}
 }
 
-// hold keeps the text for peers, and some before it, for those that have one of
-// them and need only what differs.
-func (s *Slice) hold(version int64, text []byte) {
+// keepText publishes the text for peers, with earlier texts as bases for differences.
+func (s *Slice) keepText(version int64, text []byte) {
 	if s.Held != nil {
 		next := &Held{Version: version, Text: text}
 		if old := s.Held.Load(); old != nil {
@@ -251,8 +234,8 @@
 	s.inForce, s.text = version, text
 }
 
-// Difference returns what differs from an older version, if that is held and
-// the difference is worth it.
+// Difference returns the difference from an older version if its text is kept and the
+// difference is less than half the size of the document.
 func (h *Held) Difference(from int64) (Difference, bool) {
 	for _, p := range h.Previous {
 		if p.Version == from {
@@ -285,10 +268,10 @@
 	return Offer(p.Revision, p.Value, SourceStore)
 }
 
-// watch returns the first change after a version; an empty offer when none came
-// in watchFor.
+// watch returns the first change after a version, or an empty Offered if there is none within
+// watchTimeout.
 func (r *Reader) watch(ctx context.Context, since int64) Offered {
-	limit, cancel := context.WithTimeout(ctx, watchFor)
+	limit, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	out := Offered{Source: SourceWatch}
 	err := r.Store.Watch(limit, Key, since, func(p storer.Pair) {
@@ -303,7 +286,7 @@
 	return out
 }
 
-// Offer decodes a document.
+// Offer decodes a document that was read from a source.
 func Offer(version int64, text []byte, source Source) Offered {
 	d, err := Decode(text)
 	if err != nil {
--- a/internal/configurer/slice_test.go
+++ b/internal/configurer/slice_test.go
@@ -12,31 +12,30 @@
 	"github.com/shoenig/test/must"
 )
 
-func offer(version int64, source configurer.Source) configurer.Offered {
+func offered(version int64, source configurer.Source) configurer.Offered {
 	return configurer.Offered{Version: version, Document: &configurer.Document{}, Source: source}
 }
 
-func unreadable(version int64) configurer.Offered {
-	return configurer.Offered{Version: version, Err: errors.New("unreadable"), Source: configurer.SourceStore}
+func offeredInvalid(version int64) configurer.Offered {
+	return configurer.Offered{Version: version, Err: errors.New("invalid"), Source: configurer.SourceStore}
 }
 
-// Documents arrive late, twice, from an old peer, or can't be read. The version
-// in force only rises, and what can't be read changes nothing.
-func TestVersionsOnlyRise(t *testing.T) {
+// Late, duplicate, outdated or invalid documents must not replace the one in force.
+func TestVersionInForceIsMonotonic(t *testing.T) {
 	const store, peer = configurer.SourceStore, configurer.SourcePeer
 	for _, c := range []struct {
 		name    string
 		offered []configurer.Offered
 		want    []int64
 	}{
-		{"in order", []configurer.Offered{offer(3, store), offer(5, store)}, []int64{3, 5}},
-		{"late answer of the store", []configurer.Offered{offer(5, store), offer(3, store)}, []int64{5}},
-		{"old peer", []configurer.Offered{offer(5, store), offer(4, peer)}, []int64{5}},
-		{"same twice", []configurer.Offered{offer(5, store), offer(5, peer)}, []int64{5}},
-		{"peer first", []configurer.Offered{offer(5, peer), offer(4, store), offer(6, store)}, []int64{5, 6}},
-		{"unreadable in between", []configurer.Offered{offer(5, store), unreadable(6), offer(7, store)}, []int64{5, 7}},
-		{"unreadable at a fresh instance", []configurer.Offered{unreadable(6), offer(5, peer)}, []int64{5}},
-		{"no answer", []configurer.Offered{{Err: errors.New("down"), Source: store}, offer(5, store)}, []int64{5}},
+		{"in order", []configurer.Offered{offered(3, store), offered(5, store)}, []int64{3, 5}},
+		{"late response from the store", []configurer.Offered{offered(5, store), offered(3, store)}, []int64{5}},
+		{"old peer", []configurer.Offered{offered(5, store), offered(4, peer)}, []int64{5}},
+		{"same twice", []configurer.Offered{offered(5, store), offered(5, peer)}, []int64{5}},
+		{"peer first", []configurer.Offered{offered(5, peer), offered(4, store), offered(6, store)}, []int64{5, 6}},
+		{"invalid in between", []configurer.Offered{offered(5, store), offeredInvalid(6), offered(7, store)}, []int64{5, 7}},
+		{"invalid at a new instance", []configurer.Offered{offeredInvalid(6), offered(5, peer)}, []int64{5}},
+		{"store unavailable", []configurer.Offered{{Err: errors.New("down"), Source: store}, offered(5, store)}, []int64{5}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &configurer.Slice{Random: rand.New(rand.NewPCG(1, 1))}
@@ -55,8 +54,8 @@
 	}
 }
 
-// A watch fails, and the store may have forgotten what changed meanwhile: the
-// next call reads the document whole before it watches again.
+// After a failed watch, the document is read before it is watched again, since the store may
+// have compacted the changes in between.
 func TestReadsAfterFailedWatch(t *testing.T) {
 	s := &configurer.Slice{Instance: "one", Zone: "a", Random: rand.New(rand.NewPCG(1, 1))}
 	now := time.Unix(1, 0)
@@ -65,9 +64,9 @@
 		want   string
 		answer configurer.Offered
 	}{
-		{"read-configuration", offer(3, configurer.SourceStore)},
+		{"read-configuration", offered(3, configurer.SourceStore)},
 		{"watch-configuration", configurer.Offered{Err: errors.New("compacted"), Source: configurer.SourceWatch}},
-		{"read-configuration", offer(9, configurer.SourceStore)},
+		{"read-configuration", offered(9, configurer.SourceStore)},
 		{"watch-configuration", configurer.Offered{Source: configurer.SourceWatch}},
 		{"watch-configuration", configurer.Offered{}},
 	} {
@@ -87,9 +86,8 @@
 	return s
 }
 
-// While one version gives way to the next, some instances count a majority of
-// the old members and some of the new. If the two need share no member, a write
-// is acknowledged by one majority that a promotion by the other never sees.
+// Changes after which the old and the new majority need not overlap must be refused, since a
+// promotion could lose acknowledged writes.
 func TestCheckChange(t *testing.T) {
 	moved := service("m1", "m2", "m3")
 	moved.Members[0].Address = "10.9.9.9:5432"
