--- a/internal/linker/authenticator.go
+++ b/internal/linker/authenticator.go
@@ -11,56 +11,56 @@
 )
 
 type (
-	// Secret is a key that all instances of a fleet share. Two fleets that
-	// share none never talk.
+	// Secret is a key shared by all instances of a fleet. Instances without a common secret
+	// refuse each other.
 	Secret struct {
 		Number uint8
 		Value  []byte
 	}
 
-	// Versions is the range of wire versions that an end speaks.
+	// Versions is the range of wire versions that an instance supports.
 	Versions struct {
 		Oldest, Newest uint32
 	}
 
-	// hello is what both ends have told each other before either proves itself.
-	hello struct {
+	// transcript is the handshake data exchanged before authentication, covered by the proofs.
+	transcript struct {
 		client, server           Versions
 		clientNonce, serverNonce []byte
 	}
 
-	side string
+	role string
 )
 
 const (
-	clientSide side = "client"
-	serverSide side = "server"
+	roleClient role = "client"
+	roleServer role = "server"
 
 	nonceBytes = 32
-	// purpose separates these proofs from the other uses of the same secrets,
-	// such as session tokens: a token can't be replayed as a proof.
-	purpose = "oriolegw peers"
+	// proofContext separates the proofs from other uses of the secrets, so that a session token
+	// can't be replayed as a proof.
+	proofContext = "oriolegw peers"
 )
 
-// Errors of the handshake. Each is final: a retry with the same settings fails.
+// Errors of the handshake. Retries with the same settings fail again.
 var (
-	// ErrForeign means that the other end holds none of this fleet's keys.
-	ErrForeign = errors.New("peer is of a foreign fleet")
-	// ErrWireVersion means that the two ends share no wire version.
-	ErrWireVersion = errors.New("peer speaks no common wire version")
+	// ErrForeign means that the peer has none of this fleet's keys.
+	ErrForeign = errors.New("peer belongs to another fleet")
+	// ErrWireVersion means that there is no common wire version.
+	ErrWireVersion = errors.New("no common wire version with peer")
 )
 
-// CurrentVersions is what this build speaks.
+// CurrentVersions is the range that this build supports.
 var CurrentVersions = Versions{Oldest: 1, Newest: 1}
 
-func nonce() []byte {
+func newNonce() []byte {
 	b := make([]byte, nonceBytes)
-	_, _ = rand.Read(b) // never fails; it stops the process instead
+	_, _ = rand.Read(b) // never returns an error
 	return b
 }
 
-// agree returns the newest version that both ranges hold.
-func (v Versions) agree(w Versions) (uint32, error) {
+// negotiate returns the newest common version.
+func (v Versions) negotiate(w Versions) (uint32, error) {
 	n := min(v.Newest, w.Newest)
 	if n < max(v.Oldest, w.Oldest) {
 		return 0, errors.Wrapf(ErrWireVersion, "own %d to %d, peer's %d to %d", v.Oldest, v.Newest, w.Oldest, w.Newest)
@@ -68,9 +68,9 @@
 	return n, nil
 }
 
-// choose returns the secret with the highest number among those that the client
-// holds, so that a new key is in use as soon as both ends have it.
-func choose(own []Secret, theirs []uint32) (Secret, error) {
+// chooseSecret returns the common secret with the highest number, so that a new key is used as
+// soon as both ends have it.
+func chooseSecret(own []Secret, theirs []uint32) (Secret, error) {
 	best := -1
 	for i, s := range own {
 		if slices.Contains(theirs, uint32(s.Number)) && (best < 0 || s.Number > own[best].Number) {
@@ -83,7 +83,7 @@
 	return own[best], nil
 }
 
-func find(own []Secret, number uint32) (Secret, error) {
+func findSecret(own []Secret, number uint32) (Secret, error) {
 	for _, s := range own {
 		if uint32(s.Number) == number {
 			return s, nil
@@ -92,12 +92,11 @@
 	return Secret{}, errors.Wrapf(ErrForeign, "key number %d", number)
 }
 
-// prove shows that the end knows the secret. It covers both nonces, so a proof
-// can't be replayed; the side, so it can't be reflected; and the versions, so
-// that nobody between the ends can talk them down to an older one.
-func (s Secret) prove(by side, h hello) []byte {
+// prove returns an HMAC of the transcript. It covers both nonces against replay, the role
+// against reflection, and the versions against downgrade.
+func (s Secret) prove(by role, h transcript) []byte {
 	derived := hmac.New(sha256.New, s.Value)
-	derived.Write([]byte(purpose))
+	derived.Write([]byte(proofContext))
 	m := hmac.New(sha256.New, derived.Sum(nil))
 	m.Write([]byte(by))
 	for _, n := range []uint32{h.client.Oldest, h.client.Newest, h.server.Oldest, h.server.Newest} {
@@ -108,12 +107,12 @@
 	return m.Sum(nil)
 }
 
-func (s Secret) check(by side, h hello, proof []byte) error {
+func (s Secret) verify(by role, h transcript, proof []byte) error {
 	if len(h.clientNonce) != nonceBytes || len(h.serverNonce) != nonceBytes {
-		return errors.Wrap(ErrForeign, "nonce of a wrong length")
+		return errors.Wrap(ErrForeign, "wrong nonce length")
 	}
 	if !hmac.Equal(s.prove(by, h), proof) {
-		return errors.Wrapf(ErrForeign, "key number %d differs", s.Number)
+		return errors.Wrapf(ErrForeign, "proof for key number %d does not match", s.Number)
 	}
 	return nil
 }
--- a/internal/linker/client.go
+++ b/internal/linker/client.go
@@ -16,8 +16,8 @@
 )
 
 type (
-	// Client calls other instances, over one connection to each, made when
-	// first needed. Set the exported fields; Close ends its connections.
+	// Client calls other instances over one connection each, dialed on first use. Set the
+	// exported fields; Close closes the connections.
 	Client struct {
 		Network  networker.Network
 		Secrets  []Secret
@@ -28,33 +28,33 @@
 		closed bool
 	}
 
-	// Link is the connection to one peer. The turn is a channel and not a
-	// mutex so that a caller whose time is up stops waiting.
+	// Link is the connection to one peer. Calls hold its lock, which is a channel so that a
+	// caller can give up at its deadline.
 	Link struct {
-		turn chan struct{}
-		conn *drpcconn.Conn
-		used time.Time
-		// Introduced says that the peer was told on this connection who calls.
+		lock     chan struct{}
+		conn     *drpcconn.Conn
+		lastUsed time.Time
+		// Introduced is set once the caller's identity was sent on this connection.
 		Introduced bool
-		// bytes counts what the link carried, both ways.
+		// bytes counts the traffic in both directions.
 		bytes atomic.Int64
 	}
 
-	counted struct {
+	countingConn struct {
 		net.Conn
 		bytes *atomic.Int64
 	}
 )
 
 const (
-	// idleTimeout closes connections to peers that are no longer asked.
-	idleTimeout = time.Minute
+	// linkIdleTimeout closes connections without recent calls.
+	linkIdleTimeout = time.Minute
 )
 
 // ErrClosed means that the client was closed.
 var ErrClosed = errors.New("client closed")
 
-// Close ends all connections; calls that run fail, and so do later ones.
+// Close closes all connections. Calls in flight and later ones fail.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -67,32 +67,32 @@
 	c.links = nil
 }
 
-// Call makes a call on the connection to a peer, within a limit of time. Calls to one
-// peer come one after the other.
-func (c *Client) Call(ctx context.Context, limit time.Duration, address string, f func(context.Context, *Link) error) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// Call makes a call on the connection to a peer within a timeout. Calls to one peer are
+// serialized.
+func (c *Client) Call(ctx context.Context, timeout time.Duration, address string, f func(context.Context, *Link) error) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	l := c.link(address)
 	select {
-	case l.turn <- struct{}{}:
+	case l.lock <- struct{}{}:
 	case <-ctx.Done():
-		return errors.Wrapf(ctx.Err(), "wait for the connection to peer %s", address)
+		return errors.Wrapf(ctx.Err(), "wait for connection to peer %s", address)
 	}
-	defer func() { <-l.turn }()
-	l.used = time.Now()
-	if err := c.connect(ctx, l, address); err != nil {
+	defer func() { <-l.lock }()
+	l.lastUsed = time.Now()
+	if err := c.ensureConn(ctx, l, address); err != nil {
 		return errors.Wrapf(err, "connect to peer %s", address)
 	}
-	err := typed(f(ctx, l))
+	err := decodeError(f(ctx, l))
 	if err != nil {
-		// The state of the connection is unknown: the next call makes another.
-		c.drop(l)
+		// The connection may be in an undefined state, so the next call dials again.
+		c.closeConn(l)
 		return errors.Wrapf(err, "call peer %s", address)
 	}
 	return nil
 }
 
-// Connected reports whether a connection to a peer is open, as far as is known.
+// Connected reports whether a connection to a peer is open, as far as this end knows.
 func (c *Client) Connected(address string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -116,15 +116,15 @@
 	}
 	l := c.links[address]
 	if l == nil {
-		// Used from now on: a link that Tidy took away before its first call
-		// would get a connection that nobody knows and nobody closes.
-		l = &Link{turn: make(chan struct{}, 1), used: time.Now()}
+		// Marked as used, so that Tidy doesn't remove the link before its first call, whose
+		// connection would then never be closed.
+		l = &Link{lock: make(chan struct{}, 1), lastUsed: time.Now()}
 		c.links[address] = l
 	}
 	return l
 }
 
-func (c *Client) drop(l *Link) {
+func (c *Client) closeConn(l *Link) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if l.conn != nil {
@@ -133,69 +133,69 @@
 	}
 }
 
-// Tidy closes connections that have been idle for long.
+// Tidy closes connections without a call for linkIdleTimeout.
 func (c *Client) Tidy(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for a, l := range c.links {
 		select {
-		case l.turn <- struct{}{}:
+		case l.lock <- struct{}{}:
 		default:
 			continue // in use
 		}
-		if now.Sub(l.used) >= idleTimeout {
+		if now.Sub(l.lastUsed) >= linkIdleTimeout {
 			if l.conn != nil {
 				_ = l.conn.Close()
 			}
 			delete(c.links, a)
 		}
-		<-l.turn
+		<-l.lock
 	}
 }
 
-// connect makes the connection if there is none, and authenticates both ends.
-func (c *Client) connect(ctx context.Context, l *Link, address string) error {
+// ensureConn dials and authenticates if there is no open connection.
+func (c *Client) ensureConn(ctx context.Context, l *Link, address string) error {
 	if l.conn != nil {
 		select {
 		case <-l.conn.Closed():
-			c.drop(l)
+			c.closeConn(l)
 		default:
 			return nil
 		}
 	}
-	conn, err := c.open(ctx, address, &l.bytes)
+	conn, err := c.dial(ctx, address, &l.bytes)
 	if err != nil {
 		return err
 	}
 	return c.attach(l, address, conn)
 }
 
-// Open makes a connection to a peer for the caller's own use, who closes it.
+// Open dials a connection to a peer that the caller owns and closes.
 func (c *Client) Open(ctx context.Context, address string) (drpc.Conn, error) {
-	return c.open(ctx, address, &atomic.Int64{})
+	return c.dial(ctx, address, &atomic.Int64{})
 }
 
-func (c *Client) open(ctx context.Context, address string, bytes *atomic.Int64) (*drpcconn.Conn, error) {
+func (c *Client) dial(ctx context.Context, address string, bytes *atomic.Int64) (*drpcconn.Conn, error) {
 	raw, err := c.Network.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	conn := drpcconn.NewWithOptions(counted{raw, bytes}, drpcconn.Options{Manager: managerOptions()})
-	if err := c.shake(ctx, wire.NewDRPCPeersClient(conn)); err != nil {
+	conn := drpcconn.NewWithOptions(countingConn{raw, bytes}, drpcconn.Options{Manager: managerOptions()})
+	if err := c.handshake(ctx, wire.NewDRPCPeersClient(conn)); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
 	return conn, nil
 }
 
-// Conn is the connection, to make a call on.
+// Conn returns the connection for making a call.
 func (l *Link) Conn() drpc.Conn { return l.conn }
 
-// Bytes is what the link has carried so far, both ways.
+// Bytes returns the traffic of the link so far, both directions.
 func (l *Link) Bytes() int64 { return l.bytes.Load() }
 
-// attach gives a link its connection. One that the client has forgotten
-// meanwhile, in Close or Tidy, gets none: nobody would close it.
+// attach sets a link's connection. A link that Close or Tidy has removed in the meantime gets
+// none, since nothing would close it.
 func (c *Client) attach(l *Link, address string, conn *drpcconn.Conn) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -207,33 +207,33 @@
 	return nil
 }
 
-func (c *Client) shake(ctx context.Context, p wire.DRPCPeersClient) error {
-	h := hello{client: c.Versions, clientNonce: nonce()}
-	ask := &wire.HelloRequest{Oldest: c.Versions.Oldest, Newest: c.Versions.Newest, Nonce: h.clientNonce}
+func (c *Client) handshake(ctx context.Context, p wire.DRPCPeersClient) error {
+	h := transcript{client: c.Versions, clientNonce: newNonce()}
+	request := &wire.HelloRequest{Oldest: c.Versions.Oldest, Newest: c.Versions.Newest, Nonce: h.clientNonce}
 	for _, s := range c.Secrets {
-		ask.Keys = append(ask.Keys, uint32(s.Number))
+		request.Keys = append(request.Keys, uint32(s.Number))
 	}
-	a, err := p.Hello(ctx, ask)
+	reply, err := p.Hello(ctx, request)
 	if err != nil {
-		return typed(err)
+		return decodeError(err)
 	}
-	h.server, h.serverNonce = Versions{Oldest: a.Oldest, Newest: a.Newest}, a.Nonce
-	if _, err := c.Versions.agree(h.server); err != nil {
+	h.server, h.serverNonce = Versions{Oldest: reply.Oldest, Newest: reply.Newest}, reply.Nonce
+	if _, err := c.Versions.negotiate(h.server); err != nil {
 		return err
 	}
-	s, err := find(c.Secrets, a.Key)
+	s, err := findSecret(c.Secrets, reply.Key)
 	if err != nil {
 		return err
 	}
-	if err := s.check(serverSide, h, a.Proof); err != nil {
+	if err := s.verify(roleServer, h, reply.Proof); err != nil {
 		return err
 	}
-	_, err = p.Prove(ctx, &wire.ProveRequest{Proof: s.prove(clientSide, h)})
-	return typed(err)
+	_, err = p.Prove(ctx, &wire.ProveRequest{Proof: s.prove(roleClient, h)})
+	return decodeError(err)
 }
 
-// typed gives an error of the wire its type back.
-func typed(err error) error {
+// decodeError restores the type of an error received from a peer.
+func decodeError(err error) error {
 	switch drpcerr.Code(err) {
 	case codeForeign:
 		return errors.Wrap(ErrForeign, err.Error())
@@ -244,14 +244,14 @@
 }
 
 // Read implements net.Conn.
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
--- a/internal/linker/client_test.go
+++ b/internal/linker/client_test.go
@@ -14,20 +14,19 @@
 	"storj.io/drpc/drpcmux"
 )
 
-// closing is a network on which the client is closed while it dials.
-type closing struct {
+// closingNetwork closes the client while it dials.
+type closingNetwork struct {
 	*wirer.Host
 	client *Client
 }
 
-func (n *closing) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (n *closingNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	n.client.Close()
 	return n.Host.Dial(ctx, address)
 }
 
-// An instance stops while it connects to a peer. Nobody asks the client again, so
-// the connection that comes up late must be closed by who made it: otherwise its
-// goroutines and its place at the peer outlive the instance.
+// A connection that is established after Close must be closed, or it leaks its goroutines and
+// the peer's slot.
 func TestConnectionMadeWhileClosing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, keys := wirer.New(1), []Secret{{Number: 1, Value: []byte("one secret")}}
@@ -40,7 +39,7 @@
 		ended := make(chan error, 1)
 		go func() { ended <- s.Run(ctx) }()
 		synctest.Wait()
-		h := &closing{Host: n.Host("10.0.0.2", "a")}
+		h := &closingNetwork{Host: n.Host("10.0.0.2", "a")}
 		h.client = &Client{Network: h, Secrets: keys, Versions: CurrentVersions}
 		err := h.client.Call(ctx, time.Second, s.Address, func(context.Context, *Link) error { return nil })
 		must.ErrorIs(t, err, ErrClosed)
@@ -49,10 +48,9 @@
 	})
 }
 
-// A caller has looked its link up and not yet taken its turn when old links are
-// tidied away. The link was never used, which must not look like idle for long:
-// a connection made on it would be known to nobody, and never closed.
-func TestNewLinkIsNotTidiedAway(t *testing.T) {
+// Tidy must not remove a link between its creation and its first call, since its connection
+// would leak.
+func TestNewLinkIsNotClosedAsIdle(t *testing.T) {
 	c := &Client{}
 	l := c.link("peer")
 	c.Tidy(time.Now())
--- a/internal/linker/handshake.go
+++ b/internal/linker/handshake.go
@@ -6,8 +6,7 @@
 	"github.com/oriolegw/oriolegw/internal/linker/wire"
 )
 
-// Handshake serves the handshake alone, where a connection carries other services than
-// those of Peers.
+// Handshake serves only the handshake calls, for connections with services other than Peers.
 type Handshake struct {
 	wire.DRPCPeersUnimplementedServer
 	Session *Session
--- a/internal/linker/server.go
+++ b/internal/linker/server.go
@@ -1,6 +1,6 @@
-// Package linker connects instances with each other: authenticated connections over
-// drpc, one a pair, that a bad message ends alone. What is said on them is other
-// packages' business.
+// Package linker provides authenticated connections between instances over DRPC. A malformed
+// message closes only its own connection. The services on the connections are registered by
+// other packages.
 package linker
 
 import (
@@ -20,51 +20,51 @@
 )
 
 const (
-	// maxMessageBytes bounds a message between instances. The largest is a
-	// document, which the store bounds to a megabyte.
+	// maxMessageBytes bounds a message: twice the size of the largest document that the store
+	// accepts.
 	maxMessageBytes = 2 << 20
-	// maxConnections bounds how many connections of peers are served at once.
+	// maxConnections bounds the connections from peers served concurrently.
 	maxConnections = 2048
-	// handshakeTimeout ends a connection that has not proved itself, so that
-	// strangers can't use up maxConnections.
+	// handshakeTimeout closes connections that do not authenticate, so that they can't exhaust
+	// maxConnections.
 	handshakeTimeout = 5 * time.Second
 )
 
-// The codes of errors on the wire; they are never reused.
+// Error codes on the wire; never reuse one.
 const (
 	codeForeign uint64 = 1 + iota
 	codeWireVersion
-	codeUnproved
+	codeUnauthenticated
 )
 
 type (
-	// Server answers other instances. Set the exported fields, then call Run.
+	// Server accepts connections from other instances. Set the exported fields, then call Run.
 	Server struct {
 		Address  string
 		Network  networker.Network
 		Secrets  []Secret
 		Versions Versions
 		Log      log.Logger
-		// Count counts a refusal or failure by its name.
+		// Count increments the named metric.
 		Count func(name string)
 
-		// Register gives the mux of a new connection the services; each call of theirs
-		// but the handshake's asks the session whether the peer is Ready.
+		// Register registers the services for a new connection; every call except the
+		// handshake's must check Session.Ready.
 		Register func(m *drpcmux.Mux, s *Session) error
 	}
 
-	// Session is one connection of a peer.
+	// Session is a connection from a peer.
 	Session struct {
-		server *Server
-		hello  hello
-		secret Secret
-		proved chan struct{}
+		server        *Server
+		transcript    transcript
+		secret        Secret
+		authenticated chan struct{}
 	}
 )
 
-var errUnproved = errors.New("peer has not proved itself")
+var errUnauthenticated = errors.New("peer is not authenticated")
 
-// Run serves peers until the context ends, and waits for their connections.
+// Run serves peers until the context ends and waits for their connections to close.
 func (s *Server) Run(ctx context.Context) error {
 	l, err := s.Network.Listen(s.Address)
 	if err != nil {
@@ -113,21 +113,20 @@
 	}
 }
 
-// serve answers one peer. Whatever is malformed or too large ends this
-// connection and no other: nothing is shared between connections but the
-// functions of Server.
+// serve serves one connection. Connections share only the functions of Server, so a malformed
+// message affects no other one.
 func (s *Server) serve(ctx context.Context, c net.Conn) error {
 	defer c.Close()
-	p := &Session{server: s, proved: make(chan struct{})}
-	late := time.AfterFunc(handshakeTimeout, func() {
+	p := &Session{server: s, authenticated: make(chan struct{})}
+	deadline := time.AfterFunc(handshakeTimeout, func() {
 		select {
-		case <-p.proved:
+		case <-p.authenticated:
 		default:
 			s.Count("peer-refused.handshake-timeout")
 			_ = c.Close()
 		}
 	})
-	defer late.Stop()
+	defer deadline.Stop()
 	mux := drpcmux.New()
 	if err := s.Register(mux, p); err != nil {
 		panic(err) // generated descriptions always register
@@ -143,55 +142,56 @@
 // Hello implements wire.DRPCPeersServer.
 func (p *Session) Hello(_ context.Context, r *wire.HelloRequest) (*wire.HelloReply, error) {
 	s := p.server
-	if p.hello.clientNonce != nil {
-		return nil, drpcerr.WithCode(errUnproved, codeUnproved) // one handshake a connection
+	if p.transcript.clientNonce != nil {
+		return nil, drpcerr.WithCode(errUnauthenticated, codeUnauthenticated) // one handshake per connection
 	}
-	p.hello = hello{
+	p.transcript = transcript{
 		client: Versions{Oldest: r.Oldest, Newest: r.Newest}, server: s.Versions,
-		clientNonce: append(make([]byte, 0, nonceBytes), r.Nonce...), serverNonce: nonce(),
+		clientNonce: append(make([]byte, 0, nonceBytes), r.Nonce...), serverNonce: newNonce(),
 	}
-	if _, err := s.Versions.agree(p.hello.client); err != nil {
+	if _, err := s.Versions.negotiate(p.transcript.client); err != nil {
 		s.Count("peer-refused.wire-version")
 		return nil, drpcerr.WithCode(err, codeWireVersion)
 	}
 	var err error
-	if p.secret, err = choose(s.Secrets, r.Keys); err != nil {
+	if p.secret, err = chooseSecret(s.Secrets, r.Keys); err != nil {
 		s.Count("peer-refused.foreign-fleet")
 		return nil, drpcerr.WithCode(err, codeForeign)
 	}
 	return &wire.HelloReply{
 		Oldest: s.Versions.Oldest, Newest: s.Versions.Newest, Key: uint32(p.secret.Number),
-		Nonce: p.hello.serverNonce, Proof: p.secret.prove(serverSide, p.hello),
+		Nonce: p.transcript.serverNonce, Proof: p.secret.prove(roleServer, p.transcript),
 	}, nil
 }
 
 // Prove implements wire.DRPCPeersServer.
 func (p *Session) Prove(_ context.Context, r *wire.ProveRequest) (*wire.ProveReply, error) {
-	if p.hello.clientNonce == nil || p.isProved() {
-		return nil, drpcerr.WithCode(errUnproved, codeUnproved)
+	if p.transcript.clientNonce == nil || p.isAuthenticated() {
+		return nil, drpcerr.WithCode(errUnauthenticated, codeUnauthenticated)
 	}
-	if err := p.secret.check(clientSide, p.hello, r.Proof); err != nil {
+	if err := p.secret.verify(roleClient, p.transcript, r.Proof); err != nil {
 		p.server.Count("peer-refused.foreign-fleet")
 		return nil, drpcerr.WithCode(err, codeForeign)
 	}
-	close(p.proved)
+	close(p.authenticated)
 	return &wire.ProveReply{}, nil
 }
 
-func (p *Session) isProved() bool {
+func (p *Session) isAuthenticated() bool {
 	select {
-	case <-p.proved:
+	case <-p.authenticated:
 		return true
 	default:
 		return false
 	}
 }
 
-// Ready is checked by every call but the handshake's.
+// Ready returns an error unless the peer is authenticated. Every call except the handshake's
+// checks it first.
 func (p *Session) Ready() error {
-	if p.isProved() {
+	if p.isAuthenticated() {
 		return nil
 	}
 	p.server.Count("peer-refused.unproved")
-	return drpcerr.WithCode(errUnproved, codeUnproved)
+	return drpcerr.WithCode(errUnauthenticated, codeUnauthenticated)
 }
