--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -195,9 +195,9 @@
 		l.close()
 	}
 	c.mutex.Unlock()
-	open, cancel := context.WithTimeout(ctx, dialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	return openPeerStream(open, c.Links, address)
+	return openPeerStream(dialCtx, c.Links, address)
 }
 
 // putStream keeps a stream for the next loan.
--- a/internal/carrier/placement.go
+++ b/internal/carrier/placement.go
@@ -23,15 +23,15 @@
 			continue
 		}
 		for _, m := range members {
-			near := zones[c.memberZone(group, m)]
-			if len(near) == 0 {
-				near = zones[c.Introducer.Self.Zone]
+			inZone := zones[c.memberZone(group, m)]
+			if len(inZone) == 0 {
+				inZone = zones[c.Introducer.Self.Zone]
 			}
-			at := c.rank(m, near)
-			if len(at) == 0 {
+			ranked := c.rank(m, inZone)
+			if len(ranked) == 0 {
 				continue
 			}
-			address := cmp.Or(at[0], c.Introducer.Self.Address)
+			address := cmp.Or(ranked[0], c.Introducer.Self.Address)
 			if !slices.Contains(list, address) {
 				list = append(list, address)
 			}
@@ -54,17 +54,17 @@
 // instance's zone if that zone has none. The mutex is held.
 func (c *Carrier) rankInZone(member, zone string) holders {
 	now := c.Clock()
-	near := c.Introducer.In(now, zone)
-	if len(near) == 0 {
-		near = c.Introducer.Zone(now)
+	inZone := c.Introducer.In(now, zone)
+	if len(inZone) == 0 {
+		inZone = c.Introducer.Zone(now)
 	}
-	return c.rank(member, near)
+	return c.rank(member, inZone)
 }
 
 // rank orders instances as holders for a key, without this one while it is draining.
 func (c *Carrier) rank(key string, list []introducer.Peer) holders {
 	var candidates []concentrator.Candidate
-	at := map[string]string{}
+	addresses := map[string]string{}
 	for _, p := range list {
 		if p.Name == c.Introducer.Self.Name {
 			if c.Leaving != nil && c.Leaving() {
@@ -73,11 +73,11 @@
 			p.Address = ""
 		}
 		candidates = append(candidates, concentrator.Candidate{Name: p.Name, Millicores: p.Millicores})
-		at[p.Name] = p.Address
+		addresses[p.Name] = p.Address
 	}
 	var ranked holders
 	for _, name := range concentrator.Holders(key, candidates)[:min(maxHoldersTried, len(candidates))] {
-		ranked = append(ranked, at[name])
+		ranked = append(ranked, addresses[name])
 	}
 	return ranked
 }
--- a/internal/configurer/safety.go
+++ b/internal/configurer/safety.go
@@ -16,14 +16,14 @@
 // acknowledged by the old majority. All violations are returned in one error.
 func CheckChange(old, next *Document) error {
 	var violations []string
-	for _, n := range next.Services {
-		o := old.Service(n.Name)
-		if o == nil {
+	for _, service := range next.Services {
+		previous := old.Service(service.Name)
+		if previous == nil {
 			continue
 		}
-		added, removed := membersMissingIn(n.Members, o.Members), membersMissingIn(o.Members, n.Members)
+		added, removed := membersMissingIn(service.Members, previous.Members), membersMissingIn(previous.Members, service.Members)
 		if len(added)+len(removed) > 1 {
-			violations = append(violations, "service "+n.Name+" adds ["+strings.Join(added, " ")+"] and removes ["+strings.Join(removed, " ")+"]")
+			violations = append(violations, "service "+service.Name+" adds ["+strings.Join(added, " ")+"] and removes ["+strings.Join(removed, " ")+"]")
 		}
 	}
 	if len(violations) > 0 {
--- a/internal/configurer/slice.go
+++ b/internal/configurer/slice.go
@@ -189,9 +189,9 @@
 	out := s.apply(e)
 	if e.Source == SourcePeer {
 		s.fetching = false
-		hint := s.pending
+		next := s.pending
 		s.pending = HeardOf{}
-		return append(out, s.fetchNewer(hint)...)
+		return append(out, s.fetchNewer(next)...)
 	}
 	s.storeCallInFlight = false
 	if e.Err != nil && e.Version == 0 {
@@ -225,8 +225,8 @@
 func (s *Slice) keepText(version int64, text []byte) {
 	if s.Held != nil {
 		next := &Held{Version: version, Text: text}
-		if old := s.Held.Load(); old != nil {
-			next.Previous = append([]Held{{Version: old.Version, Text: old.Text}}, old.Previous...)
+		if current := s.Held.Load(); current != nil {
+			next.Previous = append([]Held{{Version: current.Version, Text: current.Text}}, current.Previous...)
 			next.Previous = next.Previous[:min(maxPrevious, len(next.Previous))]
 		}
 		s.Held.Store(next)
--- a/internal/gossiper/exchange.go
+++ b/internal/gossiper/exchange.go
@@ -139,8 +139,8 @@
 		leaving.State = lister.StateLeaving
 		out = append(out, controller.Emit{Event: lister.Met{Instance: leaving}})
 	}
-	for _, w := range e.Report.Signs {
-		out = append(out, s.handleNotice(now, noticeFromWire(w))...)
+	for _, notice := range e.Report.Signs {
+		out = append(out, s.handleNotice(now, noticeFromWire(notice))...)
 	}
 	if p == nil {
 		return out
@@ -197,9 +197,9 @@
 
 // observesDirectly reports whether this instance currently queries the member itself.
 func (s *Slice) observesDirectly(now time.Time, at [2]string) bool {
-	p, ok := s.positions[at]
-	if !ok || s.observedGroups[p[0]] == nil {
+	position, ok := s.positions[at]
+	if !ok || s.observedGroups[position[0]] == nil {
 		return false
 	}
-	return s.observedGroups[p[0]].members[p[1]].isCurrent(now)
+	return s.observedGroups[position[0]].members[position[1]].isCurrent(now)
 }
--- a/internal/gossiper/slice.go
+++ b/internal/gossiper/slice.go
@@ -60,22 +60,27 @@
 		// Seeds are the addresses to ask while no other instance is known.
 		Seeds []string
 
-		version        int64
-		document       *configurer.Document
-		documents      map[int64]*configurer.Document
+		version   int64
+		document  *configurer.Document
+		documents map[int64]*configurer.Document
+		// positions are the service and member indexes in the document, by service and member
+		// name.
 		positions      map[[2]string][2]int
 		members        []lister.Instance
 		seedPeers      []lister.Instance
 		usedShards     [observer.Shards]bool
 		observedGroups []*observedGroup
+		// shardZones are the zones with members of the shard's groups.
 		shardZones     [observer.Shards][]string
 		sequence       uint64
 		dirty          bool
 		leaving        bool
 		leavingNotices map[[2]string]storedNotice
-		suspected      map[[2]string]bool
+		// suspected are the members that this instance suspects, by service and member name.
+		suspected map[[2]string]bool
 
-		peers             map[string]*peer
+		peers map[string]*peer
+		// targets are the peers to exchange with periodically.
 		targets           []*peer
 		newestObservation map[[2]string]time.Time
 		byteBudget        float64
@@ -191,7 +196,7 @@
 // applyDocument replaces the document, keeps the observations of remaining members and
 // announces the version.
 func (s *Slice) applyDocument(e configurer.InForce) []controller.Action {
-	oldPlaces, oldOwn := s.positions, s.observedGroups
+	oldPositions, oldGroups := s.positions, s.observedGroups
 	s.version, s.document = e.Version, e.Document
 	s.documents[e.Version] = e.Document
 	s.dropOldDocuments()
@@ -205,8 +210,8 @@
 			if !slices.Contains(s.shardZones[shard], m.Zone) {
 				s.shardZones[shard] = append(s.shardZones[shard], m.Zone)
 			}
-			if o, ok := oldPlaces[at]; ok && oldOwn[o[0]] != nil {
-				*s.editMember(at) = oldOwn[o[0]].members[o[1]]
+			if o, ok := oldPositions[at]; ok && oldGroups[o[0]] != nil {
+				*s.editMember(at) = oldGroups[o[0]].members[o[1]]
 			}
 		}
 	}
--- a/internal/linker/server.go
+++ b/internal/linker/server.go
@@ -70,8 +70,8 @@
 	if err != nil {
 		return errors.Wrap(err, "listen for peers")
 	}
-	accepted, failed, ended := make(chan net.Conn), make(chan error, 1), make(chan error)
-	go func() { failed <- accept(ctx, l, accepted) }()
+	accepted, acceptErr, ended := make(chan net.Conn), make(chan error, 1), make(chan error)
+	go func() { acceptErr <- accept(ctx, l, accepted) }()
 	running := 0
 	for {
 		select {
@@ -90,7 +90,7 @@
 			}
 		case <-ctx.Done():
 			_ = l.Close()
-			<-failed
+			<-acceptErr
 			for ; running > 0; running-- {
 				<-ended
 			}
--- a/internal/pooler/control.go
+++ b/internal/pooler/control.go
@@ -17,12 +17,10 @@
 // when no connection was free.
 const probeReserve = 200 * time.Millisecond
 
-// Ask runs a control statement at an address and returns its rows. Depending on the urgency, it
-// uses an idle connection, one that is being returned, a free slot, or the slot of an idle
-// connection.
-//
-// ErrBusy means that no connection was free in time although the target responds to a probe;
-// without the probe, a dead target whose connections all hang would be reported as busy.
+// Ask runs a control statement at an address and returns its rows. The urgency decides whether
+// it may open a connection or evict an idle one. ErrBusy means that no connection was free in
+// time although the target responds to a probe; without the probe, a dead target whose
+// connections all hang would be reported as busy.
 func (p *Pool) Ask(ctx context.Context, address, sql string, u commander.Urgency) ([][][]byte, error) {
 	rows, err := p.queryWithReserve(ctx, address, sql, u)
 	if errors.Is(err, ErrBusy) {
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -20,7 +20,7 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// minIdleBeforeEviction exceeds the time that opening a connection takes.
+	// minIdleBeforeEviction is a few times the duration of a dial, so that evicting pays off.
 	minIdleBeforeEviction = 100 * time.Millisecond
 )
 
--- a/internal/pooler/pooler_test.go
+++ b/internal/pooler/pooler_test.go
@@ -27,11 +27,11 @@
 
 // fixture is a pool with a primary and a replica that take 10 ms to open a connection.
 type fixture struct {
-	ctx   context.Context
-	net   *wirer.Net
-	pool  *pooler.Pool
-	first *replicator.Member
-	other *replicator.Member
+	ctx     context.Context
+	net     *wirer.Net
+	pool    *pooler.Pool
+	primary *replicator.Member
+	replica *replicator.Member
 }
 
 // withFixture runs a test on virtual time.
@@ -51,7 +51,7 @@
 			go func() { done <- m.Run(ctx) }()
 			return m
 		}
-		b.first, b.other = member("first", primaryIP), member("other", replicaIP)
+		b.primary, b.replica = member("first", primaryIP), member("other", replicaIP)
 		b.pool = &pooler.Pool{Network: n.Host(instanceIP, "entry")}
 		b.pool.SetShare(pooler.Share{Connections: limit, Application: "entry/1"})
 		go func() { done <- b.pool.Run(ctx) }()
@@ -94,10 +94,10 @@
 		time.Sleep(10 * time.Second)
 		must.Eq(t, 1, b.pool.Use().Held)
 		must.Eq(t, 1, b.pool.Lendable())
-		must.Eq(t, 1, b.other.Status().Sessions)
+		must.Eq(t, 1, b.replica.Status().Sessions)
 		b.net.HealAll()
 		time.Sleep(time.Second)
-		must.Eq(t, 0, b.other.Status().Sessions)
+		must.Eq(t, 0, b.replica.Status().Sessions)
 		must.Eq(t, 0, b.pool.Use().Held)
 		must.Eq(t, 2, b.pool.Lendable())
 	})
@@ -108,7 +108,7 @@
 func TestFrozenTargetDoesNotExhaustShare(t *testing.T) {
 	withFixture(t, 3, func(t *testing.T, b *fixture) {
 		c := b.borrow(t, primary)
-		b.first.Faults.Freeze()
+		b.primary.Faults.Freeze()
 		c.Broken = true
 		b.pool.Return(c)
 		for range 5 {
@@ -116,9 +116,9 @@
 		}
 		b.pool.Return(b.borrow(t, replica))
 		must.LessEq(t, 3, b.pool.Use().Held)
-		b.first.Faults.Thaw()
+		b.primary.Faults.Thaw()
 		time.Sleep(2 * time.Second)
-		must.Eq(t, 0, b.first.Status().Sessions)
+		must.Eq(t, 0, b.primary.Status().Sessions)
 		must.Eq(t, 3, b.pool.Lendable())
 	})
 }
@@ -128,12 +128,12 @@
 func TestNewPrimaryIsReachableWhileOldOneIsFrozen(t *testing.T) {
 	withFixture(t, 2, func(t *testing.T, b *fixture) {
 		c := b.borrow(t, replica)
-		b.other.Faults.Freeze()
+		b.replica.Faults.Freeze()
 		c.Broken = true
 		b.pool.Return(c)
 		b.pool.Return(b.borrow(t, pooler.Place{Address: primary.Address}))
 		b.pool.Return(b.borrow(t, primary))
-		b.other.Faults.Thaw()
+		b.replica.Faults.Thaw()
 	})
 }
 
@@ -142,7 +142,7 @@
 	withFixture(t, 3, func(t *testing.T, b *fixture) {
 		lent := []*pooler.Conn{b.borrow(t, primary), b.borrow(t, primary)}
 		b.mustNotBorrow(t, primary)
-		b.first.Faults.Freeze()
+		b.primary.Faults.Freeze()
 		b.pool.Return(b.borrow(t, replica))
 		for _, c := range lent {
 			b.pool.Return(c)
@@ -167,13 +167,13 @@
 func TestSilentConnectionIsTerminatedByPID(t *testing.T) {
 	withFixture(t, 2, func(t *testing.T, b *fixture) {
 		c := b.borrow(t, primary)
-		b.first.SilenceOpen()
+		b.primary.SilenceOpen()
 		c.Broken = true
 		b.pool.Return(c)
 		time.Sleep(5 * time.Second)
 		must.Eq(t, 2, b.pool.Lendable())
-		must.LessEq(t, 1, b.first.Status().Sessions, must.Sprint("the connection that terminated it may be idle"))
-		must.Eq(t, b.first.Status().Sessions, b.pool.Use().Held)
+		must.LessEq(t, 1, b.primary.Status().Sessions, must.Sprint("the connection that terminated it may be idle"))
+		must.Eq(t, b.primary.Status().Sessions, b.pool.Use().Held)
 	})
 }
 
@@ -198,12 +198,12 @@
 		remain, err := commander.Evict(b.ctx, b.net.Host(instanceIP, "entry"), primary.Address, "entry/1", 0)
 		must.NoError(t, err)
 		must.Eq(t, 0, remain)
-		must.Eq(t, 0, b.first.Status().Sessions)
+		must.Eq(t, 0, b.primary.Status().Sessions)
 		c.Broken = true
 		b.pool.Return(c)
 		b.mustNotBorrow(t, primary)
 		must.True(t, b.pool.Use().Revoked)
-		must.Eq(t, 0, b.first.Status().Sessions)
+		must.Eq(t, 0, b.primary.Status().Sessions)
 		b.pool.SetShare(pooler.Share{Connections: 2, Application: "entry/2", Number: 1})
 		b.pool.Return(b.borrow(t, primary))
 		must.False(t, b.pool.Use().Revoked)
@@ -224,8 +224,8 @@
 	withFixture(t, 1, func(t *testing.T, b *fixture) {
 		b.pool.Return(b.borrow(t, replica))
 		c := b.borrow(t, primary)
-		must.Eq(t, 0, b.other.Status().Sessions)
-		must.Eq(t, 1, b.first.Status().Sessions)
+		must.Eq(t, 0, b.replica.Status().Sessions)
+		must.Eq(t, 1, b.primary.Status().Sessions)
 		b.pool.Return(c)
 	})
 }
@@ -253,7 +253,7 @@
 		time.Sleep(5 * time.Millisecond)
 		b.pool.Return(c)
 		b.pool.Return(<-next)
-		must.Eq(t, 2, b.other.Status().Sessions)
+		must.Eq(t, 2, b.replica.Status().Sessions)
 	})
 }
 
@@ -286,7 +286,7 @@
 		c = b.borrow(t, primary)
 		must.NoError(t, <-queried)
 		b.pool.Return(c)
-		must.Eq(t, 1, b.first.Status().Peak)
+		must.Eq(t, 1, b.primary.Status().Peak)
 	})
 }
 
