--- a/cmd/oriolegw-console/main.go
+++ b/cmd/oriolegw-console/main.go
@@ -50,7 +50,7 @@
 
 func run(ctx context.Context, address, platform string) error {
 	logger := log.With(log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)), "ts", log.DefaultTimestampUTC)
-	store := (&storer.Gateway{Address: platform, Network: networker.TCP{}}).Open()
+	store := (&storer.Client{Address: platform, Network: networker.TCP{}}).Open()
 	defer store.Close()
 	l, err := networker.TCP{}.Listen(address)
 	if err != nil {
--- a/cmd/oriolegw/main.go
+++ b/cmd/oriolegw/main.go
@@ -62,8 +62,8 @@
 		Events:   events,
 		Settings: s, Network: n, Metrics: metrics, Register: register,
 		Log:   log.With(log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)), "ts", log.DefaultTimestampUTC),
-		Store: (&storer.Gateway{Address: s.Platform, Network: n}).Open(),
-		List:  (&lister.Page{Address: s.Platform, Network: n}).Open(),
+		Store: (&storer.Client{Address: s.Platform, Network: n}).Open(),
+		List:  (&lister.Client{Address: s.Platform, Network: n}).Open(),
 	}
 	if err := i.Run(ctx); err != nil && ctx.Err() == nil {
 		fmt.Fprintln(os.Stderr, "oriolegw:", err)
--- a/cmd/oriolegwctl/customers.go
+++ b/cmd/oriolegwctl/customers.go
@@ -19,7 +19,7 @@
 		if err := errors.Join(need("instances", *instances), only(arguments, 0, "none")); err != nil {
 			return usageError{err.Error()}
 		}
-		var lists [][]accountant.State
+		var lists [][]accountant.CustomerState
 		failed := 0
 		for _, a := range strings.Split(*instances, ",") {
 			list, err := t.customers(ctx, a)
@@ -38,7 +38,7 @@
 	}
 }
 
-func (t *terminal) customers(ctx context.Context, address string) ([]accountant.State, error) {
+func (t *terminal) customers(ctx context.Context, address string) ([]accountant.CustomerState, error) {
 	body, err := t.call(ctx, http.MethodGet, address, accountant.PathCustomers)
 	if err != nil {
 		return nil, err
@@ -48,7 +48,7 @@
 
 // printCustomers prints a line for each customer. An account that none of the instances
 // keeps is shown as unknown.
-func (t *terminal) printCustomers(list []accountant.State, name string) {
+func (t *terminal) printCustomers(list []accountant.CustomerState, name string) {
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "customer\tkeys\tper-second\tburst\tused-6s\tavailable\tasked-per-second\tconnections\trefused")
 	for _, s := range list {
@@ -56,7 +56,7 @@
 			continue
 		}
 		used, available, demand := "unknown", "unknown", "unknown"
-		if s.Kept {
+		if s.IsAccountant {
 			used, available, demand = fmt.Sprintf("%.0f", s.Used), fmt.Sprintf("%.0f", s.Available), fmt.Sprintf("%.1f", s.Demand)
 		}
 		fmt.Fprintf(w, "%s\t%d\t%g\t%g\t%s\t%s\t%s\t%d\t%d\n", s.Customer, s.Keys, s.PerSecond, s.Burst, used, available, demand, s.Connections, s.Refused)
--- a/cmd/oriolegwctl/main.go
+++ b/cmd/oriolegwctl/main.go
@@ -78,7 +78,7 @@
 }
 
 func openStore(address string) (storer.Store, func()) {
-	g := (&storer.Gateway{Address: address, Network: networker.TCP{}}).Open()
+	g := (&storer.Client{Address: address, Network: networker.TCP{}}).Open()
 	return g, g.Close
 }
 
--- a/cmd/oriolegwctl/report.go
+++ b/cmd/oriolegwctl/report.go
@@ -7,8 +7,8 @@
 	"os"
 
 	"github.com/go-faster/errors"
-	"github.com/oriolegw/oriolegw/internal/charter"
 	"github.com/oriolegw/oriolegw/internal/explainer"
+	"github.com/oriolegw/oriolegw/internal/summarizer"
 )
 
 func prepareReport(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
@@ -37,7 +37,7 @@
 		if err != nil {
 			return errors.Wrap(err, "write report")
 		}
-		if err := charter.Summarize(lines).Write(out); err != nil {
+		if err := summarizer.Summarize(lines).Write(out); err != nil {
 			_ = out.Close()
 			return errors.Wrap(err, "write report")
 		}
--- a/internal/accountant/accountant.go
+++ b/internal/accountant/accountant.go
@@ -13,7 +13,7 @@
 	"github.com/oriolegw/oriolegw/internal/limiter"
 	"github.com/oriolegw/oriolegw/internal/linker"
 	"github.com/oriolegw/oriolegw/internal/linker/wire"
-	"github.com/oriolegw/oriolegw/internal/pauser"
+	"github.com/oriolegw/oriolegw/internal/sleeper"
 	"github.com/oriolegw/oriolegw/internal/tracker"
 )
 
@@ -37,17 +37,17 @@
 	Meter  *limiter.Meter
 	Ledger *limiter.Ledger
 	Links  *linker.Client
-	Clock  func() tracker.Stamp
+	Clock  func() tracker.Timestamp
 	// Limit returns a customer's current limit.
 	Limit func(customer string) identifier.Limit
 	// Active reports whether customers are configured, Limits returns the limits of all customers.
 	Active func() bool
 	Limits func() map[string]identifier.Limit
-	// Keeper returns the accountant's address, "" if unknown; self is set if this instance is the
+	// CurrentAccountant returns the accountant's address, "" if unknown; self is set if this instance is the
 	// accountant.
-	Keeper func() (address string, self bool)
-	// Failed is called with the address of an instance that did not reply.
-	Failed func(address string)
+	CurrentAccountant func() (address string, self bool)
+	// NoteFailed is called with the address of an instance that did not reply.
+	NoteFailed func(address string)
 	// Log is called with the fields of a log line.
 	Log func(fields ...any)
 
@@ -61,8 +61,8 @@
 	isAccountant      bool
 }
 
-// Open initializes the accountant.
-func (a *Accountant) Open() *Accountant {
+// Init initializes the accountant.
+func (a *Accountant) Init() *Accountant {
 	a.replied, a.wake = make(chan struct{}), make(chan struct{}, 1)
 	return a
 }
@@ -98,7 +98,7 @@
 		if !due || !soon && time.Since(last) < limiter.ReportInterval {
 			continue
 		}
-		if err := pauser.Pause(ctx, minReportPause-time.Since(last)); err != nil {
+		if err := sleeper.Sleep(ctx, minReportPause-time.Since(last)); err != nil {
 			return err
 		}
 		last = time.Now()
@@ -108,14 +108,14 @@
 
 // updateAccountant reacts to a change of the accountant.
 func (a *Accountant) updateAccountant(ctx context.Context) {
-	address, self := a.Keeper()
+	address, self := a.CurrentAccountant()
 	if self != a.isAccountant {
 		a.isAccountant = self
-		a.Ledger.Begin(a.Clock(), a.Limits())
+		a.Ledger.Open(a.Clock(), a.Limits())
 		a.Log("event", "accounts-kept", "here", self)
 	}
 	if address != a.accountantAddress {
-		a.sendFinalReport(ctx, a.Meter.Restart(a.Clock()))
+		a.sendFinalReport(ctx, a.Meter.SwitchAccountant(a.Clock()))
 		a.accountantAddress = address
 		a.Log("event", "accountant", "address", address)
 	}
@@ -135,12 +135,12 @@
 // report sends one report and processes the reply.
 func (a *Accountant) report(ctx context.Context) {
 	sent := a.Clock()
-	r := a.Meter.Report(sent)
+	r := a.Meter.NextReport(sent)
 	x, ok := a.send(ctx, r)
 	if !ok {
 		return
 	}
-	a.Meter.Answer(sent, x)
+	a.Meter.HandleReply(sent, x)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	close(a.replied)
@@ -148,12 +148,12 @@
 }
 
 // send sends a report to the accountant, which may be this instance, and returns the reply.
-func (a *Accountant) send(ctx context.Context, r limiter.Report) (limiter.Answer, bool) {
+func (a *Accountant) send(ctx context.Context, r limiter.Report) (limiter.Reply, bool) {
 	switch {
 	case a.isAccountant:
-		return a.Ledger.Take(a.Clock(), r, a.Limit), true
+		return a.Ledger.HandleReport(a.Clock(), r, a.Limit), true
 	case a.accountantAddress == "":
-		return limiter.Answer{}, false
+		return limiter.Reply{}, false
 	}
 	var reply *wire.AccountReply
 	err := a.Links.Call(ctx, callTimeout, a.accountantAddress, func(ctx context.Context, l *linker.Link) (err error) {
@@ -163,35 +163,35 @@
 	if err != nil {
 		if ctx.Err() == nil {
 			a.Log("event", "accountant-unanswered", "address", a.accountantAddress, "cause", err)
-			a.Failed(a.accountantAddress)
+			a.NoteFailed(a.accountantAddress)
 		}
-		return limiter.Answer{}, false
+		return limiter.Reply{}, false
 	}
 	return fromReply(reply), true
 }
 
-// Answer answers another instance's report, whether or not this instance considers itself the
+// HandleReport answers another instance's report, whether or not this instance considers itself the
 // accountant: accountants that don't agree share the limits.
-func (a *Accountant) Answer(r *wire.AccountRequest) *wire.AccountReply {
-	return toReply(a.Ledger.Take(a.Clock(), fromReport(r), a.Limit))
+func (a *Accountant) HandleReport(r *wire.AccountRequest) *wire.AccountReply {
+	return toReply(a.Ledger.HandleReport(a.Clock(), fromReport(r), a.Limit))
 }
 
 // Admit decides whether an operation of a customer may run; otherwise the error is a
 // lender.LimitError. It implements lender.Pool's Admit.
 func (a *Accountant) Admit(ctx context.Context, customer string) error {
 	limit := a.Limit(customer)
-	deadline := time.Now().Add(limiter.AskTime)
-	for turn := limiter.First; ; turn = limiter.Waiting {
+	deadline := time.Now().Add(limiter.LeaseWaitTimeout)
+	for attempt := limiter.FirstAttempt; ; attempt = limiter.AfterReply {
 		if !time.Now().Before(deadline) {
-			turn = limiter.Last
+			attempt = limiter.LastAttempt
 		}
 		next := a.nextReply()
-		v, retryAfter := a.Meter.Decide(a.Clock(), customer, limit, turn)
+		v, retryAfter := a.Meter.Decide(a.Clock(), customer, limit, attempt)
 		switch v {
 		case limiter.Admit:
 			return nil
 		case limiter.Refuse:
-			return &lender.LimitError{Customer: customer, Again: retryAfter}
+			return &lender.LimitError{Customer: customer, RetryAfter: retryAfter}
 		}
 		if err := a.awaitReply(ctx, customer, next, deadline); err != nil {
 			return err
@@ -208,8 +208,8 @@
 
 // awaitReply waits for the accountant's next reply.
 func (a *Accountant) awaitReply(ctx context.Context, customer string, replied <-chan struct{}, deadline time.Time) error {
-	a.Meter.Wait(a.Clock(), customer, 1)
-	defer func() { a.Meter.Wait(a.Clock(), customer, -1) }()
+	a.Meter.AddWaiters(a.Clock(), customer, 1)
+	defer func() { a.Meter.AddWaiters(a.Clock(), customer, -1) }()
 	a.Wake()
 	t := time.NewTimer(time.Until(deadline))
 	defer t.Stop()
@@ -222,5 +222,5 @@
 	return nil
 }
 
-// Undo takes back an admitted operation that has not run. It implements lender.Pool's Undo.
-func (a *Accountant) Undo(customer string) { a.Meter.Undo(a.Clock(), customer) }
+// UndoAdmit takes back an admitted operation that has not run. It implements lender.Pool's UndoAdmit.
+func (a *Accountant) UndoAdmit(customer string) { a.Meter.Undo(a.Clock(), customer) }
--- a/internal/accountant/page.go
+++ b/internal/accountant/page.go
@@ -12,17 +12,17 @@
 const PathCustomers = "/customers"
 
 type (
-	// State is one instance's view of a customer.
-	State struct {
+	// CustomerState is one instance's view of a customer.
+	CustomerState struct {
 		Customer string
 		// PerSecond and Burst are the customer's limit, 0 without one.
 		PerSecond, Burst float64
 		// Keys is the number of the customer's API keys.
 		Keys int
-		// Kept is set if this instance is the accountant. Then Used is the number of operations in
+		// IsAccountant is set if this instance is the accountant. Then Used is the number of operations in
 		// the limiter's window, Available can be leased now, Leased is outstanding, and Demand is
 		// the requested operations per second on all instances.
-		Kept                            bool
+		IsAccountant                    bool
 		Used, Available, Leased, Demand float64
 		// Connections is the number of this instance's connections for the customer.
 		Connections int
@@ -30,24 +30,24 @@
 		Refused int64
 	}
 
-	// jsonState is the JSON form of State.
+	// jsonState is the JSON form of CustomerState.
 	jsonState struct {
-		Customer    string  `json:"customer"`
-		PerSecond   float64 `json:"per-second"`
-		Burst       float64 `json:"burst"`
-		Keys        int     `json:"keys"`
-		Kept        bool    `json:"kept"`
-		Used        float64 `json:"used"`
-		Available   float64 `json:"available"`
-		Leased      float64 `json:"leased"`
-		Demand      float64 `json:"demand-per-second"`
-		Connections int     `json:"connections"`
-		Refused     int64   `json:"refused"`
+		Customer     string  `json:"customer"`
+		PerSecond    float64 `json:"per-second"`
+		Burst        float64 `json:"burst"`
+		Keys         int     `json:"keys"`
+		IsAccountant bool    `json:"kept"`
+		Used         float64 `json:"used"`
+		Available    float64 `json:"available"`
+		Leased       float64 `json:"leased"`
+		Demand       float64 `json:"demand-per-second"`
+		Connections  int     `json:"connections"`
+		Refused      int64   `json:"refused"`
 	}
 )
 
 // EncodeStates encodes the page.
-func EncodeStates(list []State) []byte {
+func EncodeStates(list []CustomerState) []byte {
 	rows := make([]jsonState, len(list))
 	for i, s := range list {
 		rows[i] = jsonState(s)
@@ -60,22 +60,22 @@
 }
 
 // DecodeStates decodes the page.
-func DecodeStates(text []byte) ([]State, error) {
+func DecodeStates(text []byte) ([]CustomerState, error) {
 	var rows []jsonState
 	if err := json.Unmarshal(text, &rows); err != nil {
 		return nil, errors.Wrap(err, "customers")
 	}
-	list := make([]State, len(rows))
+	list := make([]CustomerState, len(rows))
 	for i, w := range rows {
-		list[i] = State(w)
+		list[i] = CustomerState(w)
 	}
 	return list, nil
 }
 
 // MergeStates merges the lists of several instances: counts are added, and the account's fields
 // are taken from the accountant.
-func MergeStates(lists ...[]State) []State {
-	byName := map[string]State{}
+func MergeStates(lists ...[]CustomerState) []CustomerState {
+	byName := map[string]CustomerState{}
 	for _, list := range lists {
 		for _, s := range list {
 			m, ok := byName[s.Customer]
@@ -83,8 +83,8 @@
 				byName[s.Customer] = s
 				continue
 			}
-			if s.Kept && (!m.Kept || s.Demand > m.Demand) {
-				m.Kept, m.Used, m.Available, m.Leased, m.Demand = true, s.Used, s.Available, s.Leased, s.Demand
+			if s.IsAccountant && (!m.IsAccountant || s.Demand > m.Demand) {
+				m.IsAccountant, m.Used, m.Available, m.Leased, m.Demand = true, s.Used, s.Available, s.Leased, s.Demand
 				m.PerSecond, m.Burst, m.Keys = s.PerSecond, s.Burst, s.Keys
 			}
 			m.Connections += s.Connections
@@ -92,10 +92,10 @@
 			byName[s.Customer] = m
 		}
 	}
-	merged := make([]State, 0, len(byName))
+	merged := make([]CustomerState, 0, len(byName))
 	for _, s := range byName {
 		merged = append(merged, s)
 	}
-	slices.SortFunc(merged, func(a, b State) int { return strings.Compare(a.Customer, b.Customer) })
+	slices.SortFunc(merged, func(a, b CustomerState) int { return strings.Compare(a.Customer, b.Customer) })
 	return merged
 }
--- a/internal/accountant/page_test.go
+++ b/internal/accountant/page_test.go
@@ -9,8 +9,8 @@
 )
 
 func ExampleMergeStates() {
-	accountantStates := []accountant.State{{Customer: "north", PerSecond: 10, Kept: true, Used: 30, Demand: 6, Connections: 2}}
-	peerStates := []accountant.State{{Customer: "north", PerSecond: 10, Connections: 3, Refused: 1}, {Customer: "south"}}
+	accountantStates := []accountant.CustomerState{{Customer: "north", PerSecond: 10, IsAccountant: true, Used: 30, Demand: 6, Connections: 2}}
+	peerStates := []accountant.CustomerState{{Customer: "north", PerSecond: 10, Connections: 3, Refused: 1}, {Customer: "south"}}
 	for _, s := range accountant.MergeStates(peerStates, accountantStates) {
 		fmt.Println(s.Customer, s.Used, s.Connections, s.Refused)
 	}
@@ -20,7 +20,7 @@
 }
 
 func TestStatesRoundTrip(t *testing.T) {
-	want := []accountant.State{{Customer: "north", PerSecond: 10, Burst: 20, Keys: 2, Kept: true, Used: 1, Available: 2, Leased: 3, Demand: 4, Connections: 5, Refused: 6}}
+	want := []accountant.CustomerState{{Customer: "north", PerSecond: 10, Burst: 20, Keys: 2, IsAccountant: true, Used: 1, Available: 2, Leased: 3, Demand: 4, Connections: 5, Refused: 6}}
 	got, err := accountant.DecodeStates(accountant.EncodeStates(want))
 	must.NoError(t, err)
 	must.Eq(t, want, got)
--- a/internal/accountant/wire.go
+++ b/internal/accountant/wire.go
@@ -9,11 +9,11 @@
 )
 
 func toReport(r limiter.Report) *wire.AccountRequest {
-	w := &wire.AccountRequest{Instance: r.Instance, Run: r.Run, Number: r.Number, New: r.New, Leaves: r.Leaves, UnheardMs: toMillis(r.Unheard)}
-	for _, s := range r.Spendings {
+	w := &wire.AccountRequest{Instance: r.Instance, Run: r.Incarnation, Number: r.Sequence, New: r.NewAccountant, Leaves: r.Final, UnheardMs: toMillis(r.SincePredecessorAck)}
+	for _, s := range r.Usages {
 		x := &wire.Spending{
-			Customer: s.Customer, Before: fromCounts(s.Before), Held: uint32(s.Held), Waiting: uint32(s.Waiting), DemandMilli: uint32(s.Demand * rateScale),
-			Told: s.Told, PartMilli: uint32(s.Part * rateScale),
+			Customer: s.Customer, Before: fromCounts(s.PastUsed), Held: uint32(s.UnusedTokens), Waiting: uint32(s.Waiters), DemandMilli: uint32(s.Demand * rateScale),
+			Told: s.HasFallbackRate, PartMilli: uint32(s.FallbackRate * rateScale),
 		}
 		for _, n := range s.Used {
 			x.Used += uint32(n)
@@ -27,35 +27,35 @@
 }
 
 func fromReport(w *wire.AccountRequest) limiter.Report {
-	r := limiter.Report{Instance: w.Instance, Run: w.Run, Number: w.Number, New: w.New, Leaves: w.Leaves, Unheard: time.Duration(w.UnheardMs) * time.Millisecond}
+	r := limiter.Report{Instance: w.Instance, Incarnation: w.Run, Sequence: w.Number, NewAccountant: w.New, Final: w.Leaves, SincePredecessorAck: time.Duration(w.UnheardMs) * time.Millisecond}
 	for _, s := range w.Spendings {
-		x := limiter.Spending{
-			Customer: s.Customer, Used: toCounts(s.UsedSlots), Before: toCounts(s.Before), Held: int(s.Held), Waiting: int(s.Waiting), Demand: float64(s.DemandMilli) / rateScale,
-			Told: s.Told, Part: float64(s.PartMilli) / rateScale,
+		x := limiter.Usage{
+			Customer: s.Customer, Used: toCounts(s.UsedSlots), PastUsed: toCounts(s.Before), UnusedTokens: int(s.Held), Waiters: int(s.Waiting), Demand: float64(s.DemandMilli) / rateScale,
+			HasFallbackRate: s.Told, FallbackRate: float64(s.PartMilli) / rateScale,
 		}
 		if len(x.Used) == 0 && s.Used > 0 {
 			x.Used = []int{int(s.Used)}
 		}
-		r.Spendings = append(r.Spendings, x)
+		r.Usages = append(r.Usages, x)
 	}
 	return r
 }
 
-func toReply(x limiter.Answer) *wire.AccountReply {
-	w := &wire.AccountReply{Run: x.Run}
-	for _, a := range x.Allowances {
+func toReply(x limiter.Reply) *wire.AccountReply {
+	w := &wire.AccountReply{Run: x.Incarnation}
+	for _, a := range x.Grants {
 		w.Allowances = append(w.Allowances, &wire.Allowance{
-			Customer: a.Customer, Tokens: uint32(a.Tokens), Tight: a.Tight, PartMilli: uint32(a.Part * rateScale), AgainMs: uint32(a.Again.Milliseconds()),
+			Customer: a.Customer, Tokens: uint32(a.Tokens), Tight: a.LeaseRequired, PartMilli: uint32(a.FallbackRate * rateScale), AgainMs: uint32(a.RetryAfter.Milliseconds()),
 		})
 	}
 	return w
 }
 
-func fromReply(w *wire.AccountReply) limiter.Answer {
-	x := limiter.Answer{Run: w.Run}
+func fromReply(w *wire.AccountReply) limiter.Reply {
+	x := limiter.Reply{Incarnation: w.Run}
 	for _, a := range w.Allowances {
-		x.Allowances = append(x.Allowances, limiter.Allowance{
-			Customer: a.Customer, Tokens: int(a.Tokens), Tight: a.Tight, Part: float64(a.PartMilli) / rateScale, Again: time.Duration(a.AgainMs) * time.Millisecond,
+		x.Grants = append(x.Grants, limiter.Grant{
+			Customer: a.Customer, Tokens: int(a.Tokens), LeaseRequired: a.Tight, FallbackRate: float64(a.PartMilli) / rateScale, RetryAfter: time.Duration(a.AgainMs) * time.Millisecond,
 		})
 	}
 	return x
--- a/internal/accountant/wire_test.go
+++ b/internal/accountant/wire_test.go
@@ -10,8 +10,8 @@
 
 func TestReportsRoundTrip(t *testing.T) {
 	for _, used := range [][]int{nil, {3}, {2, 0, 1}} {
-		want := limiter.Report{Instance: "i", Run: 7, Number: 8, New: true, Leaves: true, Unheard: time.Second, Spendings: []limiter.Spending{{
-			Customer: "north", Used: used, Before: []int{1, 0}, Held: 4, Waiting: 5, Demand: 6.5, Part: 0.25, Told: true,
+		want := limiter.Report{Instance: "i", Incarnation: 7, Sequence: 8, NewAccountant: true, Final: true, SincePredecessorAck: time.Second, Usages: []limiter.Usage{{
+			Customer: "north", Used: used, PastUsed: []int{1, 0}, UnusedTokens: 4, Waiters: 5, Demand: 6.5, FallbackRate: 0.25, HasFallbackRate: true,
 		}}}
 		must.Eq(t, want, fromReport(toReport(want)))
 	}
--- a/internal/admitter/gate.go
+++ b/internal/admitter/gate.go
@@ -29,7 +29,7 @@
 
 	// Order is what the relayer asks for.
 	Order struct {
-		Place pooler.Place
+		Place pooler.Endpoint
 		// User is the caller's user, which belongs to a customer.
 		User  string
 		Class Class
@@ -59,12 +59,12 @@
 	}
 	g.queue.Random = g.Random
 	g.queue.SetShares(shares)
-	g.deliver(g.queue.Resize(g.Pool.Lendable()))
+	g.deliver(g.queue.Resize(g.Pool.Capacity()))
 }
 
 // Resized tells the gate that the pool can lend more or fewer connections.
 func (g *Gate) Resized() {
-	n := g.Pool.Lendable()
+	n := g.Pool.Capacity()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.deliver(g.queue.Resize(n))
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	if o.Class == ClassTransaction {
-		g.Pool.Lengthen(c)
+		g.Pool.MarkInTransaction(c)
 	}
 	g.lent[c] = lent{id: id, since: time.Now()}
 	return c, nil
--- a/internal/admitter/queue.go
+++ b/internal/admitter/queue.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/oriolegw/oriolegw/internal/fairer"
+	"github.com/oriolegw/oriolegw/internal/scheduler"
 	"github.com/oriolegw/oriolegw/pkg/refuser"
 )
 
@@ -56,14 +56,14 @@
 		order   []*customer
 		targets map[string]*target
 		running map[uint64]running
-		turns   fairer.Turns
+		turns   scheduler.VirtualClock
 		waiting int
 		holding [classes]int
 		guess   [classes]time.Duration
 	}
 
 	customer struct {
-		fairer.Flow
+		scheduler.Flow
 		name  string
 		share float64
 		// turn is the lanes' virtual time: a class that was idle starts there,
@@ -247,7 +247,7 @@
 		}
 		r := q.remove(c, k, i).Request
 		cost := q.cost(r.Class)
-		q.turns.Start(&c.Flow)
+		q.turns.StartNext(&c.Flow)
 		l := &c.lanes[r.Class]
 		l.finish = max(l.finish, c.turn)
 		c.turn = l.finish
--- a/internal/concentrator/concentrator.go
+++ b/internal/concentrator/concentrator.go
@@ -25,20 +25,20 @@
 type Placement uint8
 
 const (
-	// PlaceOwn lets each instance hold its own connections.
-	PlaceOwn Placement = iota
-	// PlaceZone lets one instance per availability zone hold the zone's connections.
-	PlaceZone
-	// PlaceMember lets one instance per member hold the connections of all instances.
-	PlaceMember
+	// PerInstance lets each instance hold its own connections.
+	PerInstance Placement = iota
+	// PerZone lets one instance per availability zone hold the zone's connections.
+	PerZone
+	// PerMember lets one instance per member hold the connections of all instances.
+	PerMember
 )
 
-var placementNames = [...]string{PlaceOwn: "own", PlaceZone: "zone", PlaceMember: "member"}
+var placementNames = [...]string{PerInstance: "own", PerZone: "zone", PerMember: "member"}
 
 // String returns the placement's name in logs.
 func (p Placement) String() string { return placementNames[p] }
 
-// Fleet is the input of Switch.Decide.
+// Fleet is the input of Selector.Decide.
 type Fleet struct {
 	// Connections is how many connections a member accepts from all instances.
 	Connections      int
@@ -47,32 +47,32 @@
 	Customers int
 }
 
-// Switch holds a group's current placement.
-type Switch struct{ placement Placement }
+// Selector holds a group's current placement.
+type Selector struct{ placement Placement }
 
 // Placement returns the last decision.
-func (s *Switch) Placement() Placement { return s.placement }
+func (s *Selector) Placement() Placement { return s.placement }
 
 // Decide updates the placement: the one with the most holders for which a member has enough
 // connections for each holder and customer.
-func (s *Switch) Decide(f Fleet) Placement {
+func (s *Selector) Decide(f Fleet) Placement {
 	customers := max(1, f.Customers)
 	switch {
 	case f.Connections <= 0:
-		s.placement = PlaceOwn
-	case s.enoughConnections(PlaceOwn, f.Connections, f.Instances*customers):
-		s.placement = PlaceOwn
-	case s.enoughConnections(PlaceZone, f.Connections, f.Zones*customers):
-		s.placement = PlaceZone
+		s.placement = PerInstance
+	case s.enoughConnections(PerInstance, f.Connections, f.Instances*customers):
+		s.placement = PerInstance
+	case s.enoughConnections(PerZone, f.Connections, f.Zones*customers):
+		s.placement = PerZone
 	default:
-		s.placement = PlaceMember
+		s.placement = PerMember
 	}
 	return s.placement
 }
 
 // enoughConnections reports whether a member has enough connections for a placement. The threshold
 // is higher for a return from a more concentrated one.
-func (s *Switch) enoughConnections(p Placement, connections, needed int) bool {
+func (s *Selector) enoughConnections(p Placement, connections, needed int) bool {
 	threshold := minConnectionsPerHolder
 	if s.placement > p {
 		threshold = restoreConnectionsPerHolder
@@ -87,11 +87,11 @@
 	Millicores int
 }
 
-// Holders ranks a zone's instances as holders of a group's connections, best first. It uses
+// RankHolders ranks a zone's instances as holders of a group's connections, best first. It uses
 // weighted rendezvous hashing: each instance computes the same ranking, and a removed instance
 // changes the holder only of its own groups. The weight is the square of the CPU limit, because
 // the same load is a smaller fraction of a larger instance, which also has more idle capacity.
-func Holders(group string, instances []Candidate) []string {
+func RankHolders(group string, instances []Candidate) []string {
 	smallest := 0
 	for _, c := range instances {
 		if c.Millicores > 0 && (smallest == 0 || c.Millicores < smallest) {
--- a/internal/concentrator/concentrator_test.go
+++ b/internal/concentrator/concentrator_test.go
@@ -12,35 +12,35 @@
 // Guards against a wrong placement by connections per instance, and against flapping at the
 // threshold.
 func TestDecide(t *testing.T) {
-	var s concentrator.Switch
+	var s concentrator.Selector
 	decide := func(connections, instances int) concentrator.Placement {
 		return s.Decide(concentrator.Fleet{Connections: connections, Instances: instances, Zones: 6})
 	}
-	must.Eq(t, concentrator.PlaceOwn, decide(16, 9))
-	must.Eq(t, concentrator.PlaceOwn, decide(195, 83))
-	must.Eq(t, concentrator.PlaceZone, decide(25, 83))
-	must.Eq(t, concentrator.PlaceZone, decide(51, 50))
-	must.Eq(t, concentrator.PlaceZone, decide(51, 40))
-	must.Eq(t, concentrator.PlaceOwn, decide(51, 39))
-	must.Eq(t, concentrator.PlaceOwn, decide(51, 50))
-	must.Eq(t, concentrator.PlaceZone, decide(51, 52))
-	must.Eq(t, concentrator.PlaceOwn, decide(0, 52))
+	must.Eq(t, concentrator.PerInstance, decide(16, 9))
+	must.Eq(t, concentrator.PerInstance, decide(195, 83))
+	must.Eq(t, concentrator.PerZone, decide(25, 83))
+	must.Eq(t, concentrator.PerZone, decide(51, 50))
+	must.Eq(t, concentrator.PerZone, decide(51, 40))
+	must.Eq(t, concentrator.PerInstance, decide(51, 39))
+	must.Eq(t, concentrator.PerInstance, decide(51, 50))
+	must.Eq(t, concentrator.PerZone, decide(51, 52))
+	must.Eq(t, concentrator.PerInstance, decide(0, 52))
 }
 
 // Guards against a wrong placement by connections per customer, and against flapping at the
 // threshold.
 func TestDecideByCustomers(t *testing.T) {
-	var s concentrator.Switch
+	var s concentrator.Selector
 	decide := func(connections, instances, customers int) concentrator.Placement {
 		return s.Decide(concentrator.Fleet{Connections: connections, Instances: instances, Zones: 6, Customers: customers})
 	}
-	must.Eq(t, concentrator.PlaceZone, decide(32, 86, 5))
-	must.Eq(t, concentrator.PlaceMember, decide(32, 86, 85))
-	must.Eq(t, concentrator.PlaceMember, decide(32, 86, 5))
-	must.Eq(t, concentrator.PlaceZone, decide(32, 86, 4))
-	must.Eq(t, concentrator.PlaceZone, decide(32, 86, 5))
-	must.Eq(t, concentrator.PlaceZone, decide(600, 86, 85))
-	must.Eq(t, concentrator.PlaceOwn, decide(1000, 9, 85))
+	must.Eq(t, concentrator.PerZone, decide(32, 86, 5))
+	must.Eq(t, concentrator.PerMember, decide(32, 86, 85))
+	must.Eq(t, concentrator.PerMember, decide(32, 86, 5))
+	must.Eq(t, concentrator.PerZone, decide(32, 86, 4))
+	must.Eq(t, concentrator.PerZone, decide(32, 86, 5))
+	must.Eq(t, concentrator.PerZone, decide(600, 86, 85))
+	must.Eq(t, concentrator.PerInstance, decide(1000, 9, 85))
 }
 
 // Guards against an uneven distribution of groups, and against a removed instance changing the
@@ -53,10 +53,10 @@
 	held := map[string]int{}
 	for n := range 800 {
 		group := fmt.Sprint("g", n)
-		order := concentrator.Holders(group, all)
+		order := concentrator.RankHolders(group, all)
 		held[order[0]]++
 		others := slices.DeleteFunc(slices.Clone(all), func(c concentrator.Candidate) bool { return c.Name == order[0] })
-		must.Eq(t, order[1:], concentrator.Holders(group, others))
+		must.Eq(t, order[1:], concentrator.RankHolders(group, others))
 	}
 	for _, c := range all {
 		must.Between(t, 30, held[c.Name], 90)
@@ -90,7 +90,7 @@
 			load := map[string]float64{}
 			highest := 0.0
 			for g := range groups {
-				h := concentrator.Holders(fmt.Sprint("g", set, "-", g), list)[0]
+				h := concentrator.RankHolders(fmt.Sprint("g", set, "-", g), list)[0]
 				load[h] += 0.1 * smallMillicores / float64(millicores[h])
 				highest = max(highest, load[h])
 				if millicores[h] == largeMillicores {
--- a/internal/configurer/changes.go
+++ b/internal/configurer/changes.go
@@ -66,7 +66,7 @@
 		out = append(out,
 			entry{at + " connections", fmt.Sprint(s.Connections)},
 			entry{at + " slots", fmt.Sprint(s.Slots)},
-			entry{at + " hold", s.Hold.String()})
+			entry{at + " hold", s.FailoverWait.String()})
 		for _, m := range s.Members {
 			out = append(out, entry{at + " member " + m.Name, memberText(m)})
 		}
--- a/internal/configurer/check.go
+++ b/internal/configurer/check.go
@@ -58,7 +58,7 @@
 		inspector.Need("members", func(n inspector.Node) { members = n; s.Members = c.readMembers(n) }),
 		inspector.Need("connections", func(n inspector.Node) { s.Connections = n.Int(1, maxConnections) }),
 		inspector.Need("slots", func(n inspector.Node) { s.Slots = n.Int(0, maxSlots) }),
-		inspector.May("hold-ms", func(n inspector.Node) { s.Hold = n.Milliseconds(0, maxHold) }),
+		inspector.May("hold-ms", func(n inspector.Node) { s.FailoverWait = n.Milliseconds(0, maxHold) }),
 		inspector.May("reader-rules", func(n inspector.Node) { s.Rules = readRules(n) }),
 		inspector.May("customers", func(n inspector.Node) { s.Customers = readCustomers(n) }),
 	)
--- a/internal/configurer/check_test.go
+++ b/internal/configurer/check_test.go
@@ -84,7 +84,7 @@
 func TestMinimalDocument(t *testing.T) {
 	d, problems := configurer.Check("d.json", []byte(minimalDocument))
 	must.NoError(t, problems.Err())
-	must.Eq(t, time.Duration(0), d.Services[0].Hold)
+	must.Eq(t, time.Duration(0), d.Services[0].FailoverWait)
 }
 
 // Any input must yield either problems or a document that survives a round trip.
--- a/internal/configurer/difference.go
+++ b/internal/configurer/difference.go
@@ -9,9 +9,9 @@
 )
 
 type (
-	// Difference transforms one text into another. Peers exchange differences because documents
+	// Patch transforms one text into another. Peers exchange differences because documents
 	// are large and most changes small.
-	Difference struct {
+	Patch struct {
 		Steps []Step
 		// Sum is the SHA-256 of the result. It detects a wrong base; the whole document is then
 		// fetched instead.
@@ -33,8 +33,8 @@
 	stepOverheadBytes = 12
 )
 
-// ErrDifference means that a difference does not fit its base.
-var ErrDifference = errors.New("difference does not fit its base")
+// ErrPatchMismatch means that a patch does not fit its base.
+var ErrPatchMismatch = errors.New("difference does not fit its base")
 
 // splitChunks splits a text after lines selected by their checksums.
 func splitChunks(text []byte) [][]byte {
@@ -54,8 +54,8 @@
 	return out
 }
 
-// Compare returns the difference that transforms base into next.
-func Compare(base, next []byte) Difference {
+// MakePatch returns the difference that transforms base into next.
+func MakePatch(base, next []byte) Patch {
 	offsets := map[string]int{}
 	offset := 0
 	for _, c := range splitChunks(base) {
@@ -64,7 +64,7 @@
 		}
 		offset += len(c)
 	}
-	d := Difference{Sum: sha256.Sum256(next)}
+	d := Patch{Sum: sha256.Sum256(next)}
 	// The chunk after the previously copied one is tried first, since chunks may repeat in the
 	// base.
 	adjacent := 0
@@ -88,7 +88,7 @@
 }
 
 // Size returns the approximate encoded size in bytes.
-func (d Difference) Size() int {
+func (d Patch) Size() int {
 	n := len(d.Sum)
 	for _, s := range d.Steps {
 		n += stepOverheadBytes + len(s.Text)
@@ -97,7 +97,7 @@
 }
 
 // Apply returns the text that the difference transforms base into.
-func (d Difference) Apply(base []byte) ([]byte, error) {
+func (d Patch) Apply(base []byte) ([]byte, error) {
 	var out []byte
 	for _, s := range d.Steps {
 		if len(s.Text) > 0 {
@@ -105,12 +105,12 @@
 			continue
 		}
 		if s.From < 0 || s.To < s.From || s.To > len(base) || len(out)+s.To-s.From > maxDocumentBytes {
-			return nil, errors.Wrapf(ErrDifference, "range %d to %d of %d bytes", s.From, s.To, len(base))
+			return nil, errors.Wrapf(ErrPatchMismatch, "range %d to %d of %d bytes", s.From, s.To, len(base))
 		}
 		out = append(out, base[s.From:s.To]...)
 	}
 	if sha256.Sum256(out) != d.Sum {
-		return nil, errors.Wrap(ErrDifference, "checksum mismatch")
+		return nil, errors.Wrap(ErrPatchMismatch, "checksum mismatch")
 	}
 	return out, nil
 }
--- a/internal/configurer/difference_test.go
+++ b/internal/configurer/difference_test.go
@@ -35,7 +35,7 @@
 		{"nothing", nil, 100},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := configurer.Compare(base, c.next)
+			d := configurer.MakePatch(base, c.next)
 			got, err := d.Apply(base)
 			must.NoError(t, err)
 			must.Eq(t, string(c.next), string(got))
@@ -56,7 +56,7 @@
 		for range random.IntN(60) {
 			next = append(next, line()...)
 		}
-		got, err := configurer.Compare(base, next).Apply(base)
+		got, err := configurer.MakePatch(base, next).Apply(base)
 		must.NoError(t, err)
 		must.Eq(t, string(next), string(got))
 	}
@@ -66,7 +66,7 @@
 // document.
 func TestDifferenceRejectsMismatch(t *testing.T) {
 	base := encodedDocument(10)
-	d := configurer.Compare(base, encodedDocument(11))
+	d := configurer.MakePatch(base, encodedDocument(11))
 	for name, bad := range map[string]func() error{
 		"other base": func() error { _, err := d.Apply(encodedDocument(9)); return err },
 		"base of the same length": func() error {
@@ -87,6 +87,6 @@
 			return err
 		},
 	} {
-		t.Run(name, func(t *testing.T) { must.ErrorIs(t, bad(), configurer.ErrDifference) })
+		t.Run(name, func(t *testing.T) { must.ErrorIs(t, bad(), configurer.ErrPatchMismatch) })
 	}
 }
--- a/internal/configurer/document.go
+++ b/internal/configurer/document.go
@@ -35,8 +35,8 @@
 		Connections int
 		// Slots is the number of statements that a member runs concurrently.
 		Slots int
-		// Hold is how long a request that has not run yet waits for a primary.
-		Hold time.Duration
+		// FailoverWait is how long a request that has not run yet waits for a primary.
+		FailoverWait time.Duration
 		// Rules bound the staleness of reads by kind of request.
 		Rules []ReaderRule
 		// Customers are the client accounts that share the service.
--- a/internal/configurer/encoding.go
+++ b/internal/configurer/encoding.go
@@ -73,7 +73,7 @@
 
 func serviceToWire(s Service) wireService {
 	w := wireService{
-		Name: s.Name, Connections: s.Connections, Slots: s.Slots, HoldMS: int(s.Hold.Milliseconds()),
+		Name: s.Name, Connections: s.Connections, Slots: s.Slots, HoldMS: int(s.FailoverWait.Milliseconds()),
 		Members: []wireMember{}, Rules: []wireRule{}, Customers: []wireCustomer{},
 	}
 	for _, m := range s.Members {
--- a/internal/configurer/safety.go
+++ b/internal/configurer/safety.go
@@ -45,7 +45,7 @@
 	return out
 }
 
-// Holds reports whether the service has a member with the name.
-func (s *Service) Holds(name string) bool {
+// HasMember reports whether the service has a member with the name.
+func (s *Service) HasMember(name string) bool {
 	return slices.ContainsFunc(s.Members, func(m Member) bool { return m.Name == name })
 }
--- a/internal/configurer/slice.go
+++ b/internal/configurer/slice.go
@@ -39,8 +39,8 @@
 		Instance string
 		Zone     string
 		Random   *rand.Rand
-		// Held publishes the document in force to the peer server. It may be nil.
-		Held *atomic.Pointer[Held]
+		// Active publishes the document in force to the peer server. It may be nil.
+		Active *atomic.Pointer[ActiveDocument]
 
 		inForce  int64
 		rejected int64
@@ -54,14 +54,14 @@
 		nextStoreCall     time.Time
 		backoff           time.Duration
 		fetching          bool
-		pending           HeardOf
+		pending           PeerVersion
 	}
 
-	// Held is the document in force and its predecessors, newest first.
-	Held struct {
+	// ActiveDocument is the document in force and its predecessors, newest first.
+	ActiveDocument struct {
 		Version  int64
 		Text     []byte
-		Previous []Held
+		Previous []ActiveDocument
 	}
 
 	// Read reads the document from the store.
@@ -78,14 +78,14 @@
 		Base []byte
 	}
 
-	// HeardOf reports the version that a peer has in force.
-	HeardOf struct {
+	// PeerVersion reports the version that a peer has in force.
+	PeerVersion struct {
 		Version int64
 		Address string
 	}
 
-	// Offered is a document read from the store or a peer, or the failure to read one.
-	Offered struct {
+	// ReadResult is a document read from the store or a peer, or the failure to read one.
+	ReadResult struct {
 		Version  int64
 		Document *Document
 		Text     []byte
@@ -96,8 +96,8 @@
 	// Source is where a document was read from.
 	Source string
 
-	// InForce reports that a newer document is in force.
-	InForce struct {
+	// Activated reports that a newer document is in force.
+	Activated struct {
 		Version  int64
 		Document *Document
 	}
@@ -131,13 +131,13 @@
 func (Fetch) ActionName() string { return "fetch-configuration" }
 
 // EventName implements controller.Event.
-func (HeardOf) EventName() string { return "configuration-heard-of" }
+func (PeerVersion) EventName() string { return "configuration-heard-of" }
 
 // EventName implements controller.Event.
-func (Offered) EventName() string { return "configuration-offered" }
+func (ReadResult) EventName() string { return "configuration-offered" }
 
 // EventName implements controller.Event.
-func (InForce) EventName() string { return "configuration-in-force" }
+func (Activated) EventName() string { return "configuration-in-force" }
 
 // EventName implements controller.Event.
 func (Rejected) EventName() string { return "configuration-rejected" }
@@ -145,13 +145,13 @@
 // Step implements controller.Slice.
 func (s *Slice) Step(now time.Time, e controller.Event) []controller.Action {
 	switch e := e.(type) {
-	case lister.Changed:
-		s.isWatcher = lister.Holds(lister.Top(watchKey, s.Zone, watchersPerZone, e.Instances), s.Instance)
+	case lister.ViewChanged:
+		s.isWatcher = lister.Contains(lister.Top(watchKey, s.Zone, watchersPerZone, e.Instances), s.Instance)
 	case controller.Tick:
 		return s.callStore(now)
-	case HeardOf:
+	case PeerVersion:
 		return s.fetchNewer(e)
-	case Offered:
+	case ReadResult:
 		return s.handleOffered(now, e)
 	}
 	return nil
@@ -171,7 +171,7 @@
 }
 
 // fetchNewer fetches a newer version from a peer, one fetch at a time.
-func (s *Slice) fetchNewer(e HeardOf) []controller.Action {
+func (s *Slice) fetchNewer(e PeerVersion) []controller.Action {
 	if e.Version <= s.inForce || e.Version == s.rejected || e.Address == "" {
 		return nil
 	}
@@ -185,12 +185,12 @@
 	return []controller.Action{Fetch{Address: e.Address, NewerThan: s.inForce, Base: s.text}}
 }
 
-func (s *Slice) handleOffered(now time.Time, e Offered) []controller.Action {
+func (s *Slice) handleOffered(now time.Time, e ReadResult) []controller.Action {
 	out := s.apply(e)
 	if e.Source == SourcePeer {
 		s.fetching = false
 		next := s.pending
-		s.pending = HeardOf{}
+		s.pending = PeerVersion{}
 		return append(out, s.fetchNewer(next)...)
 	}
 	s.storeCallInFlight = false
@@ -207,7 +207,7 @@
 
 // apply puts a newer document in force. Late responses and peers with an older version must not
 // revert a change.
-func (s *Slice) apply(e Offered) []controller.Action {
+func (s *Slice) apply(e ReadResult) []controller.Action {
 	if e.Version <= s.inForce || e.Version == s.rejected {
 		return nil
 	}
@@ -218,32 +218,32 @@
 		return []controller.Action{controller.Emit{Event: Rejected{Version: e.Version, Err: e.Err}}}
 	}
 	s.keepText(e.Version, e.Text)
-	return []controller.Action{controller.Emit{Event: InForce{Version: e.Version, Document: e.Document}}}
+	return []controller.Action{controller.Emit{Event: Activated{Version: e.Version, Document: e.Document}}}
 }
 
 // keepText publishes the text for peers, with earlier texts as bases for differences.
 func (s *Slice) keepText(version int64, text []byte) {
-	if s.Held != nil {
-		next := &Held{Version: version, Text: text}
-		if current := s.Held.Load(); current != nil {
-			next.Previous = append([]Held{{Version: current.Version, Text: current.Text}}, current.Previous...)
+	if s.Active != nil {
+		next := &ActiveDocument{Version: version, Text: text}
+		if current := s.Active.Load(); current != nil {
+			next.Previous = append([]ActiveDocument{{Version: current.Version, Text: current.Text}}, current.Previous...)
 			next.Previous = next.Previous[:min(maxPrevious, len(next.Previous))]
 		}
-		s.Held.Store(next)
+		s.Active.Store(next)
 	}
 	s.inForce, s.text = version, text
 }
 
-// Difference returns the difference from an older version if its text is kept and the
+// PatchFrom returns the difference from an older version if its text is kept and the
 // difference is less than half the size of the document.
-func (h *Held) Difference(from int64) (Difference, bool) {
+func (h *ActiveDocument) PatchFrom(from int64) (Patch, bool) {
 	for _, p := range h.Previous {
 		if p.Version == from {
-			d := Compare(p.Text, h.Text)
+			d := MakePatch(p.Text, h.Text)
 			return d, d.Size() < len(h.Text)/2
 		}
 	}
-	return Difference{}, false
+	return Patch{}, false
 }
 
 // Perform implements controller.Performer.
@@ -257,26 +257,26 @@
 	return nil, false
 }
 
-func (r *Reader) read(ctx context.Context) Offered {
+func (r *Reader) read(ctx context.Context) ReadResult {
 	p, err := r.Store.Get(ctx, Key)
 	if err != nil {
-		return Offered{Err: err, Source: SourceStore}
+		return ReadResult{Err: err, Source: SourceStore}
 	}
 	if p.Revision == 0 {
-		return Offered{Err: errors.New("no document is published"), Source: SourceStore}
+		return ReadResult{Err: errors.New("no document is published"), Source: SourceStore}
 	}
-	return Offer(p.Revision, p.Value, SourceStore)
+	return DecodeResult(p.Revision, p.Value, SourceStore)
 }
 
-// watch returns the first change after a version, or an empty Offered if there is none within
+// watch returns the first change after a version, or an empty ReadResult if there is none within
 // watchTimeout.
-func (r *Reader) watch(ctx context.Context, since int64) Offered {
+func (r *Reader) watch(ctx context.Context, since int64) ReadResult {
 	limit, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
-	out := Offered{Source: SourceWatch}
+	out := ReadResult{Source: SourceWatch}
 	err := r.Store.Watch(limit, Key, since, func(p storer.Pair) {
 		if p.Key == Key && p.Revision > max(since, out.Version) {
-			out = Offer(p.Revision, p.Value, SourceWatch)
+			out = DecodeResult(p.Revision, p.Value, SourceWatch)
 			cancel()
 		}
 	})
@@ -286,11 +286,11 @@
 	return out
 }
 
-// Offer decodes a document that was read from a source.
-func Offer(version int64, text []byte, source Source) Offered {
+// DecodeResult decodes a document that was read from a source.
+func DecodeResult(version int64, text []byte, source Source) ReadResult {
 	d, err := Decode(text)
 	if err != nil {
-		return Offered{Version: version, Err: err, Source: source}
+		return ReadResult{Version: version, Err: err, Source: source}
 	}
-	return Offered{Version: version, Document: d, Text: text, Source: source}
+	return ReadResult{Version: version, Document: d, Text: text, Source: source}
 }
--- a/internal/configurer/slice_test.go
+++ b/internal/configurer/slice_test.go
@@ -12,12 +12,12 @@
 	"github.com/shoenig/test/must"
 )
 
-func offered(version int64, source configurer.Source) configurer.Offered {
-	return configurer.Offered{Version: version, Document: &configurer.Document{}, Source: source}
+func offered(version int64, source configurer.Source) configurer.ReadResult {
+	return configurer.ReadResult{Version: version, Document: &configurer.Document{}, Source: source}
 }
 
-func offeredInvalid(version int64) configurer.Offered {
-	return configurer.Offered{Version: version, Err: errors.New("invalid"), Source: configurer.SourceStore}
+func offeredInvalid(version int64) configurer.ReadResult {
+	return configurer.ReadResult{Version: version, Err: errors.New("invalid"), Source: configurer.SourceStore}
 }
 
 // Late, duplicate, outdated or invalid documents must not replace the one in force.
@@ -25,17 +25,17 @@
 	const store, peer = configurer.SourceStore, configurer.SourcePeer
 	for _, c := range []struct {
 		name    string
-		offered []configurer.Offered
+		offered []configurer.ReadResult
 		want    []int64
 	}{
-		{"in order", []configurer.Offered{offered(3, store), offered(5, store)}, []int64{3, 5}},
-		{"late response from the store", []configurer.Offered{offered(5, store), offered(3, store)}, []int64{5}},
-		{"old peer", []configurer.Offered{offered(5, store), offered(4, peer)}, []int64{5}},
-		{"same twice", []configurer.Offered{offered(5, store), offered(5, peer)}, []int64{5}},
-		{"peer first", []configurer.Offered{offered(5, peer), offered(4, store), offered(6, store)}, []int64{5, 6}},
-		{"invalid in between", []configurer.Offered{offered(5, store), offeredInvalid(6), offered(7, store)}, []int64{5, 7}},
-		{"invalid at a new instance", []configurer.Offered{offeredInvalid(6), offered(5, peer)}, []int64{5}},
-		{"store unavailable", []configurer.Offered{{Err: errors.New("down"), Source: store}, offered(5, store)}, []int64{5}},
+		{"in order", []configurer.ReadResult{offered(3, store), offered(5, store)}, []int64{3, 5}},
+		{"late response from the store", []configurer.ReadResult{offered(5, store), offered(3, store)}, []int64{5}},
+		{"old peer", []configurer.ReadResult{offered(5, store), offered(4, peer)}, []int64{5}},
+		{"same twice", []configurer.ReadResult{offered(5, store), offered(5, peer)}, []int64{5}},
+		{"peer first", []configurer.ReadResult{offered(5, peer), offered(4, store), offered(6, store)}, []int64{5, 6}},
+		{"invalid in between", []configurer.ReadResult{offered(5, store), offeredInvalid(6), offered(7, store)}, []int64{5, 7}},
+		{"invalid at a new instance", []configurer.ReadResult{offeredInvalid(6), offered(5, peer)}, []int64{5}},
+		{"store unavailable", []configurer.ReadResult{{Err: errors.New("down"), Source: store}, offered(5, store)}, []int64{5}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &configurer.Slice{Random: rand.New(rand.NewPCG(1, 1))}
@@ -43,7 +43,7 @@
 			for _, o := range c.offered {
 				for _, a := range s.Step(time.Unix(1, 0), o) {
 					if e, ok := a.(controller.Emit); ok {
-						if f, ok := e.Event.(configurer.InForce); ok {
+						if f, ok := e.Event.(configurer.Activated); ok {
 							got = append(got, f.Version)
 						}
 					}
@@ -59,16 +59,16 @@
 func TestReadsAfterFailedWatch(t *testing.T) {
 	s := &configurer.Slice{Instance: "one", Zone: "a", Random: rand.New(rand.NewPCG(1, 1))}
 	now := time.Unix(1, 0)
-	s.Step(now, lister.Changed{Instances: []lister.Instance{{Name: "one", Zone: "a"}}})
+	s.Step(now, lister.ViewChanged{Instances: []lister.Instance{{Name: "one", Zone: "a"}}})
 	for _, c := range []struct {
 		want   string
-		answer configurer.Offered
+		answer configurer.ReadResult
 	}{
 		{"read-configuration", offered(3, configurer.SourceStore)},
-		{"watch-configuration", configurer.Offered{Err: errors.New("compacted"), Source: configurer.SourceWatch}},
+		{"watch-configuration", configurer.ReadResult{Err: errors.New("compacted"), Source: configurer.SourceWatch}},
 		{"read-configuration", offered(9, configurer.SourceStore)},
-		{"watch-configuration", configurer.Offered{Source: configurer.SourceWatch}},
-		{"watch-configuration", configurer.Offered{}},
+		{"watch-configuration", configurer.ReadResult{Source: configurer.SourceWatch}},
+		{"watch-configuration", configurer.ReadResult{}},
 	} {
 		now = now.Add(time.Minute)
 		a := s.Step(now, controller.Tick{})
--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -13,8 +13,8 @@
 	EvidenceStalled
 	// EvidenceUnreachable means that new connections are refused or reset.
 	EvidenceUnreachable
-	// EvidenceHeadless means that the members' newest term has no primary.
-	EvidenceHeadless
+	// EvidenceLeaderless means that the members' newest term has no primary.
+	EvidenceLeaderless
 )
 
 type (
@@ -36,9 +36,9 @@
 		Age time.Duration
 	}
 
-	// Agreed is emitted when enough availability zones share a suspicion to act on it, and when
+	// FailureAgreed is emitted when enough availability zones share a suspicion to act on it, and when
 	// that ends.
-	Agreed struct {
+	FailureAgreed struct {
 		Service  string
 		Member   string
 		Term     uint64
@@ -51,7 +51,7 @@
 func (Suspected) EventName() string { return "member-suspected" }
 
 // EventName implements controller.Event.
-func (Agreed) EventName() string { return "failure-agreed" }
+func (FailureAgreed) EventName() string { return "failure-agreed" }
 
 // String describes the evidence.
 func (e Evidence) String() string {
@@ -62,7 +62,7 @@
 		return "its writes reach no replica"
 	case EvidenceUnreachable:
 		return "new connections are refused"
-	case EvidenceHeadless:
+	case EvidenceLeaderless:
 		return "the newest term has no primary"
 	}
 	return "none"
--- a/internal/detector/evidence.go
+++ b/internal/detector/evidence.go
@@ -36,7 +36,7 @@
 // without a recent status of it as a replica of this term.
 func (g *group) missesHeartbeats(now time.Time, i int) (missed, known bool) {
 	k := &g.view.Members[i]
-	if k.Failures > 0 || k.Status.Role != commander.RoleReplica || k.Status.Term != g.view.Term() || now.Sub(k.Seen) > maxReportAge {
+	if k.Failures > 0 || k.Status.Role != commander.RoleReplica || k.Status.Term != g.view.Term() || now.Sub(k.StatusAt) > maxReportAge {
 		return false, false
 	}
 	return k.Status.Heard < 0 || k.Status.Heard >= heartbeatTimeout, true
@@ -54,8 +54,8 @@
 			g.leaderlessSince = time.Time{}
 			return EvidenceNone
 		case k.Failures >= minFailures:
-		case !k.Seen.IsZero() && now.Sub(k.Seen) < maxReportAge:
-			statusTimes = append(statusTimes, k.Seen)
+		case !k.StatusAt.IsZero() && now.Sub(k.StatusAt) < maxReportAge:
+			statusTimes = append(statusTimes, k.StatusAt)
 		default: // unknown member, possibly the primary
 			g.leaderlessSince = time.Time{}
 			return EvidenceNone
@@ -73,7 +73,7 @@
 	if shownAt.Sub(g.leaderlessSince) < leaderlessTimeout {
 		return EvidenceNone
 	}
-	return EvidenceHeadless
+	return EvidenceLeaderless
 }
 
 // assessStall detects a primary that is partitioned from its replicas, so that its writes are
@@ -98,7 +98,7 @@
 		if d, known := g.missesHeartbeats(now, i); known {
 			reporting++
 			if d {
-				missed = append(missed, m.Seen)
+				missed = append(missed, m.StatusAt)
 			}
 		}
 	}
@@ -109,7 +109,7 @@
 		g.stall = stall{}
 		return EvidenceNone
 	}
-	shownAt, timeout := g.view.Members[p].Seen, stallTimeout
+	shownAt, timeout := g.view.Members[p].StatusAt, stallTimeout
 	if isolated {
 		shownAt, timeout = nthNewest(missed, minority+1), isolationTimeout
 	}
@@ -135,7 +135,7 @@
 // instance decides alone.
 func (g *group) shouldAct(now time.Time) bool {
 	c := g.current
-	if c.evidence == EvidenceStalled || c.evidence == EvidenceHeadless {
+	if c.evidence == EvidenceStalled || c.evidence == EvidenceLeaderless {
 		return true
 	}
 	p := g.view.Primary()
@@ -159,7 +159,7 @@
 		}
 		missed, known := g.missesHeartbeats(now, i)
 		switch {
-		case known && !missed && g.view.Members[i].Seen.After(failing):
+		case known && !missed && g.view.Members[i].StatusAt.After(failing):
 			alive[m.Zone] = true
 		case known && missed && m.Zone != g.zone:
 			suspecting[m.Zone] = true
--- a/internal/detector/slice.go
+++ b/internal/detector/slice.go
@@ -98,13 +98,13 @@
 // Step implements controller.Slice.
 func (s *Slice) Step(now time.Time, e controller.Event) []controller.Action {
 	switch e := e.(type) {
-	case configurer.InForce:
+	case configurer.Activated:
 		s.applyConfiguration(e.Document)
 	case observer.Observed:
 		if s.views.Observe(e) != nil {
 			return s.groups[e.Service].evaluate(now)
 		}
-	case gossiper.Heard:
+	case gossiper.ReportReceived:
 		return s.handleReport(now, e)
 	case controller.Tick:
 		var out []controller.Action
@@ -132,7 +132,7 @@
 	}
 }
 
-func (s *Slice) handleReport(now time.Time, e gossiper.Heard) []controller.Action {
+func (s *Slice) handleReport(now time.Time, e gossiper.ReportReceived) []controller.Action {
 	if e.Report.Zone == s.Zone {
 		return nil
 	}
@@ -148,7 +148,7 @@
 	return out
 }
 
-func (g *group) recordReport(now time.Time, e gossiper.Heard, r gossiper.GroupReport) {
+func (g *group) recordReport(now time.Time, e gossiper.ReportReceived, r gossiper.GroupReport) {
 	o := g.zoneReports[e.Report.Zone]
 	p := g.view.Primary()
 	if p < 0 {
@@ -165,7 +165,7 @@
 		o.reportedAt = now
 		o.suspects = m.Suspected
 		// A lower bound of the observation's time, on this instance's clock.
-		at := e.Asked.Add(-m.Age)
+		at := e.RequestedAt.Add(-m.Age)
 		if m.Failures == 0 && m.Status.Role == commander.RolePrimary && m.Status.Term == term && at.After(o.primaryAliveAt) {
 			o.primaryAliveAt = at
 		}
@@ -203,10 +203,10 @@
 // statusAge returns the time since the primary's last answered request was sent.
 func (g *group) statusAge(now time.Time) time.Duration {
 	p := g.view.Primary()
-	if p < 0 || g.view.Members[p].Seen.IsZero() {
+	if p < 0 || g.view.Members[p].StatusAt.IsZero() {
 		return -1
 	}
-	return now.Sub(g.view.Members[p].Seen)
+	return now.Sub(g.view.Members[p].StatusAt)
 }
 
 // withdraw ends the current suspicion.
@@ -222,9 +222,9 @@
 	return out
 }
 
-func (g *group) agreedEvent(on bool) Agreed {
+func (g *group) agreedEvent(on bool) FailureAgreed {
 	c := g.current
-	return Agreed{Service: g.view.Service.Name, Member: c.member, Term: c.term, On: on, Evidence: c.evidence}
+	return FailureAgreed{Service: g.view.Service.Name, Member: c.member, Term: c.term, On: on, Evidence: c.evidence}
 }
 
 func (g *group) emit(e controller.Event) controller.Action { return controller.Emit{Event: e} }
--- a/internal/detector/slice_test.go
+++ b/internal/detector/slice_test.go
@@ -54,13 +54,13 @@
 	deliver := func(e controller.Event) {
 		for _, a := range append(s.Step(now, e), s.Step(now, controller.Tick{})...) {
 			if m, ok := a.(controller.Emit); ok {
-				if g, ok := m.Event.(detector.Agreed); ok && g.On && agreed == 0 {
+				if g, ok := m.Event.(detector.FailureAgreed); ok && g.On && agreed == 0 {
 					agreed = now.Sub(faultAt)
 				}
 			}
 		}
 	}
-	deliver(configurer.InForce{Version: 1, Document: &configurer.Document{Services: []configurer.Service{service}}})
+	deliver(configurer.Activated{Version: 1, Document: &configurer.Document{Services: []configurer.Service{service}}})
 	offset := uint64(5)
 	poll := func(fault error, heartbeatAge time.Duration) {
 		primary := commander.Status{
@@ -104,7 +104,7 @@
 			if suspects {
 				m.Failures = 3
 			}
-			deliver(gossiper.Heard{Asked: now, Report: gossiper.Report{
+			deliver(gossiper.ReportReceived{RequestedAt: now, Report: gossiper.Report{
 				Instance: "entry-" + z, Zone: z, Groups: []gossiper.GroupReport{{Service: "s", Members: []gossiper.MemberReport{m}}},
 			}})
 		}
@@ -169,7 +169,7 @@
 func detectsLeaderless(answer bool) (agreed bool) {
 	s, now := &detector.Slice{Zone: "b"}, time.Unix(1000, 0)
 	service := configurer.Service{Name: "s", Members: []configurer.Member{{Name: "m-1"}, {Name: "m-2"}, {Name: "m-3"}}}
-	s.Step(now, configurer.InForce{Version: 1, Document: &configurer.Document{Services: []configurer.Service{service}}})
+	s.Step(now, configurer.Activated{Version: 1, Document: &configurer.Document{Services: []configurer.Service{service}}})
 	for i := range 15 {
 		var out []controller.Action
 		for _, m := range service.Members {
@@ -181,7 +181,7 @@
 		}
 		for _, a := range append(out, s.Step(now, controller.Tick{})...) {
 			if m, ok := a.(controller.Emit); ok {
-				e, ok := m.Event.(detector.Agreed)
+				e, ok := m.Event.(detector.FailureAgreed)
 				agreed = agreed || ok && e.On
 			}
 		}
--- a/internal/detector/view.go
+++ b/internal/detector/view.go
@@ -10,11 +10,11 @@
 )
 
 type (
-	// Known is the state of one member as observed by this instance.
-	Known struct {
+	// MemberState is the state of one member as observed by this instance.
+	MemberState struct {
 		Status commander.Status
-		// Seen is when the request that returned Status was sent; zero is never.
-		Seen time.Time
+		// StatusAt is when the request that returned Status was sent; zero is never.
+		StatusAt time.Time
 		// Failures counts consecutive unanswered requests; the first of them was sent at FailingSince.
 		Failures     int
 		FailingSince time.Time
@@ -25,7 +25,7 @@
 	// View is the observed state of one group.
 	View struct {
 		Service *configurer.Service
-		Members []Known
+		Members []MemberState
 	}
 
 	// Views holds the groups of a configuration by service name.
@@ -37,7 +37,7 @@
 	next := Views{}
 	for i := range d.Services {
 		s := &d.Services[i]
-		v := &View{Service: s, Members: make([]Known, len(s.Members))}
+		v := &View{Service: s, Members: make([]MemberState, len(s.Members))}
 		if old := w[s.Name]; old != nil {
 			for j, m := range s.Members {
 				if k := old.Index(m.Name); k >= 0 && old.Service.Members[k].Address == m.Address {
@@ -66,21 +66,21 @@
 	return v
 }
 
-func (k *Known) update(e observer.Observed) {
+func (m *MemberState) update(e observer.Observed) {
 	// Ignores responses received out of order, and requests that were not sent for lack of a
 	// connection.
-	if e.Started.Before(k.Seen) || errors.Is(e.Err, commander.ErrBusy) {
+	if e.Started.Before(m.StatusAt) || errors.Is(e.Err, commander.ErrBusy) {
 		return
 	}
 	if e.Err == nil {
-		k.Status, k.Seen, k.Failures = e.Status, e.Started, 0
+		m.Status, m.StatusAt, m.Failures = e.Status, e.Started, 0
 		return
 	}
-	if k.Failures == 0 {
-		k.FailingSince = e.Started
+	if m.Failures == 0 {
+		m.FailingSince = e.Started
 	}
-	k.Failures++
-	k.Unreachable = errors.Is(e.Err, commander.ErrUnreachable)
+	m.Failures++
+	m.Unreachable = errors.Is(e.Err, commander.ErrUnreachable)
 }
 
 // Index returns the index of a member in the configuration, or -1.
--- a/internal/introducer/introducer.go
+++ b/internal/discoverer/discoverer.go
@@ -1,6 +1,6 @@
-// Package introducer keeps the list of peer instances and selects the ones to contact. It
+// Package discoverer keeps the list of peer instances and selects the ones to contact. It
 // does no I/O and reads no clock; callers pass observations and timestamps.
-package introducer
+package discoverer
 
 import (
 	"cmp"
@@ -23,7 +23,7 @@
 	peerRetention = 2 * time.Minute
 	// maxPeersNearZone and maxPeersRemoteZone bound the peers kept of each zone inside and
 	// outside the region. A region must be complete, so that its instances agree on the
-	// readers of the store; with Wide, maxPeersNearZone applies to all zones.
+	// readers of the store; with KeepAllZones, maxPeersNearZone applies to all zones.
 	maxPeersNearZone, maxPeersRemoteZone = 256, 8
 	// maxPeersInReply bounds the peers listed in a reply.
 	maxPeersInReply = 32
@@ -47,17 +47,17 @@
 		Millicores int
 	}
 
-	// Introducer keeps the known peers. Set the exported fields before use. It is safe for
+	// Discoverer keeps the known peers. Set the exported fields before use. It is safe for
 	// concurrent use.
-	Introducer struct {
+	Discoverer struct {
 		Self Peer
 		// Seeds are the addresses of potential peers.
 		Seeds []string
-		// Near reports whether a zone is in this instance's region.
-		Near func(zone string) bool
-		// Wide keeps the peers of all zones, so that instances which borrow connections
+		// SameRegion reports whether a zone is in this instance's region.
+		SameRegion func(zone string) bool
+		// KeepAllZones keeps the peers of all zones, so that instances which borrow connections
 		// across regions select the same lenders.
-		Wide atomic.Bool
+		KeepAllZones atomic.Bool
 
 		mutex sync.Mutex
 		peers map[string]*peerState
@@ -68,75 +68,75 @@
 	peerState struct {
 		Peer
 		// lastSeen is when the peer was last in contact or listed by another peer.
-		lastSeen tracker.Stamp
+		lastSeen tracker.Timestamp
 		// contacted is set once the peer has sent a request or a reply.
 		contacted bool
 		// failures counts the consecutive failed calls. The first was at failingSince, the last
 		// at failedAt.
 		failures               int
-		failingSince, failedAt tracker.Stamp
+		failingSince, failedAt tracker.Timestamp
 	}
 )
 
-// Met records a request or reply of a peer. It removes other peers with the same address.
-func (i *Introducer) Met(now tracker.Stamp, p Peer) {
-	if p.Name == "" || p.Address == "" || p.Name == i.Self.Name {
+// RecordContact records a request or reply of a peer. It removes other peers with the same address.
+func (d *Discoverer) RecordContact(now tracker.Timestamp, p Peer) {
+	if p.Name == "" || p.Address == "" || p.Name == d.Self.Name {
 		return
 	}
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
-	for name, k := range i.peers {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	for name, k := range d.peers {
 		if k.Address == p.Address && name != p.Name {
-			delete(i.peers, name)
+			delete(d.peers, name)
 		}
 	}
-	k := i.peerState(p)
+	k := d.peerState(p)
 	*k = peerState{Peer: p, lastSeen: now, contacted: true}
-	i.evict(p.Zone)
+	d.evict(p.Zone)
 }
 
-// HeardOf records a peer listed by another instance. It does not imply that the peer is
+// RecordListed records a peer listed by another instance. It does not imply that the peer is
 // available.
-func (i *Introducer) HeardOf(now tracker.Stamp, p Peer) {
-	if p.Name == "" || p.Address == "" || p.Name == i.Self.Name || p.Address == i.Self.Address {
+func (d *Discoverer) RecordListed(now tracker.Timestamp, p Peer) {
+	if p.Name == "" || p.Address == "" || p.Name == d.Self.Name || p.Address == d.Self.Address {
 		return
 	}
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
-	if k, ok := i.peers[p.Name]; ok && k.contacted {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if k, ok := d.peers[p.Name]; ok && k.contacted {
 		return
 	}
-	i.peerState(p).lastSeen = now
-	i.evict(p.Zone)
+	d.peerState(p).lastSeen = now
+	d.evict(p.Zone)
 }
 
 // peerState returns the state of a peer, which it adds if it is unknown.
-func (i *Introducer) peerState(p Peer) *peerState {
-	if i.peers == nil {
-		i.peers = map[string]*peerState{}
+func (d *Discoverer) peerState(p Peer) *peerState {
+	if d.peers == nil {
+		d.peers = map[string]*peerState{}
 	}
-	k, ok := i.peers[p.Name]
+	k, ok := d.peers[p.Name]
 	if !ok {
 		k = &peerState{Peer: p}
-		i.peers[p.Name] = k
-		i.added++
+		d.peers[p.Name] = k
+		d.added++
 	}
 	return k
 }
 
-// Added returns how many peers were added since the start. Callers that cache results derived
+// AddedCount returns how many peers were added since the start. Callers that cache results derived
 // from the peers use it to detect changes.
-func (i *Introducer) Added() int {
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
-	return i.added
+func (d *Discoverer) AddedCount() int {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.added
 }
 
-// Failed records a failed call to an address.
-func (i *Introducer) Failed(now tracker.Stamp, address string) {
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
-	for name, k := range i.peers {
+// RecordFailure records a failed call to an address.
+func (d *Discoverer) RecordFailure(now tracker.Timestamp, address string) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	for name, k := range d.peers {
 		if k.Address != address {
 			continue
 		}
@@ -145,16 +145,16 @@
 		}
 		k.failures, k.failedAt = k.failures+1, now
 		if now-k.lastSeen > peerRetention {
-			delete(i.peers, name)
+			delete(d.peers, name)
 		}
 	}
 }
 
 // Failing reports whether the last call to a peer failed, and since when all calls have failed.
-func (i *Introducer) Failing(name string) (bool, tracker.Stamp) {
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
-	k, ok := i.peers[name]
+func (d *Discoverer) Failing(name string) (bool, tracker.Timestamp) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	k, ok := d.peers[name]
 	if !ok || k.failures == 0 {
 		return false, 0
 	}
@@ -163,50 +163,50 @@
 
 // Peers returns the available peers, nearest zones first. The order within a zone is random
 // to distribute the requests.
-func (i *Introducer) Peers(now tracker.Stamp) []Peer {
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
+func (d *Discoverer) Peers(now tracker.Timestamp) []Peer {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	var list []Peer
-	for _, k := range i.peers {
+	for _, k := range d.peers {
 		if k.available(now) {
 			list = append(list, k.Peer)
 		}
 	}
 	slices.SortFunc(list, func(a, b Peer) int { return cmp.Compare(a.Name, b.Name) })
 	rand.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
-	slices.SortStableFunc(list, func(a, b Peer) int { return cmp.Compare(i.distance(a), i.distance(b)) })
+	slices.SortStableFunc(list, func(a, b Peer) int { return cmp.Compare(d.distance(a), d.distance(b)) })
 	return list
 }
 
 // Addresses returns at most n addresses to contact: those of available peers, nearest first,
 // then the seeds.
-func (i *Introducer) Addresses(now tracker.Stamp, n int) []string {
+func (d *Discoverer) Addresses(now tracker.Timestamp, n int) []string {
 	var list []string
-	for _, p := range i.Peers(now) {
+	for _, p := range d.Peers(now) {
 		list = append(list, p.Address)
 	}
-	for _, s := range i.Seeds {
-		if s != i.Self.Address && !slices.Contains(list, s) {
+	for _, s := range d.Seeds {
+		if s != d.Self.Address && !slices.Contains(list, s) {
 			list = append(list, s)
 		}
 	}
 	return list[:min(n, len(list))]
 }
 
-// Guarded returns the peers that this instance contacts regularly: its successors in the
+// Monitored returns the peers that this instance contacts regularly: its successors in the
 // cyclic order of names in its zone. Each instance thus is contacted by a few peers, also
 // after a restart without any state.
-func (i *Introducer) Guarded() []Peer {
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
+func (d *Discoverer) Monitored() []Peer {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	var list []Peer
-	for _, k := range i.peers {
-		if k.Zone == i.Self.Zone {
+	for _, k := range d.peers {
+		if k.Zone == d.Self.Zone {
 			list = append(list, k.Peer)
 		}
 	}
 	slices.SortFunc(list, func(a, b Peer) int {
-		return cmp.Or(compareBool(a.Name < i.Self.Name, b.Name < i.Self.Name), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(compareBool(a.Name < d.Self.Name, b.Name < d.Self.Name), cmp.Compare(a.Name, b.Name))
 	})
 	return list[:min(monitoredPeers, len(list))]
 }
@@ -223,48 +223,50 @@
 	}
 }
 
-// Unmet returns at most n available peers without any contact so far.
-func (i *Introducer) Unmet(now tracker.Stamp, n int) []Peer {
-	list := i.Peers(now)
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
-	list = slices.DeleteFunc(list, func(p Peer) bool { k := i.peers[p.Name]; return k == nil || k.contacted })
+// Uncontacted returns at most n available peers without any contact so far.
+func (d *Discoverer) Uncontacted(now tracker.Timestamp, n int) []Peer {
+	list := d.Peers(now)
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	list = slices.DeleteFunc(list, func(p Peer) bool { k := d.peers[p.Name]; return k == nil || k.contacted })
 	return list[:min(n, len(list))]
 }
 
-// Told returns the peers to list in a reply.
-func (i *Introducer) Told(now tracker.Stamp) []Peer {
-	list := i.Peers(now)
+// PeersForReply returns the peers to list in a reply.
+func (d *Discoverer) PeersForReply(now tracker.Timestamp) []Peer {
+	list := d.Peers(now)
 	return list[:min(maxPeersInReply, len(list))]
 }
 
 // distance returns the distance of a peer's zone.
-func (i *Introducer) distance(p Peer) int {
+func (d *Discoverer) distance(p Peer) int {
 	switch {
-	case p.Zone == i.Self.Zone:
+	case p.Zone == d.Self.Zone:
 		return zoneDistance
-	case i.Near(p.Zone):
+	case d.SameRegion(p.Zone):
 		return regionDistance
 	default:
 		return farDistance
 	}
 }
 
-// Zone returns this instance and the available peers of its zone, unordered.
-func (i *Introducer) Zone(now tracker.Stamp) []Peer { return i.peersWithin(now, zoneDistance) }
+// OwnZone returns this instance and the available peers of its zone, unordered.
+func (d *Discoverer) OwnZone(now tracker.Timestamp) []Peer { return d.peersWithin(now, zoneDistance) }
 
-// Region returns this instance and the available peers of its region, unordered.
-func (i *Introducer) Region(now tracker.Stamp) []Peer { return i.peersWithin(now, regionDistance) }
+// OwnRegion returns this instance and the available peers of its region, unordered.
+func (i *Discoverer) OwnRegion(now tracker.Timestamp) []Peer {
+	return i.peersWithin(now, regionDistance)
+}
 
-// In returns the available instances of a zone, which may include this one, unordered.
-func (i *Introducer) In(now tracker.Stamp, zone string) []Peer {
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
+// InZone returns the available instances of a zone, which may include this one, unordered.
+func (d *Discoverer) InZone(now tracker.Timestamp, zone string) []Peer {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	var list []Peer
-	if zone == i.Self.Zone {
-		list = append(list, i.Self)
+	if zone == d.Self.Zone {
+		list = append(list, d.Self)
 	}
-	for _, k := range i.peers {
+	for _, k := range d.peers {
 		if k.Zone == zone && k.available(now) {
 			list = append(list, k.Peer)
 		}
@@ -272,23 +274,25 @@
 	return list
 }
 
-// Remembered returns this instance and all known peers, unordered. It includes unavailable
+// AllKnown returns this instance and all known peers, unordered. It includes unavailable
 // peers, so both sides of a network partition get the same result.
-func (i *Introducer) Remembered() []Peer {
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
-	list := []Peer{i.Self}
-	for _, k := range i.peers {
+func (d *Discoverer) AllKnown() []Peer {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	list := []Peer{d.Self}
+	for _, k := range d.peers {
 		list = append(list, k.Peer)
 	}
 	return list
 }
 
-// All returns this instance and all available peers, unordered.
-func (i *Introducer) All(now tracker.Stamp) []Peer { return i.peersWithin(now, farDistance) }
+// AllAvailable returns this instance and all available peers, unordered.
+func (d *Discoverer) AllAvailable(now tracker.Timestamp) []Peer {
+	return d.peersWithin(now, farDistance)
+}
 
 // peersWithin returns this instance and the available peers up to a distance.
-func (i *Introducer) peersWithin(now tracker.Stamp, distance int) []Peer {
+func (i *Discoverer) peersWithin(now tracker.Timestamp, distance int) []Peer {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	list := []Peer{i.Self}
@@ -301,21 +305,21 @@
 }
 
 // available reports whether a peer is presumed to be reachable.
-func (k *peerState) available(now tracker.Stamp) bool {
+func (k *peerState) available(now tracker.Timestamp) bool {
 	return k.failures < maxFailures || now-k.failedAt > unavailablePeriod
 }
 
 // evict removes the least recently seen peers of a zone that exceeds its limit.
-func (i *Introducer) evict(zone string) {
-	if len(i.peers) <= maxPeersNearZone {
+func (d *Discoverer) evict(zone string) {
+	if len(d.peers) <= maxPeersNearZone {
 		return
 	}
 	kept := maxPeersRemoteZone
-	if i.Wide.Load() || i.distance(Peer{Zone: zone}) <= regionDistance {
+	if d.KeepAllZones.Load() || d.distance(Peer{Zone: zone}) <= regionDistance {
 		kept = maxPeersNearZone
 	}
 	var list []*peerState
-	for _, k := range i.peers {
+	for _, k := range d.peers {
 		if k.Zone == zone {
 			list = append(list, k)
 		}
@@ -327,6 +331,6 @@
 		return cmp.Or(cmp.Compare(b.lastSeen, a.lastSeen), cmp.Compare(a.Name, b.Name))
 	})
 	for _, k := range list[kept:] {
-		delete(i.peers, k.Name)
+		delete(d.peers, k.Name)
 	}
 }
--- a/internal/dispatcher/access.go
+++ b/internal/dispatcher/access.go
@@ -62,7 +62,7 @@
 	case !s.hasKey:
 		return "", false
 	}
-	holder, ok := c.Customers.Holder(s.key)
+	holder, ok := c.Customers.ByKey(s.key)
 	if !ok {
 		return "", false
 	}
@@ -81,7 +81,7 @@
 		return messenger.Reply{}, true
 	}
 	if t.keyLost == 0 {
-		t.keyLost = c.Taken
+		t.keyLost = c.AppliedAt
 	}
 	if s.server.Clock()-t.keyLost <= time.Duration(withdrawnPart*float64(s.server.InForce)) {
 		return messenger.Reply{}, true
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -36,7 +36,7 @@
 		server  *dispatcher.Server
 		tracked *tracker.Group
 		pool    *lender.Pool
-		clock   func() tracker.Stamp
+		clock   func() tracker.Timestamp
 		callers int
 
 		// unconfigured has the instance know no configuration.
@@ -59,9 +59,9 @@
 
 // routes has a database for each rule.
 var routes = map[string]tracker.Route{
-	"strict":  {Database: "strict", Group: "g", Rule: tracker.RulePrimary, Timeout: time.Second, Aim: 400 * time.Millisecond},
-	"bounded": {Database: "bounded", Group: "g", Rule: tracker.RuleBounded, Staleness: 1500 * time.Millisecond, Timeout: time.Second, Aim: 800 * time.Millisecond},
-	"own":     {Database: "own", Group: "g", Rule: tracker.RuleOwnWrites, Staleness: 2500 * time.Millisecond, Timeout: time.Second, Aim: 800 * time.Millisecond},
+	"strict":  {Database: "strict", Group: "g", Rule: tracker.RulePrimary, Timeout: time.Second, LatencyObjective: 400 * time.Millisecond},
+	"bounded": {Database: "bounded", Group: "g", Rule: tracker.RuleBounded, Staleness: 1500 * time.Millisecond, Timeout: time.Second, LatencyObjective: 800 * time.Millisecond},
+	"own":     {Database: "own", Group: "g", Rule: tracker.RuleReadYourWrites, Staleness: 2500 * time.Millisecond, Timeout: time.Second, LatencyObjective: 800 * time.Millisecond},
 }
 
 // play runs an instance before a group whose replicas are late by lag.
@@ -76,11 +76,11 @@
 		}}
 		s.group.Start(ctx, "a", "b", "c")
 		begin := time.Now()
-		s.clock = func() tracker.Stamp { return time.Since(begin) + time.Hour }
-		s.tracked = &tracker.Group{Name: "g", Zone: "b", Near: func(zone string) bool { return zone == "b" }}
-		s.tracked.Members(s.group.Registered())
+		s.clock = func() tracker.Timestamp { return time.Since(begin) + time.Hour }
+		s.tracked = &tracker.Group{Name: "g", Zone: "b", SameRegion: func(zone string) bool { return zone == "b" }}
+		s.tracked.SetMembers(s.group.Registered())
 		host := n.Host("10.8.0.1", "b")
-		s.pool = &lender.Pool{Group: s.tracked, Network: host, Codec: platform.Lines{}, Who: "test", Clock: s.clock}
+		s.pool = &lender.Pool{Group: s.tracked, Network: host, Codec: platform.Lines{}, ClientName: "test", Clock: s.clock}
 		s.pool.Configure(20, nil)
 		c := &tracker.Configuration{Version: 1, Routes: routes, TransactionIdle: time.Second}
 		b := &dispatcher.Backend{Group: s.tracked, Pool: s.pool, Suspect: func(string) {}}
--- a/internal/dispatcher/exchange.go
+++ b/internal/dispatcher/exchange.go
@@ -39,7 +39,7 @@
 	writes    bool
 	access
 	// arrived and start are the moment the statement was read, on both clocks.
-	arrived tracker.Stamp
+	arrived tracker.Timestamp
 	start   time.Time
 	// tried are the members that did not serve it.
 	tried []string
@@ -79,7 +79,7 @@
 // readers chooses among the members that may hold what the read needs: those that
 // have not failed it yet first. When none does, the primary is asked.
 func (x *exchange) readers() []string {
-	ids := x.backend.Group.Readers(x.session.server.Clock(), x.need)
+	ids := x.backend.Group.ReadCandidates(x.session.server.Clock(), x.need)
 	fresh := slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return slices.Contains(x.tried, id) })
 	if len(fresh) > 0 {
 		return fresh
@@ -94,7 +94,7 @@
 	begin := time.Now()
 	defer func() { x.waited += time.Since(begin) }()
 	c, err := x.backend.Pool.Borrow(ctx, lender.Request{
-		Choose: choose, Customer: x.customer, Counts: !x.counted, Long: x.session.tx != nil, Priority: x.route.Priority, Until: x.holdUntil(),
+		EligibleMembers: choose, Customer: x.customer, RateLimited: !x.counted, Transaction: x.session.tx != nil, Priority: x.route.Priority, Deadline: x.holdUntil(),
 	})
 	x.counted = x.counted || err == nil
 	return c, err
@@ -107,7 +107,7 @@
 		if limited := x.session.server.Limited; limited != nil {
 			limited(limit.Customer)
 		}
-		return x.refuseUntil(ReasonOverLimit, limit.Again)
+		return x.refuseUntil(ReasonOverLimit, limit.RetryAfter)
 	}
 	return x.refuse(reasonOf(err))
 }
@@ -181,7 +181,7 @@
 // values and prepared statement first. lead is how many come before the statement.
 func (x *exchange) commands(c *lender.Conn, before, after []messenger.Command) (all []messenger.Command, lead int) {
 	t := x.session.tx
-	fit, name := c.Fit(x.session.values, x.prepared, t != nil && t.conn == c)
+	fit, name := c.SessionCommands(x.session.values, x.prepared, t != nil && t.conn == c)
 	own := x.command
 	if x.prepared != nil {
 		own.Name = name
@@ -196,15 +196,15 @@
 // send exchanges commands with a member and tells the group what came of it.
 func (x *exchange) send(c *lender.Conn, commands []messenger.Command, deadline time.Time) ([]messenger.Reply, bool, error) {
 	g, now := x.backend.Group, time.Now()
-	g.Sent(c.Member)
+	g.RecordSend(c.Member)
 	replies, sent, err := c.Exchange(commands, deadline)
 	stamp := x.session.server.Clock()
 	if err != nil {
-		g.Unanswered(stamp, c.Member, true)
-		x.backend.Pool.Silent(c)
+		g.RecordFailure(stamp, c.Member, true)
+		x.backend.Pool.NoteTimeout(c)
 		return replies, sent, err
 	}
-	g.Answered(stamp, c.Member, time.Since(now), replies[len(replies)-1].Position)
+	g.RecordResponse(stamp, c.Member, time.Since(now), replies[len(replies)-1].Position)
 	x.checkState(c, commands, replies)
 	x.noteRoom(c, replies)
 	return replies, sent, nil
@@ -213,7 +213,7 @@
 // noteRoom tells the pool whether the member had room for what was sent.
 func (x *exchange) noteRoom(c *lender.Conn, replies []messenger.Reply) {
 	busy := slices.ContainsFunc(replies, func(r messenger.Reply) bool { return r.Code == messenger.CodeBusy })
-	x.backend.Pool.Ran(c, !busy)
+	x.backend.Pool.NoteResult(c, !busy)
 }
 
 // checkState has the connection give up its record of the session's state when a
@@ -223,7 +223,7 @@
 		switch commands[i].Kind {
 		case messenger.KindSet, messenger.KindReset, messenger.KindPrepareRead, messenger.KindPrepareWrite:
 			if r.Code != messenger.CodeNone {
-				c.Forget()
+				c.ForgetState()
 				x.session.server.decide("statement", "id", x.statement.ID, "outcome", "state-not-set", "member", c.Member, "code", r.Code)
 			}
 		}
--- a/internal/dispatcher/read.go
+++ b/internal/dispatcher/read.go
@@ -41,7 +41,7 @@
 	if x.route.Rule == tracker.RulePrimary {
 		return false
 	}
-	need, ok := x.backend.Group.Need(x.arrived, x.route, x.session.floor)
+	need, ok := x.backend.Group.RequiredPosition(x.arrived, x.route, x.session.floor)
 	x.need = need
 	return ok
 }
@@ -68,7 +68,7 @@
 	}
 	begun, r := replies[lead-1], replies[lead]
 	if begun.Code == messenger.CodeNone {
-		x.backend.Group.Prove(tracker.Proof{At: asked, Position: begun.Position})
+		x.backend.Group.AddProof(tracker.FreshnessProof{At: asked, Position: begun.Position})
 	} else if r.Code == messenger.CodeNone {
 		r = begun
 	}
@@ -126,11 +126,11 @@
 		x.backend.Pool.Return(c)
 		return x.done(member, r), false
 	case messenger.CodeBehind:
-		x.backend.Group.Behind(stamp, member, x.need)
+		x.backend.Group.RecordLag(stamp, member, x.need)
 	case messenger.CodeNotPrimary:
 		x.backend.lost(member)
 	case messenger.CodeUnknownStatement:
-		c.Forget()
+		c.ForgetState()
 	}
 	x.backend.Pool.Return(c)
 	if x.retry(member, reasonOfCode(r.Code)) {
--- a/internal/dispatcher/reasons.go
+++ b/internal/dispatcher/reasons.go
@@ -65,9 +65,9 @@
 // reasonOf names why no connection was lent.
 func reasonOf(err error) Reason {
 	switch {
-	case errors.Is(err, lender.ErrNobody):
+	case errors.Is(err, lender.ErrNoMember):
 		return ReasonNoPrimary
-	case errors.Is(err, lender.ErrFull):
+	case errors.Is(err, lender.ErrNoConnection):
 		return ReasonNoConnection
 	default:
 		return ReasonInstanceLeaves
--- a/internal/dispatcher/server.go
+++ b/internal/dispatcher/server.go
@@ -54,7 +54,7 @@
 		Address string
 		Network networker.Network
 		Codec   messenger.CallerCodec
-		Clock   func() tracker.Stamp
+		Clock   func() tracker.Timestamp
 		// Configuration returns the version in force, nil before the first.
 		Configuration func() *tracker.Configuration
 		// Current, when set, reports that the version in force is not older than InForce
@@ -188,7 +188,7 @@
 // off at work, and gives the connection back.
 func (s *Server) finish(b *Backend, c *lender.Conn, until time.Time) {
 	go func() {
-		if err := c.Finish(until); err != nil {
+		if err := c.ReadRemaining(until); err != nil {
 			c.Close()
 		}
 		b.Pool.Return(c)
@@ -204,7 +204,7 @@
 
 // lost takes in that a member says it is not the primary.
 func (b *Backend) lost(member string) {
-	b.Group.Lost(member)
+	b.Group.ClearPrimary(member)
 	b.Suspect(member)
 }
 
@@ -215,6 +215,6 @@
 	if b.Group.Primary() == "" {
 		return changeComeBack
 	}
-	_, _, waiting, _ := b.Pool.Load()
+	_, _, waiting, _ := b.Pool.Stats()
 	return shortestComeBack + time.Duration(waiting)*busyPause
 }
--- a/internal/dispatcher/session.go
+++ b/internal/dispatcher/session.go
@@ -26,7 +26,7 @@
 		hasKey   bool
 		values   lender.Values
 		prepared map[string]lender.Prepared
-		floor    tracker.Floor
+		floor    tracker.LastCommit
 		state    messenger.State
 		tx       *transaction
 		buffer   []byte
@@ -42,8 +42,8 @@
 		readOnly bool
 		// keyLost is when the caller's key turned out not to be the customer's any more; 0
 		// while it is.
-		keyLost tracker.Stamp
-		arrived tracker.Stamp
+		keyLost tracker.Timestamp
+		arrived tracker.Timestamp
 		conn    *lender.Conn
 		wrote   bool
 	}
--- a/internal/dispatcher/transaction.go
+++ b/internal/dispatcher/transaction.go
@@ -73,7 +73,7 @@
 			return messenger.Reply{}, true
 		}
 		if r.Code == messenger.CodeBehind {
-			x.backend.Group.Behind(x.session.server.Clock(), c.Member, x.need)
+			x.backend.Group.RecordLag(x.session.server.Clock(), c.Member, x.need)
 		}
 		if !x.again(c, r) {
 			return x.refuse(reasonOfCode(r.Code)), false
@@ -83,7 +83,7 @@
 
 // open opens a transaction on a connection. Without an answer the connection is gone.
 func (x *exchange) open(c *lender.Conn, open messenger.Command) (messenger.Reply, error) {
-	fit, _ := c.Fit(x.session.values, x.prepared, false)
+	fit, _ := c.SessionCommands(x.session.values, x.prepared, false)
 	asked := x.session.server.Clock()
 	replies, _, err := x.send(c, append(fit, open), time.Now().Add(beginTimeout))
 	if err != nil {
@@ -94,7 +94,7 @@
 	}
 	r := replies[len(fit)]
 	if r.Code == messenger.CodeNone && open.Kind == messenger.KindBegin {
-		x.backend.Group.Prove(tracker.Proof{At: asked, Position: r.Position})
+		x.backend.Group.AddProof(tracker.FreshnessProof{At: asked, Position: r.Position})
 	}
 	return r, nil
 }
--- a/internal/dispatcher/write.go
+++ b/internal/dispatcher/write.go
@@ -50,9 +50,9 @@
 }
 
 // committed takes in that a commit was acknowledged.
-func (x *exchange) committed(asked tracker.Stamp, r messenger.Reply) {
-	x.session.floor = tracker.Floor{Position: r.Position, At: x.session.server.Clock()}
-	x.backend.Group.Prove(tracker.Proof{At: asked, Position: r.Position})
+func (x *exchange) committed(asked tracker.Timestamp, r messenger.Reply) {
+	x.session.floor = tracker.LastCommit{Position: r.Position, At: x.session.server.Clock()}
+	x.backend.Group.AddProof(tracker.FreshnessProof{At: asked, Position: r.Position})
 }
 
 // again returns the connection of a statement that the primary has not run, and
@@ -63,7 +63,7 @@
 	case messenger.CodeNotPrimary:
 		x.backend.lost(member)
 	case messenger.CodeUnknownStatement:
-		c.Forget()
+		c.ForgetState()
 	}
 	x.backend.Pool.Return(c)
 	return x.retry(member, reasonOfCode(r.Code))
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -103,7 +103,7 @@
 // Step implements controller.Slice.
 func (s *Slice) Step(now time.Time, e controller.Event) []controller.Action {
 	switch e := e.(type) {
-	case configurer.InForce:
+	case configurer.Activated:
 		return s.apply(now, e.Document)
 	case lister.Listed:
 		if e.Err == nil {
--- a/internal/drainer/leaver_test.go
+++ b/internal/drainer/leaver_test.go
@@ -62,10 +62,10 @@
 	Name: "lockers", Members: []configurer.Member{{Name: "one"}, {Name: "two"}},
 }}}
 
-func marked(leaving bool) configurer.InForce {
+func marked(leaving bool) configurer.Activated {
 	d := &configurer.Document{Services: []configurer.Service{groups.Services[0]}}
 	d.Services[0].Members = []configurer.Member{{Name: "one", Leaving: leaving}, {Name: "two"}}
-	return configurer.InForce{Version: 2, Document: d}
+	return configurer.Activated{Version: 2, Document: d}
 }
 
 func listed(state string) lister.Listed {
@@ -101,7 +101,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := &drainer.Slice{}
 			now, leaving := time.Unix(1, 0), false
-			for _, e := range append([]controller.Event{configurer.InForce{Version: 1, Document: groups}}, c.events...) {
+			for _, e := range append([]controller.Event{configurer.Activated{Version: 1, Document: groups}}, c.events...) {
 				for _, a := range s.Step(now, e) {
 					if l, ok := a.(controller.Emit).Event.(drainer.TargetLeaving); ok {
 						must.Eq(t, "one", l.Member)
--- a/internal/editor/layout.go
+++ b/internal/editor/layout.go
@@ -84,7 +84,7 @@
 func serviceValues(s configurer.Service) map[string]string {
 	return map[string]string{
 		"name": s.Name, "connections": strconv.Itoa(s.Connections), "slots": strconv.Itoa(s.Slots),
-		"hold-ms": strconv.FormatInt(s.Hold.Milliseconds(), 10),
+		"hold-ms": strconv.FormatInt(s.FailoverWait.Milliseconds(), 10),
 	}
 }
 
--- a/internal/elector/decide.go
+++ b/internal/elector/decide.go
@@ -55,44 +55,44 @@
 		Answered bool
 		// Refused is set when a new connection was refused, not timed out.
 		Refused bool
-		// Full is set when the member rejected the connection for its connection limit.
-		Full bool
+		// ConnectionsExhausted is set when the member rejected the connection for its limit.
+		ConnectionsExhausted bool
 		// FailedSince is when the first of the current failed polls was sent.
-		FailedSince tracker.Stamp
+		FailedSince tracker.Timestamp
 		Status      messenger.Status
-		// Known is when Status was received.
-		Known tracker.Stamp
-		// BehindSince is when the replica stopped at a position behind the primary's, 0 when it
+		// StatusAt is when Status was received.
+		StatusAt tracker.Timestamp
+		// StalledSince is when the replica stopped at a position behind the primary's, 0 when it
 		// follows; PausedSince is when it was paused.
-		BehindSince, PausedSince tracker.Stamp
+		StalledSince, PausedSince tracker.Timestamp
 		// OverloadedSince is when the member's queue became long, 0 when it is not; CrowdedSince is
 		// when nearly all of its connections were in use.
-		OverloadedSince, CrowdedSince tracker.Stamp
+		OverloadedSince, CrowdedSince tracker.Timestamp
 	}
 
 	// View is the state of a group as its owner sees it.
 	View struct {
-		Now     tracker.Stamp
+		Now     tracker.Timestamp
 		Members []Observation
 		// Primary is the last known primary.
 		Primary string
 		// LeaderlessSince is when the group lost its primary, 0 when it has one.
-		LeaderlessSince tracker.Stamp
-		// Ordered is when a promotion was last ordered.
-		Ordered tracker.Stamp
-		// MovePause is the minimum interval between changes made only to balance load.
-		MovePause time.Duration
-		// Booted is when this process started.
-		Booted tracker.Stamp
+		LeaderlessSince tracker.Timestamp
+		// PromotionOrderedAt is when a promotion was last ordered.
+		PromotionOrderedAt tracker.Timestamp
+		// RebalanceInterval is the minimum interval between changes made only to balance load.
+		RebalanceInterval time.Duration
+		// ProcessStart is when this process started.
+		ProcessStart tracker.Timestamp
 	}
 
 	// Reason is why the primary is replaced.
 	Reason string
 
-	// Verdict is the outcome of Decide.
-	Verdict struct {
-		// Move is why the primary should be replaced, ReasonNone when it should not.
-		Move Reason
+	// Decision is the outcome of Decide.
+	Decision struct {
+		// Reason is why the primary should be replaced, ReasonNone when it should not.
+		Reason Reason
 		// Resume lists replicas that were left paused.
 		Resume []string
 	}
@@ -100,22 +100,22 @@
 
 // The reasons to replace the primary.
 const (
-	ReasonNone       Reason = ""
-	ReasonRefused    Reason = "primary-refuses-connections"
-	ReasonSilent     Reason = "primary-silent"
-	ReasonLeaving    Reason = "primary-leaving"
-	ReasonStandstill Reason = "replicas-standing-still"
-	ReasonLeaderless Reason = "nobody-leads"
-	ReasonOverloaded Reason = "primary-overloaded"
+	ReasonNone               Reason = ""
+	ReasonRefused            Reason = "primary-refuses-connections"
+	ReasonSilent             Reason = "primary-silent"
+	ReasonLeaving            Reason = "primary-leaving"
+	ReasonReplicationStalled Reason = "replicas-standing-still"
+	ReasonLeaderless         Reason = "nobody-leads"
+	ReasonOverloaded         Reason = "primary-overloaded"
 )
 
 // primaryAlive reports whether the replaced primary still works.
 func (r Reason) primaryAlive() bool {
-	return r == ReasonLeaving || r == ReasonStandstill || r == ReasonOverloaded
+	return r == ReasonLeaving || r == ReasonReplicationStalled || r == ReasonOverloaded
 }
 
 // Decide determines whether the primary should be replaced.
-func Decide(v View) Verdict {
+func Decide(v View) Decision {
 	var p *Observation
 	for i := range v.Members {
 		if v.Members[i].ID == v.Primary {
@@ -123,30 +123,30 @@
 		}
 	}
 	if p == nil || p.Answered && !p.Status.Primary {
-		if v.LeaderlessSince != 0 && anyAnswered(v) && v.Now-v.LeaderlessSince > leaderlessTimeout && v.Now-v.Ordered > leaderlessTimeout {
-			return Verdict{Move: ReasonLeaderless}
+		if v.LeaderlessSince != 0 && anyAnswered(v) && v.Now-v.LeaderlessSince > leaderlessTimeout && v.Now-v.PromotionOrderedAt > leaderlessTimeout {
+			return Decision{Reason: ReasonLeaderless}
 		}
-		return Verdict{}
+		return Decision{}
 	}
-	if p.Full {
+	if p.ConnectionsExhausted {
 		if full(v, p) {
-			return Verdict{Move: ReasonOverloaded}
+			return Decision{Reason: ReasonOverloaded}
 		}
-		return Verdict{}
+		return Decision{}
 	}
 	if !p.Answered {
-		return Verdict{Move: lossReason(v, p)}
+		return Decision{Reason: lossReason(v, p)}
 	}
 	if p.Leaving && hasSuccessor(v, p) {
-		return Verdict{Move: ReasonLeaving}
+		return Decision{Reason: ReasonLeaving}
 	}
 	if replicationStalled(v, p) {
-		return Verdict{Move: ReasonStandstill}
+		return Decision{Reason: ReasonReplicationStalled}
 	}
 	if overloaded(v, p) || crowded(v, p) {
-		return Verdict{Move: ReasonOverloaded}
+		return Decision{Reason: ReasonOverloaded}
 	}
-	return Verdict{Resume: stalePaused(v)}
+	return Decision{Resume: stalePaused(v)}
 }
 
 // overloaded reports whether the primary is overloaded while a replica has spare capacity.
@@ -172,7 +172,7 @@
 // full reports whether the primary has rejected connections for too long while a replica has
 // spare capacity.
 func full(v View, p *Observation) bool {
-	return v.Now-p.FailedSince >= overloadTimeout && v.Now-v.Booted > deadConnectionTimeout && canOffload(v, p)
+	return v.Now-p.FailedSince >= overloadTimeout && v.Now-v.ProcessStart > deadConnectionTimeout && canOffload(v, p)
 }
 
 // canOffload reports whether a replica could replace an overloaded primary, and the last
@@ -184,11 +184,11 @@
 			available, lagging = true, lagging || m.lagging()
 		}
 	}
-	interval := max(v.MovePause, minRebalanceInterval)
+	interval := max(v.RebalanceInterval, minRebalanceInterval)
 	if lagging {
 		interval = laggingRebalanceInterval
 	}
-	return available && (v.Ordered == 0 || v.Now-v.Ordered >= interval)
+	return available && (v.PromotionOrderedAt == 0 || v.Now-v.PromotionOrderedAt >= interval)
 }
 
 func anyAnswered(v View) bool {
@@ -232,7 +232,7 @@
 		}
 		answered++
 		// Uses the time of the last status: a busy member's log position is unknown.
-		if m.BehindSince == 0 || m.Known-m.BehindSince < stallTimeout {
+		if m.StalledSince == 0 || m.StatusAt-m.StalledSince < stallTimeout {
 			return false
 		}
 	}
@@ -242,12 +242,12 @@
 
 // stalled reports whether the member has not advanced for longer than a commit takes to reach
 // it, although the primary has.
-func (o *Observation) stalled(now tracker.Stamp) bool {
-	return o.BehindSince != 0 && now-o.BehindSince > catchUpTimeout
+func (o *Observation) stalled(now tracker.Timestamp) bool {
+	return o.StalledSince != 0 && now-o.StalledSince > catchUpTimeout
 }
 
 // hasSpareCapacity reports whether the member could become primary and has free slots.
-func (o *Observation) hasSpareCapacity(now tracker.Stamp) bool {
+func (o *Observation) hasSpareCapacity(now tracker.Timestamp) bool {
 	return o.Answered && !o.Leaving && !o.stalled(now) && o.Status.Busy <= o.Slots
 }
 
--- a/internal/elector/decide_test.go
+++ b/internal/elector/decide_test.go
@@ -17,7 +17,7 @@
 	member := func(id string, primary bool) elector.Observation {
 		return elector.Observation{
 			Member: tracker.Member{ID: id, Slots: 3}, Answered: true,
-			Status: messenger.Status{Primary: primary, Term: 1}, Known: now,
+			Status: messenger.Status{Primary: primary, Term: 1}, StatusAt: now,
 		}
 	}
 	return elector.View{Now: now, Primary: "p", Members: []elector.Observation{member("p", true), member("q", false), member("r", false)}}
@@ -42,16 +42,16 @@
 		}, elector.ReasonRefused},
 		{"primary full, replicas busy", func(v *elector.View) {
 			silent(5 * time.Second)(&v.Members[0])
-			v.Members[0].Full = true
+			v.Members[0].ConnectionsExhausted = true
 			v.Members[1].Status.Busy, v.Members[2].Status.Busy = 9, 9
 		}, elector.ReasonNone},
 		{"primary full, replicas free", func(v *elector.View) {
 			silent(5 * time.Second)(&v.Members[0])
-			v.Members[0].Full = true
+			v.Members[0].ConnectionsExhausted = true
 		}, elector.ReasonOverloaded},
 		{"primary full just after this process started", func(v *elector.View) {
 			silent(2 * time.Second)(&v.Members[0])
-			v.Members[0].Full, v.Booted = true, now-2*time.Second
+			v.Members[0].ConnectionsExhausted, v.ProcessStart = true, now-2*time.Second
 		}, elector.ReasonNone},
 		{"primary leaves", func(v *elector.View) { v.Members[0].Leaving = true }, elector.ReasonLeaving},
 		{"all leave", func(v *elector.View) {
@@ -60,23 +60,23 @@
 			}
 		}, elector.ReasonNone},
 		{"all replicas stalled", func(v *elector.View) {
-			v.Members[1].BehindSince, v.Members[2].BehindSince = now-2*time.Second, now-2*time.Second
-		}, elector.ReasonStandstill},
-		{"one replica stalled", func(v *elector.View) { v.Members[1].BehindSince = now - 2*time.Second }, elector.ReasonNone},
+			v.Members[1].StalledSince, v.Members[2].StalledSince = now-2*time.Second, now-2*time.Second
+		}, elector.ReasonReplicationStalled},
+		{"one replica stalled", func(v *elector.View) { v.Members[1].StalledSince = now - 2*time.Second }, elector.ReasonNone},
 		{"the only replica stalled", func(v *elector.View) {
 			v.Members = v.Members[:2]
-			v.Members[1].BehindSince = now - 2*time.Second
+			v.Members[1].StalledSince = now - 2*time.Second
 		}, elector.ReasonNone},
 		{"primary overloaded, replicas free", func(v *elector.View) { v.Members[0].OverloadedSince = now - time.Second }, elector.ReasonOverloaded},
 		{"primary overloaded, changed recently", func(v *elector.View) {
-			v.Members[0].OverloadedSince, v.Ordered = now-time.Second, now-3*time.Second
+			v.Members[0].OverloadedSince, v.PromotionOrderedAt = now-time.Second, now-3*time.Second
 		}, elector.ReasonNone},
 		{"primary overloaded, changed recently, a replica lags", func(v *elector.View) {
-			v.Members[0].OverloadedSince, v.Ordered = now-time.Second, now-3*time.Second
+			v.Members[0].OverloadedSince, v.PromotionOrderedAt = now-time.Second, now-3*time.Second
 			v.Members[2].Status.LagMillis = 40000
 		}, elector.ReasonOverloaded},
 		{"primary overloaded, changed a second ago, a replica lags", func(v *elector.View) {
-			v.Members[0].OverloadedSince, v.Ordered = now-time.Second, now-time.Second
+			v.Members[0].OverloadedSince, v.PromotionOrderedAt = now-time.Second, now-time.Second
 			v.Members[2].Status.LagMillis = 40000
 		}, elector.ReasonNone},
 		{"no connections left, a replica lags", func(v *elector.View) {
@@ -92,7 +92,7 @@
 			v.Members[0].Status.Primary, v.LeaderlessSince = false, now-3*time.Second
 		}, elector.ReasonLeaderless},
 		{"no primary while a promotion is in progress", func(v *elector.View) {
-			v.Members[0].Status.Primary, v.LeaderlessSince, v.Ordered = false, now-3*time.Second, now-time.Second
+			v.Members[0].Status.Primary, v.LeaderlessSince, v.PromotionOrderedAt = false, now-3*time.Second, now-time.Second
 		}, elector.ReasonNone},
 		{"no member responds", func(v *elector.View) {
 			v.Primary, v.LeaderlessSince = "", now-3*time.Second
@@ -104,7 +104,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			v := healthy()
 			c.change(&v)
-			must.Eq(t, c.want, elector.Decide(v).Move)
+			must.Eq(t, c.want, elector.Decide(v).Reason)
 		})
 	}
 }
@@ -120,8 +120,8 @@
 // Guards against repeated changes of a group whose members are all overloaded.
 func TestLoadBalancingChangesAreSpaced(t *testing.T) {
 	v := healthy()
-	v.Members[0].OverloadedSince, v.Ordered = now-time.Second, now-20*time.Second
-	must.Eq(t, elector.ReasonOverloaded, elector.Decide(v).Move)
-	v.MovePause = 32 * time.Second
-	must.Eq(t, elector.ReasonNone, elector.Decide(v).Move)
+	v.Members[0].OverloadedSince, v.PromotionOrderedAt = now-time.Second, now-20*time.Second
+	must.Eq(t, elector.ReasonOverloaded, elector.Decide(v).Reason)
+	v.RebalanceInterval = 32 * time.Second
+	must.Eq(t, elector.ReasonNone, elector.Decide(v).Reason)
 }
--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// DutyPrefix is the store's key prefix of ownership records.
-	DutyPrefix = "oriolegw/duty/"
+	// OwnershipPrefix is the store's key prefix of ownership records.
+	OwnershipPrefix = "oriolegw/duty/"
 	// leaseTTL bounds how long a group lacks an owner after a crash. It allows for several
 	// renewals.
 	leaseTTL           = 2500 * time.Millisecond
@@ -48,34 +48,34 @@
 	// under one lease. Set the exported fields, then call Run.
 	Elector struct {
 		Store storer.Store
-		Clock func() tracker.Stamp
+		Clock func() tracker.Timestamp
 		// Name identifies this process; it is new after each restart.
 		Name string
-		// FirstStart is set when the whole fleet starts for the first time.
-		FirstStart bool
+		// ColdStart is set when the whole fleet starts for the first time.
+		ColdStart bool
 		// Groups lists the configured groups.
 		Groups func() []string
-		// Turn, when set, returns how many instances try to acquire a group before this one. last is
+		// AcquireRank, when set, returns how many instances try to acquire a group before this one. last is
 		// the previous owner, "" if there was none.
-		Turn func(group, last string) int
-		// InTouch, when set, reports whether the store responds.
-		InTouch func() bool
-		// Keep supervises a group until the context ends.
-		Keep func(ctx context.Context, group string, d *Duty) error
-		Log  func(fields ...any)
+		AcquireRank func(group, last string) int
+		// StoreReachable, when set, reports whether the store responds.
+		StoreReachable func() bool
+		// Supervise supervises a group until the context ends.
+		Supervise func(ctx context.Context, group string, d *Ownership) error
+		Log       func(fields ...any)
 
 		mutex      sync.Mutex
 		ownerships map[string]*groupOwnership
 		// vacated receives when a group has lost its owner since the last tick.
 		vacated   chan struct{}
-		startedAt tracker.Stamp
+		startedAt tracker.Timestamp
 		lease     storer.Lease
 		// leaseExpiry is when the lease may expire; renewedAt is when it was last renewed.
-		leaseExpiry, renewedAt tracker.Stamp
+		leaseExpiry, renewedAt tracker.Timestamp
 	}
 
-	// Duty is the ownership of one group, as used by its keeper.
-	Duty struct {
+	// Ownership is the ownership of one group, as used by its supervisor.
+	Ownership struct {
 		elector *Elector
 		group   string
 	}
@@ -91,23 +91,23 @@
 		// executed.
 		promotionUnanswered bool
 		// acquireAt is when this instance tries to acquire the group, 0 if not scheduled.
-		acquireAt tracker.Stamp
+		acquireAt tracker.Timestamp
 		cancel    context.CancelFunc
 		done      chan error
 	}
 
-	// Facts is the state of a group that an owner records for its successor.
-	Facts struct {
+	// State is the state of a group that an owner records for its successor.
+	State struct {
 		// Members maps each member whose log may hold acknowledged commits to its address.
 		Members map[string]string
-		// Open is set while a promotion order may still be executed.
-		Open bool
-		// Lead is the last known primary.
-		Lead Lead
+		// PromotionPending is set while a promotion order may still be executed.
+		PromotionPending bool
+		// Leader is the last known primary.
+		Leader Leadership
 	}
 
-	// Lead identifies a primary by member, incarnation and term.
-	Lead struct {
+	// Leadership identifies a primary by member, incarnation and term.
+	Leadership struct {
 		ID   string
 		Born int64
 		Term uint64
@@ -115,7 +115,7 @@
 
 	// record is the value stored for a group.
 	record struct {
-		Holder string `json:"holder"`
+		Owner string `json:"holder"`
 		// Lease is the lease that the record is bound to.
 		Lease      int64             `json:"lease"`
 		Members    map[string]string `json:"members"`
@@ -145,7 +145,7 @@
 	}
 }
 
-// vacatedChannel returns the channel that Saw notifies when a group has lost its owner.
+// vacatedChannel returns the channel that HandleRecord notifies when a group has lost its owner.
 func (e *Elector) vacatedChannel() chan struct{} {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -155,11 +155,11 @@
 	return e.vacated
 }
 
-// Saw processes a group's record as read from the store.
-func (e *Elector) Saw(p storer.Pair) {
+// HandleRecord processes a group's record as read from the store.
+func (e *Elector) HandleRecord(p storer.Pair) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	o := e.ownership(strings.TrimPrefix(p.Key, DutyPrefix))
+	o := e.ownership(strings.TrimPrefix(p.Key, OwnershipPrefix))
 	if p.Revision != 0 && p.Revision <= o.record.Revision {
 		return
 	}
@@ -198,11 +198,11 @@
 		return false
 	}
 	r := decodeOrEmpty(o.record.Value)
-	return r.Holder == e.Name && r.Lease == int64(e.lease)
+	return r.Owner == e.Name && r.Lease == int64(e.lease)
 }
 
-// Roster lists the members that a group's record names.
-func (e *Elector) Roster(group string) []string {
+// RecordedMembers lists the members that a group's record names.
+func (e *Elector) RecordedMembers(group string) []string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return slices.Sorted(maps.Keys(decodeOrEmpty(e.ownership(group).record.Value).Members))
@@ -229,7 +229,7 @@
 		due := e.shouldAcquire(g, o)
 		anyVacant = anyVacant || o.vacant()
 		if !o.held && e.ownsRecord(o) {
-			e.startKeeper(ctx, g, o)
+			e.startSupervisor(ctx, g, o)
 		}
 		e.mutex.Unlock()
 		if due {
@@ -247,7 +247,7 @@
 // starts.
 func (e *Elector) shouldAcquire(group string, o *groupOwnership) bool {
 	now := e.Clock()
-	if !o.vacant() || e.FirstStart && now-e.startedAt < coldStartDelay || e.InTouch != nil && !e.InTouch() {
+	if !o.vacant() || e.ColdStart && now-e.startedAt < coldStartDelay || e.StoreReachable != nil && !e.StoreReachable() {
 		// A delay scheduled earlier has passed by the time the group can be acquired.
 		o.acquireAt = 0
 		return false
@@ -261,12 +261,12 @@
 // acquireDelay returns how long to leave a vacant group to other instances; the mutex is held.
 func (e *Elector) acquireDelay(group string, o *groupOwnership) time.Duration {
 	stagger := acquireStagger
-	if e.FirstStart && e.Clock()-e.startedAt < staggeredInstances*coldStartStagger {
+	if e.ColdStart && e.Clock()-e.startedAt < staggeredInstances*coldStartStagger {
 		stagger = coldStartStagger
 	}
 	rank := 0
-	if e.Turn != nil {
-		rank = e.Turn(group, decodeOrEmpty(o.record.Value).Holder)
+	if e.AcquireRank != nil {
+		rank = e.AcquireRank(group, decodeOrEmpty(o.record.Value).Owner)
 	}
 	if rank >= staggeredInstances {
 		return staggeredInstances*stagger + rand.N(staggeredInstances*stagger)
@@ -295,11 +295,11 @@
 	switch {
 	case err == nil:
 		e.leaseExpiry = sentAt + leaseTTL
-	case errors.Is(err, storer.ErrLeaseLost) || e.Clock() > e.leaseExpiry:
+	case errors.Is(err, storer.ErrLeaseExpired) || e.Clock() > e.leaseExpiry:
 		e.lease = 0
 		for g, o := range e.ownerships {
 			if o.held {
-				e.lose(DutyPrefix+g, o, "lease-lost")
+				e.lose(OwnershipPrefix+g, o, "lease-lost")
 			}
 		}
 	}
@@ -344,8 +344,8 @@
 		e.mutex.Unlock()
 	}
 	value := e.encode(decodeOrEmpty(old.Value), lease)
-	now, ok, err := e.Store.Swap(ctx, storer.Pair{Key: DutyPrefix + group, Value: value, Revision: old.Revision}, lease)
-	if errors.Is(err, storer.ErrLeaseLost) {
+	now, ok, err := e.Store.Swap(ctx, storer.Pair{Key: OwnershipPrefix + group, Value: value, Revision: old.Revision}, lease)
+	if errors.Is(err, storer.ErrLeaseExpired) {
 		e.mutex.Lock()
 		e.lease = 0
 		e.mutex.Unlock()
@@ -363,21 +363,21 @@
 	if (!ok && !e.ownsRecord(o)) || o.held {
 		return
 	}
-	e.startKeeper(ctx, group, o)
+	e.startSupervisor(ctx, group, o)
 }
 
-// startKeeper starts the group's keeper; the mutex is held.
-func (e *Elector) startKeeper(ctx context.Context, group string, o *groupOwnership) {
+// startSupervisor starts the group's supervisor; the mutex is held.
+func (e *Elector) startSupervisor(ctx context.Context, group string, o *groupOwnership) {
 	o.held = true
 	e.Log("event", "duty-taken", "group", group, "fence", o.record.Revision)
-	keeperCtx, cancel := context.WithCancel(ctx)
-	// The group may be acquired again before this keeper has stopped.
+	supervisorCtx, cancel := context.WithCancel(ctx)
+	// The group may be acquired again before this supervisor has stopped.
 	done := make(chan error, 1)
 	o.cancel, o.done = cancel, done
-	go func() { done <- e.Keep(keeperCtx, group, &Duty{elector: e, group: group}) }()
+	go func() { done <- e.Supervise(supervisorCtx, group, &Ownership{elector: e, group: group}) }()
 }
 
-// shutdown stops the keepers and revokes the lease, so that others can take over at once.
+// shutdown stops the supervisors and revokes the lease, so that others can take over at once.
 func (e *Elector) shutdown() {
 	e.mutex.Lock()
 	lease := e.lease
--- a/internal/elector/elector_test.go
+++ b/internal/elector/elector_test.go
@@ -19,22 +19,22 @@
 // testInstance is one instance that competes for the group.
 type testInstance struct {
 	elector   *elector.Elector
-	ownership atomic.Pointer[elector.Duty]
+	ownership atomic.Pointer[elector.Ownership]
 	cancel    context.CancelFunc
 	done      chan error
 }
 
-func startInstance(ctx context.Context, m *storer.Memory, name string, clock func() tracker.Stamp, rank func(group, last string) int) *testInstance {
+func startInstance(ctx context.Context, m *storer.Memory, name string, clock func() tracker.Timestamp, rank func(group, last string) int) *testInstance {
 	return startInstanceWithStoreCheck(ctx, m, name, clock, rank, nil)
 }
 
-func startInstanceWithStoreCheck(ctx context.Context, m *storer.Memory, name string, clock func() tracker.Stamp, rank func(group, last string) int, storeReachable func() bool) *testInstance {
+func startInstanceWithStoreCheck(ctx context.Context, m *storer.Memory, name string, clock func() tracker.Timestamp, rank func(group, last string) int, storeReachable func() bool) *testInstance {
 	ctx, cancel := context.WithCancel(ctx)
 	h := &testInstance{cancel: cancel, done: make(chan error, 2)}
 	h.elector = &elector.Elector{
-		Store: m, Clock: clock, Name: name, Groups: func() []string { return []string{"g"} }, Turn: rank, InTouch: storeReachable,
-		Keep: func(ctx context.Context, _ string, d *elector.Duty) error {
-			h.ownership.Store(d)
+		Store: m, Clock: clock, Name: name, Groups: func() []string { return []string{"g"} }, AcquireRank: rank, StoreReachable: storeReachable,
+		Supervise: func(ctx context.Context, _ string, o *elector.Ownership) error {
+			h.ownership.Store(o)
 			<-ctx.Done()
 			return ctx.Err()
 		},
@@ -42,16 +42,16 @@
 	}
 	go func() { h.done <- h.elector.Run(ctx) }()
 	w := &watcher.Watcher{
-		Source: m, InForce: 3 * time.Second, Clock: clock, DutyPrefix: elector.DutyPrefix, ConfigurationKey: "configuration", MemberPrefix: "member/",
-		Members: func([]tracker.Member) {}, Duty: h.elector.Saw, Log: func(...any) {},
+		Source: m, MaxPropagationDelay: 3 * time.Second, Clock: clock, OwnershipPrefix: elector.OwnershipPrefix, ConfigurationKey: "configuration", MemberPrefix: "member/",
+		OnMembers: func([]tracker.Member) {}, OnOwnership: h.elector.HandleRecord, Log: func(...any) {},
 	}
 	go func() { h.done <- w.Run(ctx) }()
 	return h
 }
 
 func (h *testInstance) owns() bool {
-	d := h.ownership.Load()
-	return d != nil && d.Holds(0)
+	o := h.ownership.Load()
+	return o != nil && o.Holds(0)
 }
 
 func runTwoInstances(t *testing.T, scenario func(t *testing.T, m *storer.Memory, a, b *testInstance)) {
@@ -59,7 +59,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		m, begin := storer.NewMemory(), time.Now()
-		clock := func() tracker.Stamp { return time.Since(begin) + time.Hour }
+		clock := func() tracker.Timestamp { return time.Since(begin) + time.Hour }
 		a, b := startInstance(ctx, m, "a", clock, nil), startInstance(ctx, m, "b", clock, nil)
 		time.Sleep(3 * time.Second)
 		defer func() {
@@ -90,13 +90,13 @@
 		if b.owns() {
 			first, other = b, a
 		}
-		before, err := first.ownership.Load().Fence(t.Context(), elector.Facts{})
+		before, err := first.ownership.Load().NextFencingToken(t.Context(), elector.State{})
 		must.NoError(t, err)
 		first.cancel()
 		time.Sleep(500 * time.Millisecond)
 		must.False(t, first.owns())
 		must.True(t, other.owns())
-		after, err := other.ownership.Load().Fence(t.Context(), elector.Facts{})
+		after, err := other.ownership.Load().NextFencingToken(t.Context(), elector.State{})
 		must.NoError(t, err)
 		must.Greater(t, before, after)
 	})
@@ -111,7 +111,7 @@
 		must.False(t, a.owns())
 		must.False(t, b.owns())
 		m.SetFaults(func(f *storer.Faults) { f.Down = false })
-		m.Lapse()
+		m.ExpireLeases()
 		time.Sleep(3 * time.Second)
 		must.NotEq(t, a.owns(), b.owns())
 	})
@@ -121,21 +121,21 @@
 // unanswered.
 func TestFencingTokenDuringStoreOutage(t *testing.T) {
 	runTwoInstances(t, func(t *testing.T, m *storer.Memory, a, b *testInstance) {
-		d := a.ownership.Load()
+		o := a.ownership.Load()
 		if !a.owns() {
-			d = b.ownership.Load()
+			o = b.ownership.Load()
 		}
-		leader := elector.Lead{ID: "m", Born: 7, Term: 3}
-		fence, err := d.Fence(t.Context(), elector.Facts{Members: map[string]string{"m": "10.0.0.1:1"}, Open: true, Lead: leader})
+		leader := elector.Leadership{ID: "m", Born: 7, Term: 3}
+		fence, err := o.NextFencingToken(t.Context(), elector.State{Members: map[string]string{"m": "10.0.0.1:1"}, PromotionPending: true, Leader: leader})
 		must.NoError(t, err)
 		m.SetFaults(func(f *storer.Faults) { f.Down = true })
-		again, err := d.Fence(t.Context(), elector.Facts{Open: true})
+		again, err := o.NextFencingToken(t.Context(), elector.State{PromotionPending: true})
 		must.NoError(t, err)
 		must.Eq(t, fence, again)
-		d.Spend()
-		_, err = d.Fence(t.Context(), elector.Facts{Open: true})
+		o.MarkPromotionUnanswered()
+		_, err = o.NextFencingToken(t.Context(), elector.State{PromotionPending: true})
 		must.Error(t, err)
-		must.Eq(t, elector.Facts{Members: map[string]string{"m": "10.0.0.1:1"}, Open: true, Lead: leader}, d.Facts())
+		must.Eq(t, elector.State{Members: map[string]string{"m": "10.0.0.1:1"}, PromotionPending: true, Leader: leader}, o.State())
 	})
 }
 
@@ -143,8 +143,8 @@
 // lost.
 func TestAcquireResponseLost(t *testing.T) {
 	runTwoInstances(t, func(t *testing.T, m *storer.Memory, a, b *testInstance) {
-		m.SetFaults(func(f *storer.Faults) { f.LoseAnswers = 2 })
-		m.Lapse()
+		m.SetFaults(func(f *storer.Faults) { f.LoseResponses = 2 })
+		m.ExpireLeases()
 		time.Sleep(4 * time.Second)
 		must.NotEq(t, a.owns(), b.owns())
 	})
@@ -166,13 +166,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		store, begin := &countingStore{Memory: storer.NewMemory()}, time.Now()
-		clock := func() tracker.Stamp { return time.Since(begin) + time.Hour }
+		clock := func() tracker.Timestamp { return time.Since(begin) + time.Hour }
 		var owners atomic.Int64
 		done := make(chan error, 20)
 		for i := range 20 {
 			e := &elector.Elector{
 				Store: store, Clock: clock, Name: string(rune('a' + i)), Groups: func() []string { return []string{"g"} }, Log: func(...any) {},
-				Keep: func(ctx context.Context, _ string, _ *elector.Duty) error {
+				Supervise: func(ctx context.Context, _ string, _ *elector.Ownership) error {
 					owners.Add(1)
 					defer owners.Add(-1)
 					<-ctx.Done()
@@ -201,9 +201,9 @@
 				if b.owns() {
 					h, other = b, a
 				}
-				_, err := h.ownership.Load().Fence(t.Context(), elector.Facts{Members: map[string]string{"g-1": "10.0.0.1:1"}})
+				_, err := h.ownership.Load().NextFencingToken(t.Context(), elector.State{Members: map[string]string{"g-1": "10.0.0.1:1"}})
 				must.NoError(t, err)
-				now, err := m.Get(t.Context(), elector.DutyPrefix+"g")
+				now, err := m.Get(t.Context(), elector.OwnershipPrefix+"g")
 				must.NoError(t, err)
 				now.Value = []byte(value)
 				_, ok, err := m.Swap(t.Context(), now, 0)
@@ -211,11 +211,11 @@
 				must.True(t, ok)
 				time.Sleep(time.Second)
 				must.True(t, h.owns())
-				must.Eq(t, []string{"g-1"}, other.elector.Roster("g"))
+				must.Eq(t, []string{"g-1"}, other.elector.RecordedMembers("g"))
 				h.cancel()
 				time.Sleep(4 * time.Second)
 				must.True(t, other.owns())
-				must.Eq(t, map[string]string{"g-1": "10.0.0.1:1"}, other.ownership.Load().Facts().Members)
+				must.Eq(t, map[string]string{"g-1": "10.0.0.1:1"}, other.ownership.Load().State().Members)
 			})
 		})
 	}
@@ -228,7 +228,7 @@
 		const instances = 200
 		ctx, cancel := context.WithCancel(context.Background())
 		m, begin := storer.NewMemory(), time.Now()
-		clock := func() tracker.Stamp { return time.Since(begin) + time.Hour }
+		clock := func() tracker.Timestamp { return time.Since(begin) + time.Hour }
 		var all []*testInstance
 		for n := range instances {
 			name := fmt.Sprint("h", n)
@@ -266,7 +266,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		m, begin := storer.NewMemory(), time.Now()
-		clock := func() tracker.Stamp { return time.Since(begin) + time.Hour }
+		clock := func() tracker.Timestamp { return time.Since(begin) + time.Hour }
 		var unreachable atomic.Bool
 		unreachable.Store(true)
 		h := startInstanceWithStoreCheck(ctx, m, "a", clock, func(string, string) int { return 2 }, func() bool { return !unreachable.Load() })
--- a/internal/elector/furthest.go
+++ b/internal/elector/furthest.go
@@ -14,19 +14,19 @@
 
 // selectFurthest pauses the other replicas, including those that join meanwhile, and picks a
 // candidate whose log holds all of theirs.
-func (k *Keeper) selectFurthest(ctx context.Context, c *primaryChange) error {
+func (sv *Supervisor) selectFurthest(ctx context.Context, c *primaryChange) error {
 	replicas := c.replicas
 	others := replicas[1:]
 	for range maxPauseRounds {
-		if err := k.pauseAll(ctx, others, c.term); err != nil {
+		if err := sv.pauseAll(ctx, others, c.term); err != nil {
 			return err
 		}
-		joined := k.refreshMembers()
+		joined := sv.refreshMembers()
 		if err := checkNotRestarted(replicas); err != nil {
 			return err
 		}
 		if len(joined) == 0 {
-			return k.pickFurthest(ctx, c, replicas)
+			return sv.pickFurthest(ctx, c, replicas)
 		}
 		replicas, others = append(replicas, joined...), joined
 	}
@@ -45,11 +45,11 @@
 }
 
 // pauseAll stops members from receiving the log until the next term.
-func (k *Keeper) pauseAll(ctx context.Context, members []*memberState, next uint64) error {
+func (sv *Supervisor) pauseAll(ctx context.Context, members []*memberState, next uint64) error {
 	results := make([]error, len(members))
 	var requests sync.WaitGroup
 	for i, l := range members {
-		requests.Go(func() { results[i] = k.pauseMember(ctx, l, next) })
+		requests.Go(func() { results[i] = sv.pauseMember(ctx, l, next) })
 	}
 	requests.Wait()
 	for _, err := range results {
@@ -60,13 +60,13 @@
 	return nil
 }
 
-func (k *Keeper) pauseMember(ctx context.Context, l *memberState, next uint64) error {
-	s, err := k.command(ctx, l, messenger.Command{Kind: messenger.KindPause, Term: next})
+func (sv *Supervisor) pauseMember(ctx context.Context, l *memberState, next uint64) error {
+	s, err := sv.command(ctx, l, messenger.Command{Kind: messenger.KindPause, Term: next})
 	if err != nil {
 		return errors.Wrapf(err, "pause %s", l.ID)
 	}
-	l.applyStatus(k.Clock(), s)
-	k.Log("event", "paused", "group", k.Group.Name, "member", l.ID, "term", next, "position", s.Received, "paused-for", s.PausedFor)
+	l.applyStatus(sv.Clock(), s)
+	sv.Log("event", "paused", "group", sv.Group.Name, "member", l.ID, "term", next, "position", s.Received, "paused-for", s.PausedFor)
 	if s.PausedFor != next {
 		return errors.Errorf("pause %s: it is paused for term %d, not %d", l.ID, s.PausedFor, next)
 	}
@@ -75,14 +75,14 @@
 
 // pickFurthest picks the first replica if its log reaches those of the others, which are
 // paused. Otherwise it pauses the first as well and picks the one with the furthest log.
-func (k *Keeper) pickFurthest(ctx context.Context, c *primaryChange, replicas []*memberState) error {
+func (sv *Supervisor) pickFurthest(ctx context.Context, c *primaryChange, replicas []*memberState) error {
 	first := replicas[0]
 	c.candidate = first
-	s, err := k.command(ctx, first, messenger.Command{Kind: messenger.KindStatus})
+	s, err := sv.command(ctx, first, messenger.Command{Kind: messenger.KindStatus})
 	if err != nil {
 		return errors.Wrapf(err, "poll %s", first.ID)
 	}
-	first.applyStatus(k.Clock(), s)
+	first.applyStatus(sv.Clock(), s)
 	var furthest orderer.Position
 	for _, l := range replicas[1:] {
 		furthest = orderer.Max(furthest, l.Status.Received)
@@ -90,7 +90,7 @@
 	if s.Received.AtLeast(furthest) {
 		return nil
 	}
-	if err := k.pauseMember(ctx, first, c.term); err != nil {
+	if err := sv.pauseMember(ctx, first, c.term); err != nil {
 		return err
 	}
 	for _, l := range replicas[1:] {
--- a/internal/elector/member_state.go
+++ b/internal/elector/member_state.go
@@ -15,16 +15,16 @@
 // errBusy means that a member had no free slot for a command.
 var errBusy = errors.New("no free slot")
 
-// memberState is a keeper's state of one member, with its connection.
+// memberState is a supervisor's state of one member, with its connection.
 type memberState struct {
 	conn *lender.Conn
 	// polledAt is when the member was last polled; primaryProofs are its last two positions
 	// reported as primary, the newest first.
-	polledAt      tracker.Stamp
-	primaryProofs [2]tracker.Proof
+	polledAt      tracker.Timestamp
+	primaryProofs [2]tracker.FreshnessProof
 	// coveredAt is the latest time whose primary log the member is known to hold; departedAt is
 	// when a member that left was first seen to be gone.
-	coveredAt, departedAt tracker.Stamp
+	coveredAt, departedAt tracker.Timestamp
 	// maxConnections is the member's connection limit, 0 when unknown.
 	maxConnections int
 	// departed is set when another member uses the address, or the member has restarted.
@@ -34,16 +34,16 @@
 
 // poll requests a member's status, on the open connection and then on a new one, since a
 // connection can fail while the member is alive.
-func (k *Keeper) poll(ctx context.Context, l *memberState) {
-	sentAt := k.Clock()
+func (sv *Supervisor) poll(ctx context.Context, l *memberState) {
+	sentAt := sv.Clock()
 	l.polledAt = sentAt
-	s, err := k.command(ctx, l, messenger.Command{Kind: messenger.KindStatus})
+	s, err := sv.command(ctx, l, messenger.Command{Kind: messenger.KindStatus})
 	var refused *lender.RefusedError
-	l.Full = errors.As(err, &refused) && refused.Code == messenger.CodeTooManyConnections
+	l.ConnectionsExhausted = errors.As(err, &refused) && refused.Code == messenger.CodeTooManyConnections
 	// A member whose address was reused has departed.
 	l.departed = l.departed || refused != nil && refused.Code == messenger.CodeWrongMember
 	if errors.Is(err, errBusy) && l.Status.Term > 0 {
-		l.markBusy(k.Clock())
+		l.markBusy(sv.Clock())
 		return
 	}
 	if err != nil {
@@ -53,26 +53,26 @@
 		l.Answered, l.Refused = false, errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 		return
 	}
-	l.applyStatus(k.Clock(), s)
+	l.applyStatus(sv.Clock(), s)
 	if s.Primary {
-		l.primaryProofs = [2]tracker.Proof{{At: sentAt, Position: s.Received}, l.primaryProofs[0]}
+		l.primaryProofs = [2]tracker.FreshnessProof{{At: sentAt, Position: s.Received}, l.primaryProofs[0]}
 	}
-	if k.Group.Saw(sentAt, l.ID, s) {
-		k.Changed()
+	if sv.Group.UpdateStatus(sentAt, l.ID, s) {
+		sv.PrimaryChanged()
 	}
 }
 
 // markBusy handles a member without a free slot. It is alive, but its last status says nothing
 // about its current log position and must not be used as a proof.
-func (l *memberState) markBusy(now tracker.Stamp) {
-	l.Answered, l.Refused, l.Full, l.FailedSince = true, false, false, 0
+func (l *memberState) markBusy(now tracker.Timestamp) {
+	l.Answered, l.Refused, l.ConnectionsExhausted, l.FailedSince = true, false, false, 0
 	if l.OverloadedSince == 0 {
 		l.OverloadedSince = now
 	}
 }
 
 // applyStatus stores a member's status.
-func (l *memberState) applyStatus(now tracker.Stamp, s messenger.Status) {
+func (l *memberState) applyStatus(now tracker.Timestamp, s messenger.Status) {
 	switch {
 	case l.maxConnections == 0 || float64(s.Connections) < crowdedRatio*float64(l.maxConnections):
 		l.CrowdedSince = 0
@@ -80,7 +80,7 @@
 		l.CrowdedSince = now
 	}
 	if s.Received != l.Status.Received {
-		l.BehindSince = 0
+		l.StalledSince = 0
 	}
 	switch {
 	case s.PausedFor <= s.Term:
@@ -94,7 +94,7 @@
 	case l.OverloadedSince == 0:
 		l.OverloadedSince = now
 	}
-	l.Answered, l.Refused, l.Full, l.departed, l.FailedSince, l.Status, l.Known = true, false, false, false, 0, s, now
+	l.Answered, l.Refused, l.ConnectionsExhausted, l.departed, l.FailedSince, l.Status, l.StatusAt = true, false, false, false, 0, s, now
 }
 
 // updateCoverage records which earlier positions of the primary the member's log has reached.
@@ -113,43 +113,43 @@
 func (l *memberState) updateStall(primary orderer.Position) {
 	switch {
 	case l.Status.Received.AtLeast(primary):
-		l.BehindSince = 0
-	case l.BehindSince == 0:
-		l.BehindSince = l.Known
+		l.StalledSince = 0
+	case l.StalledSince == 0:
+		l.StalledSince = l.StatusAt
 	}
 }
 
 // command sends a command and decodes the status in its response. It retries once on a new
 // connection.
-func (k *Keeper) command(ctx context.Context, l *memberState, c messenger.Command) (messenger.Status, error) {
+func (sv *Supervisor) command(ctx context.Context, l *memberState, c messenger.Command) (messenger.Status, error) {
 	if l.conn != nil {
-		s, err := k.send(l, c)
+		s, err := sv.send(l, c)
 		if err == nil || errors.Is(err, errBusy) {
 			return s, err
 		}
 		l.close()
 	}
-	return k.commandOnNewConnection(ctx, l, c)
+	return sv.commandOnNewConnection(ctx, l, c)
 }
 
 // commandOnNewConnection sends a command on a new connection, which is kept open.
-func (k *Keeper) commandOnNewConnection(ctx context.Context, l *memberState, c messenger.Command) (messenger.Status, error) {
+func (sv *Supervisor) commandOnNewConnection(ctx context.Context, l *memberState, c messenger.Command) (messenger.Status, error) {
 	l.close()
 	dial, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	conn, err := k.Connect(dial, l.Member)
+	conn, err := sv.Connect(dial, l.Member)
 	if err != nil {
 		return messenger.Status{}, err
 	}
 	l.conn = conn
-	s, err := k.send(l, c)
+	s, err := sv.send(l, c)
 	if err != nil && !errors.Is(err, errBusy) {
 		l.close()
 	}
 	return s, err
 }
 
-func (k *Keeper) send(l *memberState, c messenger.Command) (messenger.Status, error) {
+func (sv *Supervisor) send(l *memberState, c messenger.Command) (messenger.Status, error) {
 	replies, _, err := l.conn.Exchange([]messenger.Command{c}, time.Now().Add(requestTimeout))
 	if err != nil {
 		return messenger.Status{}, err
@@ -157,7 +157,7 @@
 	if replies[0].Code == messenger.CodeBusy {
 		return messenger.Status{}, errBusy
 	}
-	return k.Codec.Status(replies[0])
+	return sv.Codec.Status(replies[0])
 }
 
 func (l *memberState) close() {
@@ -167,8 +167,8 @@
 	}
 }
 
-func (k *Keeper) closeConnections() {
-	for _, l := range k.members {
+func (sv *Supervisor) closeConnections() {
+	for _, l := range sv.members {
 		l.close()
 	}
 }
--- a/internal/elector/primary_change.go
+++ b/internal/elector/primary_change.go
@@ -8,7 +8,7 @@
 
 	"github.com/go-faster/errors"
 	"github.com/oriolegw/oriolegw/internal/messenger"
-	"github.com/oriolegw/oriolegw/internal/pauser"
+	"github.com/oriolegw/oriolegw/internal/sleeper"
 )
 
 const (
@@ -66,48 +66,48 @@
 // A responsive primary is demoted first, so that nothing more is acknowledged and a caught-up
 // replica is complete. Otherwise every replica is read, and the one with the furthest log is
 // promoted.
-func (k *Keeper) changePrimary(ctx context.Context, v View, reason Reason) (string, error) {
-	c, err := k.plan(v, reason)
+func (sv *Supervisor) changePrimary(ctx context.Context, v View, reason Reason) (string, error) {
+	c, err := sv.plan(v, reason)
 	if err != nil {
 		return "", err
 	}
-	fence, err := k.Fence(ctx, Facts{Members: k.memberAddresses(), Open: true, Lead: k.lastLeader})
+	fence, err := sv.NextFencingToken(ctx, State{Members: sv.memberAddresses(), PromotionPending: true, Leader: sv.lastLeader})
 	if err != nil {
 		return "", errors.Wrap(err, "fence")
 	}
-	if k.Clock()-v.Now > pollInterval {
-		if c, err = k.replan(ctx); err != nil {
+	if sv.Clock()-v.Now > pollInterval {
+		if c, err = sv.replan(ctx); err != nil {
 			// The recorded state announces an order, but none was sent.
-			k.recordOutdated = true
+			sv.recordOutdated = true
 			return "", err
 		}
 	}
 	c.fence = fence
-	if err := k.selectCandidate(ctx, c); err != nil {
+	if err := sv.selectCandidate(ctx, c); err != nil {
 		return "", err
 	}
-	return c.candidate.ID, k.promoteAndWait(ctx, c)
+	return c.candidate.ID, sv.promoteAndWait(ctx, c)
 }
 
 // plan selects the replicas and the term of a change.
-func (k *Keeper) plan(v View, reason Reason) (*primaryChange, error) {
-	if !k.Holds(minRemainingLease) {
+func (sv *Supervisor) plan(v View, reason Reason) (*primaryChange, error) {
+	if !sv.Holds(minRemainingLease) {
 		return nil, errNotOwner
 	}
 	c := &primaryChange{}
-	if p := k.members[v.Primary]; p != nil && p.Answered && p.Status.Primary {
+	if p := sv.members[v.Primary]; p != nil && p.Answered && p.Status.Primary {
 		c.oldPrimary = p
 	}
-	replicas, term := k.rankReplicas(v, c.oldPrimary != nil, reason)
+	replicas, term := sv.rankReplicas(v, c.oldPrimary != nil, reason)
 	if len(replicas) == 0 {
 		return nil, errNoCandidate
 	}
 	c.replicas, c.candidate, c.term = replicas, replicas[0], term+1
-	c.dataLossRisk = k.checkReplicas(replicas)
-	if c.dataLossRisk == nil && k.Synchronous() == 0 && c.oldPrimary != nil {
+	c.dataLossRisk = sv.checkReplicas(replicas)
+	if c.dataLossRisk == nil && sv.SynchronousReplicas() == 0 && c.oldPrimary != nil {
 		c.dataLossRisk = errOnlyPrimaryComplete
 	}
-	if c.dataLossRisk != nil && (c.oldPrimary == nil || !slices.ContainsFunc(replicas, k.eligible)) {
+	if c.dataLossRisk != nil && (c.oldPrimary == nil || !slices.ContainsFunc(replicas, sv.eligible)) {
 		return nil, c.dataLossRisk
 	}
 	return c, nil
@@ -115,52 +115,52 @@
 
 // replan polls again after a slow store call, and cancels the change if its reason has
 // cleared. After this step the change must end with a primary.
-func (k *Keeper) replan(ctx context.Context) (*primaryChange, error) {
-	v := k.pollMembers(ctx)
+func (sv *Supervisor) replan(ctx context.Context) (*primaryChange, error) {
+	v := sv.pollMembers(ctx)
 	d := Decide(v)
-	if d.Move == ReasonNone {
+	if d.Reason == ReasonNone {
 		return nil, errReasonCleared
 	}
-	return k.plan(v, d.Move)
+	return sv.plan(v, d.Reason)
 }
 
 // eligible reports whether a member could catch up with a demoted primary.
-func (k *Keeper) eligible(l *memberState) bool {
-	return l.Answered && !l.Leaving && l.PausedSince == 0 && !l.stalled(k.Clock())
+func (sv *Supervisor) eligible(l *memberState) bool {
+	return l.Answered && !l.Leaving && l.PausedSince == 0 && !l.stalled(sv.Clock())
 }
 
 // selectCandidate picks a member that holds every acknowledged commit.
-func (k *Keeper) selectCandidate(ctx context.Context, c *primaryChange) error {
+func (sv *Supervisor) selectCandidate(ctx context.Context, c *primaryChange) error {
 	if c.oldPrimary == nil {
-		return k.selectFurthest(ctx, c)
+		return sv.selectFurthest(ctx, c)
 	}
-	if err := k.stepDown(ctx, c); err != nil {
+	if err := sv.stepDown(ctx, c); err != nil {
 		return err
 	}
-	reached, err := k.waitForCatchUp(ctx, c)
+	reached, err := sv.waitForCatchUp(ctx, c)
 	switch {
 	case err != nil || reached:
 		return err
 	case c.dataLossRisk != nil:
-		k.restoreOldPrimary(c, c.dataLossRisk)
+		sv.restoreOldPrimary(c, c.dataLossRisk)
 		return nil
 	}
-	if err := k.selectFurthest(ctx, c); err != nil {
-		k.restoreOldPrimary(c, err)
+	if err := sv.selectFurthest(ctx, c); err != nil {
+		sv.restoreOldPrimary(c, err)
 	}
 	return ctx.Err()
 }
 
 // restoreOldPrimary makes the demoted primary the candidate again: it holds every acknowledged
 // commit.
-func (k *Keeper) restoreOldPrimary(c *primaryChange, cause error) {
-	k.Log("event", "nobody-caught-up", "group", k.Group.Name, "need", c.oldPrimary.Status.Received, "cause", cause)
-	c.candidate, k.restoredAt = c.oldPrimary, k.Clock()
+func (sv *Supervisor) restoreOldPrimary(c *primaryChange, cause error) {
+	sv.Log("event", "nobody-caught-up", "group", sv.Group.Name, "need", c.oldPrimary.Status.Received, "cause", cause)
+	c.candidate, sv.restoredAt = c.oldPrimary, sv.Clock()
 }
 
 // waitForCatchUp waits until a candidate reaches the log of the demoted primary.
-func (k *Keeper) waitForCatchUp(ctx context.Context, c *primaryChange) (bool, error) {
-	i := slices.IndexFunc(c.replicas, k.eligible)
+func (sv *Supervisor) waitForCatchUp(ctx context.Context, c *primaryChange) (bool, error) {
+	i := slices.IndexFunc(c.replicas, sv.eligible)
 	if i < 0 {
 		return false, nil
 	}
@@ -170,22 +170,22 @@
 		if time.Now().After(deadline) {
 			return false, nil
 		}
-		if err := pauser.Pause(ctx, promotionPollInterval); err != nil {
+		if err := sleeper.Sleep(ctx, promotionPollInterval); err != nil {
 			return false, err
 		}
-		k.poll(ctx, c.candidate)
+		sv.poll(ctx, c.candidate)
 	}
 	return true, nil
 }
 
 // stepDown demotes the old primary.
-func (k *Keeper) stepDown(ctx context.Context, c *primaryChange) error {
-	s, err := k.command(ctx, c.oldPrimary, messenger.Command{Kind: messenger.KindStepDown, Term: c.term})
+func (sv *Supervisor) stepDown(ctx context.Context, c *primaryChange) error {
+	s, err := sv.command(ctx, c.oldPrimary, messenger.Command{Kind: messenger.KindStepDown, Term: c.term})
 	if err != nil {
 		return errors.Wrap(err, "step down")
 	}
-	c.oldPrimary.applyStatus(k.Clock(), s)
-	k.Log("event", "stepped-down", "group", k.Group.Name, "member", c.oldPrimary.ID, "term", c.term, "position", s.Received, "primary", s.Primary)
+	c.oldPrimary.applyStatus(sv.Clock(), s)
+	sv.Log("event", "stepped-down", "group", sv.Group.Name, "member", c.oldPrimary.ID, "term", c.term, "position", s.Received, "primary", s.Primary)
 	if s.Primary {
 		return errors.Errorf("%s did not step down", c.oldPrimary.ID)
 	}
@@ -196,14 +196,14 @@
 // newest term seen. With a live primary, replicas rank by replication lag, otherwise by log
 // position. For an overloaded primary a lagging replica ranks first: it cannot serve reads,
 // and the old primary can once demoted.
-func (k *Keeper) rankReplicas(v View, alive bool, reason Reason) ([]*memberState, uint64) {
+func (sv *Supervisor) rankReplicas(v View, alive bool, reason Reason) ([]*memberState, uint64) {
 	var term uint64
 	var list []*memberState
 	for _, m := range v.Members {
 		term = max(term, m.Status.Term, m.Status.Received.Term)
-		l := k.members[m.ID]
+		l := sv.members[m.ID]
 		// A demoted primary is a replica like the others.
-		if (m.ID != v.Primary || m.Answered && !m.Status.Primary) && !k.excluded[m.ID] {
+		if (m.ID != v.Primary || m.Answered && !m.Status.Primary) && !sv.excluded[m.ID] {
 			list = append(list, l)
 		}
 	}
@@ -214,7 +214,7 @@
 			}
 			return -1
 		}
-		if now := k.Clock(); alive && !a.stalled(now) && !b.stalled(now) {
+		if now := sv.Clock(); alive && !a.stalled(now) && !b.stalled(now) {
 			if a.lagging() != b.lagging() && reason == ReasonOverloaded {
 				return cmp.Compare(b.Status.LagMillis, a.Status.LagMillis)
 			}
@@ -227,15 +227,15 @@
 
 // checkReplicas returns an error unless every replica that may hold an acknowledged commit
 // responds.
-func (k *Keeper) checkReplicas(replicas []*memberState) error {
-	if k.Synchronous() == 0 {
+func (sv *Supervisor) checkReplicas(replicas []*memberState) error {
+	if sv.SynchronousReplicas() == 0 {
 		return nil
 	}
 	for _, l := range replicas {
 		if !l.Answered {
 			return errors.Wrapf(errReplicaUnreachable, "%s", l.ID)
 		}
-		if k.Clock() < k.resumePendingUntil[l.ID] {
+		if sv.Clock() < sv.resumePendingUntil[l.ID] {
 			return errors.Wrapf(errResumePending, "%s", l.ID)
 		}
 	}
@@ -243,10 +243,10 @@
 }
 
 // memberAddresses maps the members that are not excluded to their addresses.
-func (k *Keeper) memberAddresses() map[string]string {
+func (sv *Supervisor) memberAddresses() map[string]string {
 	all := map[string]string{}
-	for id, l := range k.members {
-		if !k.excluded[id] {
+	for id, l := range sv.members {
+		if !sv.excluded[id] {
 			all[id] = l.Address
 		}
 	}
@@ -254,30 +254,30 @@
 }
 
 // promoteAndWait orders the promotion and waits for it to take effect.
-func (k *Keeper) promoteAndWait(ctx context.Context, c *primaryChange) error {
+func (sv *Supervisor) promoteAndWait(ctx context.Context, c *primaryChange) error {
 	deadline := time.Now().Add(promotionTimeout)
 	ordered := false
 	for time.Now().Before(deadline) {
-		if !k.Holds(requestTimeout) {
+		if !sv.Holds(requestTimeout) {
 			return errNotOwner
 		}
-		k.pauseJoined(ctx, c)
+		sv.pauseJoined(ctx, c)
 		if err := checkNotRestarted([]*memberState{c.candidate}); err != nil {
 			return err
 		}
 		if !ordered {
-			err := k.sendPromotion(ctx, c)
-			if err != nil && k.Refused(err) {
+			err := sv.sendPromotion(ctx, c)
+			if err != nil && sv.Refused(err) {
 				return err
 			}
 			ordered = err == nil
 		}
-		k.poll(ctx, c.candidate)
+		sv.poll(ctx, c.candidate)
 		if c.candidate.Answered && c.candidate.Status.Primary && c.candidate.Status.Term >= c.term {
-			k.recordPromotion(c, ordered)
+			sv.recordPromotion(c, ordered)
 			return nil
 		}
-		if err := pauser.Pause(ctx, promotionPollInterval); err != nil {
+		if err := sleeper.Sleep(ctx, promotionPollInterval); err != nil {
 			return err
 		}
 	}
@@ -285,73 +285,73 @@
 }
 
 // sendPromotion sends the promotion order.
-func (k *Keeper) sendPromotion(ctx context.Context, c *primaryChange) error {
-	k.orderedAt, k.promotionPending = k.Clock(), true
-	err := k.Promote(ctx, k.Group.Name, c.candidate.ID, c.fence)
-	k.Log("event", "promotion-ordered", "group", k.Group.Name, "member", c.candidate.ID, "term", c.term, "fence", c.fence, "outcome", outcome(err))
-	if err != nil && !k.Refused(err) {
-		k.Spend()
+func (sv *Supervisor) sendPromotion(ctx context.Context, c *primaryChange) error {
+	sv.orderedAt, sv.promotionPending = sv.Clock(), true
+	err := sv.Promote(ctx, sv.Group.Name, c.candidate.ID, c.fence)
+	sv.Log("event", "promotion-ordered", "group", sv.Group.Name, "member", c.candidate.ID, "term", c.term, "fence", c.fence, "outcome", outcome(err))
+	if err != nil && !sv.Refused(err) {
+		sv.MarkPromotionUnanswered()
 	}
 	return err
 }
 
 // pauseJoined pauses members that have joined since the others were paused.
-func (k *Keeper) pauseJoined(ctx context.Context, c *primaryChange) {
-	joined := k.refreshMembers()
+func (sv *Supervisor) pauseJoined(ctx context.Context, c *primaryChange) {
+	joined := sv.refreshMembers()
 	if len(joined) == 0 {
 		return
 	}
-	if err := k.pauseAll(ctx, joined, c.term); err != nil {
-		k.Log("event", "joined-not-paused", "group", k.Group.Name, "cause", err)
+	if err := sv.pauseAll(ctx, joined, c.term); err != nil {
+		sv.Log("event", "joined-not-paused", "group", sv.Group.Name, "cause", err)
 	}
 }
 
 // recordPromotion updates the state after a successful promotion.
-func (k *Keeper) recordPromotion(c *primaryChange, ordered bool) {
-	k.primary = c.candidate.ID
-	for _, l := range k.members {
-		l.BehindSince = 0
+func (sv *Supervisor) recordPromotion(c *primaryChange, ordered bool) {
+	sv.primary = c.candidate.ID
+	for _, l := range sv.members {
+		l.StalledSince = 0
 	}
 	if ordered {
-		k.promotionPending, k.recordOutdated = false, true
+		sv.promotionPending, sv.recordOutdated = false, true
 	}
 }
 
 // fencePendingPromotion prevents late execution of an earlier promotion order, by naming the
 // current primary under a new fencing token. The token takes effect even if the platform
 // refuses the order.
-func (k *Keeper) fencePendingPromotion(ctx context.Context) {
-	p := k.members[k.primary]
-	if p == nil || !p.Answered || !p.Status.Primary || !k.Holds(minRemainingLease) {
+func (sv *Supervisor) fencePendingPromotion(ctx context.Context) {
+	p := sv.members[sv.primary]
+	if p == nil || !p.Answered || !p.Status.Primary || !sv.Holds(minRemainingLease) {
 		return
 	}
-	fence, err := k.Fence(ctx, Facts{Members: k.memberAddresses(), Open: true, Lead: k.lastLeader})
+	fence, err := sv.NextFencingToken(ctx, State{Members: sv.memberAddresses(), PromotionPending: true, Leader: sv.lastLeader})
 	if err != nil {
-		k.Log("event", "order-not-closed", "group", k.Group.Name, "cause", err)
+		sv.Log("event", "order-not-closed", "group", sv.Group.Name, "cause", err)
 		return
 	}
-	k.fencedAt = k.Clock()
-	err = k.Promote(ctx, k.Group.Name, p.ID, fence)
-	k.Log("event", "order-closed", "group", k.Group.Name, "primary", p.ID, "fence", fence, "outcome", outcome(err))
-	if err == nil || k.Refused(err) {
-		k.promotionPending, k.recordOutdated = false, true
+	sv.fencedAt = sv.Clock()
+	err = sv.Promote(ctx, sv.Group.Name, p.ID, fence)
+	sv.Log("event", "order-closed", "group", sv.Group.Name, "primary", p.ID, "fence", fence, "outcome", outcome(err))
+	if err == nil || sv.Refused(err) {
+		sv.promotionPending, sv.recordOutdated = false, true
 		return
 	}
-	k.Spend()
+	sv.MarkPromotionUnanswered()
 }
 
 // resume makes a paused replica receive the log again. An unanswered command may take effect
 // during a later change, so changes are deferred until that is ruled out.
-func (k *Keeper) resume(ctx context.Context, id string) {
-	l := k.members[id]
-	if l == nil || !k.Holds(minRemainingLease) {
+func (sv *Supervisor) resume(ctx context.Context, id string) {
+	l := sv.members[id]
+	if l == nil || !sv.Holds(minRemainingLease) {
 		return
 	}
-	s, err := k.commandOnNewConnection(ctx, l, messenger.Command{Kind: messenger.KindResume})
-	k.Log("event", "resumed", "group", k.Group.Name, "member", id, "outcome", outcome(err))
+	s, err := sv.commandOnNewConnection(ctx, l, messenger.Command{Kind: messenger.KindResume})
+	sv.Log("event", "resumed", "group", sv.Group.Name, "member", id, "outcome", outcome(err))
 	if err != nil {
-		k.resumePendingUntil[id] = k.Clock() + lateCommandWindow
+		sv.resumePendingUntil[id] = sv.Clock() + lateCommandWindow
 		return
 	}
-	l.applyStatus(k.Clock(), s)
+	l.applyStatus(sv.Clock(), s)
 }
--- a/internal/elector/primary_change_test.go
+++ b/internal/elector/primary_change_test.go
@@ -20,15 +20,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// harness is a group under write load, with a keeper that owns it.
+// harness is a group under write load, with a supervisor that owns it.
 type harness struct {
 	group     *liner.Group
 	net       *wirer.Net
 	ownership *fakeOwnership
-	clock     func() tracker.Stamp
-	// synchronous is the number of replicas that hold each commit, as reported to the keeper.
+	clock     func() tracker.Timestamp
+	// synchronous is the number of replicas that hold each commit, as reported to the supervisor.
 	synchronous int
-	// tracked is the keeper's view of the group.
+	// tracked is the supervisor's view of the group.
 	tracked *tracker.Group
 
 	ctx  context.Context
@@ -46,32 +46,32 @@
 	delay time.Duration
 	mutex sync.Mutex
 	fence int64
-	state elector.Facts
+	state elector.State
 }
 
-func (d *fakeOwnership) Fence(_ context.Context, f elector.Facts) (int64, error) {
-	d.mutex.Lock()
-	delay := d.delay
-	d.mutex.Unlock()
+func (o *fakeOwnership) NextFencingToken(_ context.Context, f elector.State) (int64, error) {
+	o.mutex.Lock()
+	delay := o.delay
+	o.mutex.Unlock()
 	time.Sleep(delay)
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.fence++
-	d.state = f
-	return d.fence, nil
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	o.fence++
+	o.state = f
+	return o.fence, nil
 }
 
 // update changes the ownership under its mutex.
-func (d *fakeOwnership) update(change func()) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
+func (o *fakeOwnership) update(change func()) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
 	change()
 }
 
-func (d *fakeOwnership) Facts() elector.Facts {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.state
+func (o *fakeOwnership) State() elector.State {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	return o.state
 }
 
 func (s *harness) log(fields ...any) {
@@ -85,24 +85,24 @@
 	}
 }
 
-func (s *harness) keeper(host *wirer.Host, clock func() tracker.Stamp) *elector.Keeper {
-	s.tracked = &tracker.Group{Name: s.group.Name, Zone: "a", Near: func(string) bool { return false }}
-	s.tracked.Members(s.group.Registered())
-	return &elector.Keeper{
+func (s *harness) newSupervisor(host *wirer.Host, clock func() tracker.Timestamp) *elector.Supervisor {
+	s.tracked = &tracker.Group{Name: s.group.Name, Zone: "a", SameRegion: func(string) bool { return false }}
+	s.tracked.SetMembers(s.group.Registered())
+	return &elector.Supervisor{
 		Group: s.tracked,
 		Clock: clock, Codec: platform.Lines{}, Members: s.group.Registered,
 		Connect: func(ctx context.Context, m tracker.Member) (*lender.Conn, error) {
 			return lender.Connect(ctx, host, platform.Lines{}, m, "keeper")
 		},
-		Holds: func(time.Duration) bool { return true },
-		Fence: s.ownership.Fence, Facts: s.ownership.Facts, Spend: func() {},
-		Promote:     func(_ context.Context, _, id string, _ int64) error { return s.group.Promote(id) },
-		Refused:     func(error) bool { return true },
-		Synchronous: func() int { return s.synchronous }, Connections: func() int { return s.group.Connections }, Changed: func() {}, Log: s.log,
+		Holds:            func(time.Duration) bool { return true },
+		NextFencingToken: s.ownership.NextFencingToken, State: s.ownership.State, MarkPromotionUnanswered: func() {},
+		Promote:             func(_ context.Context, _, id string, _ int64) error { return s.group.Promote(id) },
+		Refused:             func(error) bool { return true },
+		SynchronousReplicas: func() int { return s.synchronous }, ConnectionLimit: func() int { return s.group.Connections }, PrimaryChanged: func() {}, Log: s.log,
 	}
 }
 
-// notifyOn returns a channel that receives whenever the keeper logs an event.
+// notifyOn returns a channel that receives whenever the supervisor logs an event.
 func (s *harness) notifyOn(event string) <-chan struct{} {
 	seen := make(chan struct{}, 8)
 	s.mutex.Lock()
@@ -115,22 +115,22 @@
 	return seen
 }
 
-// startKeeper starts a keeper.
-func (s *harness) startKeeper(ctx context.Context) {
-	keeperCtx, stop := context.WithCancel(ctx)
-	k, done := s.keeper(s.net.Host("10.8.1.1", "a"), s.clock), make(chan error, 1)
+// startSupervisor starts a supervisor.
+func (s *harness) startSupervisor(ctx context.Context) {
+	supervisorCtx, stop := context.WithCancel(ctx)
+	k, done := s.newSupervisor(s.net.Host("10.8.1.1", "a"), s.clock), make(chan error, 1)
 	s.ctx, s.stop, s.done = ctx, stop, done
-	go func() { done <- k.Run(keeperCtx) }()
+	go func() { done <- k.Run(supervisorCtx) }()
 }
 
-// replaceKeeper replaces the keeper by that of another owner, which knows the recorded state.
-func (s *harness) replaceKeeper() {
+// replaceSupervisor replaces the supervisor by that of another owner, which knows the recorded state.
+func (s *harness) replaceSupervisor() {
 	s.stop()
 	<-s.done
-	s.startKeeper(s.ctx)
+	s.startSupervisor(s.ctx)
 }
 
-// runScenario runs a group with writers, a keeper and a scenario.
+// runScenario runs a group with writers, a supervisor and a scenario.
 func runScenario(t *testing.T, scenario func(t *testing.T, s *harness)) {
 	t.Helper()
 	runScenarioWith(t, &liner.Group{Connections: 20, Work: time.Millisecond}, scenario)
@@ -147,14 +147,14 @@
 		group.Name, group.Net, group.Travel, group.Promotion = "g", net, 12*time.Millisecond, 600*time.Millisecond
 		s.group.Start(ctx, "a", "b", "c")
 		begin := time.Now()
-		clock := func() tracker.Stamp { return time.Since(begin) }
+		clock := func() tracker.Timestamp { return time.Since(begin) }
 		s.clock = clock
 		var running sync.WaitGroup
 		for i := range 3 {
 			h := net.Host(fmt.Sprintf("10.8.0.%d", i+1), "a")
 			running.Go(func() { writeLoop(ctx, s.group, h) })
 		}
-		s.startKeeper(ctx)
+		s.startSupervisor(ctx)
 		defer func() {
 			cancel()
 			<-s.done
@@ -283,7 +283,7 @@
 // promotion.
 func TestChangeAfterFencingPendingPromotion(t *testing.T) {
 	runScenario(t, func(t *testing.T, s *harness) {
-		s.ownership.update(func() { s.ownership.state.Open = true })
+		s.ownership.update(func() { s.ownership.state.PromotionPending = true })
 		time.Sleep(300 * time.Millisecond)
 		s.group.Leave("g-1")
 		time.Sleep(5 * time.Second)
@@ -319,7 +319,7 @@
 		s.group.Late("g-2", 10*time.Millisecond)
 		s.group.Late("g-3", 10*time.Second)
 		h := s.net.Host("10.8.2.1", "a")
-		for range 14 { // 18 of 20 connections, including the writers and the keeper
+		for range 14 { // 18 of 20 connections, including the writers and the supervisor
 			c := connect(t.Context(), s.group, h, "g-1")
 			must.NotNil(t, c)
 			defer c.Close()
@@ -357,12 +357,12 @@
 		time.Sleep(50 * time.Millisecond)
 		since := s.clock()
 		time.Sleep(500 * time.Millisecond)
-		p, ok := s.tracked.Freshest()
+		p, ok := s.tracked.NewestProof()
 		must.True(t, ok)
 		must.Less(t, since, p.At)
 		s.group.Busy("g-1", false)
 		time.Sleep(time.Second)
-		p, _ = s.tracked.Freshest()
+		p, _ = s.tracked.NewestProof()
 		must.Greater(t, since, p.At)
 	})
 }
@@ -475,7 +475,7 @@
 				s.group.Restart(id)
 				if newOwner {
 					time.Sleep(time.Second)
-					s.replaceKeeper()
+					s.replaceSupervisor()
 				}
 				time.Sleep(8 * time.Second)
 				must.NotEq(t, "", s.leader())
--- a/internal/elector/record.go
+++ b/internal/elector/record.go
@@ -14,7 +14,7 @@
 
 // encode encodes a record with this instance as the owner, under a lease.
 func (e *Elector) encode(r record, lease storer.Lease) []byte {
-	r.Holder, r.Lease = e.Name, int64(lease)
+	r.Owner, r.Lease = e.Name, int64(lease)
 	text, err := json.Marshal(r)
 	if err != nil {
 		panic("elector: record: " + err.Error())
@@ -28,7 +28,7 @@
 	if err := json.Unmarshal(value, &r); err != nil {
 		return record{}, err
 	}
-	if r.Holder == "" {
+	if r.Owner == "" {
 		return record{}, errNoOwner
 	}
 	return r, nil
--- /dev/null
+++ b/internal/elector/supervisor.go
@@ -0,0 +1,320 @@
+package elector
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/oriolegw/oriolegw/internal/lender"
+	"github.com/oriolegw/oriolegw/internal/messenger"
+	"github.com/oriolegw/oriolegw/internal/sleeper"
+	"github.com/oriolegw/oriolegw/internal/tracker"
+)
+
+const (
+	// pollInterval is the period of polling the primary, and every member while the group is
+	// unhealthy.
+	pollInterval = 200 * time.Millisecond
+	// healthyReplicaInterval is the period of polling replicas in a healthy group.
+	healthyReplicaInterval = 800 * time.Millisecond
+	// requestTimeout bounds a request to a member, and the dial for it.
+	requestTimeout = 300 * time.Millisecond
+	// retryDelay is the pause after a failed change.
+	retryDelay = 200 * time.Millisecond
+	// minRecordInterval is the minimum time between two writes of the group's record.
+	minRecordInterval = time.Second
+	// statusLogInterval is the period of logging member statuses.
+	statusLogInterval = 2 * time.Second
+	// incarnationSeparator separates a member's ID and its start time in the ID of a former
+	// incarnation. Member IDs do not contain it.
+	incarnationSeparator = "~"
+)
+
+type (
+	// Supervisor supervises one group while this instance owns it. Set the exported fields, then
+	// call Run.
+	Supervisor struct {
+		Group *tracker.Group
+		Clock func() tracker.Timestamp
+		// Members returns all members, including those that are leaving.
+		Members func() []tracker.Member
+		// Connect opens a connection to a member.
+		Connect func(ctx context.Context, m tracker.Member) (*lender.Conn, error)
+		Codec   messenger.MemberCodec
+		// Holds reports whether the ownership is certain to last for the given time.
+		Holds func(d time.Duration) bool
+		// NextFencingToken records the group's state and returns a fencing token above all earlier
+		// ones; State returns the last recorded state.
+		NextFencingToken func(ctx context.Context, f State) (int64, error)
+		State            func() State
+		// MarkPromotionUnanswered notes that an order sent with the newest fencing token is unanswered.
+		MarkPromotionUnanswered func()
+		// Promote orders a promotion.
+		Promote func(ctx context.Context, group, member string, fence int64) error
+		// Refused reports whether an error of Promote is a refusal.
+		Refused func(error) bool
+		// SynchronousReplicas returns how many replicas hold a commit before it is acknowledged.
+		SynchronousReplicas func() int
+		// ConnectionLimit returns a member's connection limit for all instances, 0 when unknown.
+		ConnectionLimit func() int
+		// ProcessStart is when this process started.
+		ProcessStart tracker.Timestamp
+		// PrimaryChanged is called when the primary has changed.
+		PrimaryChanged func()
+		Log            func(fields ...any)
+
+		members         map[string]*memberState
+		primary         string
+		leaderlessSince tracker.Timestamp
+		orderedAt       tracker.Timestamp
+		// announcedLeave are the members that announced to leave, or whose address was reused. They
+		// have departed once they are no longer registered.
+		announcedLeave map[string]bool
+		// formerIncarnations maps former incarnations that may hold the only copy of a commit to their
+		// addresses; see incarnationID.
+		formerIncarnations map[string]string
+		// registered are the registered members.
+		registered map[string]bool
+		// excluded are departed members whose commits are all held by others.
+		excluded map[string]bool
+		// recordedAt is when the state was last recorded, reportedAt when statuses were last logged.
+		recordedAt, reportedAt tracker.Timestamp
+		// recordOutdated is set when state other than the member list has to be recorded.
+		recordOutdated bool
+		// lastLeader is the last known primary.
+		lastLeader Leadership
+		// promotionPending is set while a promotion order may still be executed late.
+		promotionPending bool
+		// rebalanceInterval is the minimum time between changes made only to balance load,
+		// rebalancedAt the time of the last one.
+		rebalanceInterval time.Duration
+		rebalancedAt      tracker.Timestamp
+		// restoredAt is when a change last restored the old primary.
+		restoredAt tracker.Timestamp
+		// fencedAt is when earlier promotion orders were last fenced off.
+		fencedAt tracker.Timestamp
+		// resumePendingUntil is until when an unanswered resume command may take effect, by member.
+		resumePendingUntil map[string]tracker.Timestamp
+	}
+)
+
+// Run supervises the group until the context ends.
+func (sv *Supervisor) Run(ctx context.Context) error {
+	sv.members, sv.resumePendingUntil = map[string]*memberState{}, map[string]tracker.Timestamp{}
+	sv.announcedLeave, sv.excluded, sv.formerIncarnations = map[string]bool{}, map[string]bool{}, map[string]string{}
+	recorded := sv.State()
+	sv.promotionPending, sv.lastLeader = recorded.PromotionPending, recorded.Leader
+	defer sv.closeConnections()
+	t := time.NewTicker(pollInterval)
+	defer t.Stop()
+	for {
+		v := sv.pollMembers(ctx)
+		if ctx.Err() != nil {
+			return ctx.Err()
+		}
+		sv.logStatuses(v)
+		sv.act(ctx, v)
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-t.C:
+		}
+	}
+}
+
+// logStatuses logs the members' statuses.
+func (sv *Supervisor) logStatuses(v View) {
+	if v.Now-sv.reportedAt < statusLogInterval {
+		return
+	}
+	sv.reportedAt = v.Now
+	for _, m := range v.Members {
+		sv.Log("event", "observed", "group", sv.Group.Name, "member", m.ID, "answered", m.Answered, "primary", m.Status.Primary,
+			"term", m.Status.Term, "position", m.Status.Received, "lag-ms", m.Status.LagMillis, "busy", m.Status.Busy, "connections", m.Status.Connections)
+	}
+}
+
+// act carries out one decision of Decide per round.
+func (sv *Supervisor) act(ctx context.Context, v View) {
+	d := Decide(v)
+	if d.Reason != ReasonNone && v.Now-sv.fencedAt < fencingDelay {
+		sv.Log("event", "move-waits", "group", sv.Group.Name, "reason", d.Reason, "for", "fencing of earlier promotion orders")
+		return
+	}
+	if sv.restoredAt != 0 && v.Now-sv.restoredAt < restoreCooldown && d.Reason.primaryAlive() {
+		return
+	}
+	if d.Reason != ReasonNone {
+		sv.updateRebalanceInterval(d.Reason)
+		start := sv.Clock()
+		sv.Log("event", "move-begins", "group", sv.Group.Name, "reason", d.Reason, "primary", v.Primary)
+		to, err := sv.changePrimary(ctx, v, d.Reason)
+		sv.Log("event", "move-ended", "group", sv.Group.Name, "reason", d.Reason, "from", v.Primary, "to", to,
+			"outcome", outcome(err), "ms", (sv.Clock() - start).Milliseconds())
+		if err != nil {
+			_ = sleeper.Sleep(ctx, retryDelay)
+		}
+		return
+	}
+	if sv.promotionPending {
+		sv.fencePendingPromotion(ctx)
+	}
+	if !sv.promotionPending {
+		for _, id := range d.Resume {
+			sv.resume(ctx, id)
+		}
+	}
+	sv.saveState(ctx)
+}
+
+// updateRebalanceInterval backs off after a change made to balance load.
+func (sv *Supervisor) updateRebalanceInterval(r Reason) {
+	if r != ReasonOverloaded {
+		return
+	}
+	now := sv.Clock()
+	if sv.rebalancedAt != 0 && now-sv.rebalancedAt < 2*sv.rebalanceInterval {
+		sv.rebalanceInterval = min(4*sv.rebalanceInterval, maxRebalanceInterval)
+	} else {
+		sv.rebalanceInterval = minRebalanceInterval
+	}
+	sv.rebalancedAt = now
+}
+
+// saveState records the member list for the next owner when it has changed: a missing member
+// may hold the only copy of a commit.
+func (sv *Supervisor) saveState(ctx context.Context) {
+	now, addresses := sv.Clock(), sv.memberAddresses()
+	if maps.Equal(addresses, sv.State().Members) && !sv.recordOutdated || now-sv.recordedAt < minRecordInterval {
+		return
+	}
+	sv.recordedAt, sv.recordOutdated = now, false
+	_, err := sv.NextFencingToken(ctx, State{Members: addresses, PromotionPending: sv.promotionPending, Leader: sv.lastLeader})
+	sv.Log("event", "roster", "group", sv.Group.Name, "members", len(addresses), "outcome", outcome(err))
+}
+
+func outcome(err error) string {
+	if err == nil {
+		return "done"
+	}
+	return err.Error()
+}
+
+// pollMembers polls all members that are due concurrently.
+func (sv *Supervisor) pollMembers(ctx context.Context) View {
+	sv.refreshMembers()
+	// Collected first, because the primary's response changes which members are due.
+	var due []*memberState
+	for _, l := range sv.members {
+		if sv.shouldPoll(l) {
+			due = append(due, l)
+		}
+	}
+	var polls sync.WaitGroup
+	for _, l := range due {
+		polls.Go(func() { sv.poll(ctx, l) })
+	}
+	polls.Wait()
+	v := sv.buildView()
+	sv.excludeDeparted()
+	return v
+}
+
+// recordLeader stores a newly seen primary.
+func (sv *Supervisor) recordLeader(l Leadership) {
+	if l != sv.lastLeader && l.Term >= sv.lastLeader.Term {
+		sv.lastLeader, sv.recordOutdated = l, true
+	}
+}
+
+// refreshMembers updates the members from the registry, and returns the new ones.
+func (sv *Supervisor) refreshMembers() []*memberState {
+	registered := sv.Members()
+	sv.registered = map[string]bool{}
+	for _, m := range registered {
+		sv.registered[m.ID] = true
+	}
+	members := sv.withMissing(registered)
+	sv.pruneMembers(members)
+	var joined []*memberState
+	for _, m := range members {
+		l := sv.members[m.ID]
+		if l != nil && m.StartTime > l.StartTime && l.StartTime != 0 {
+			sv.handleRestart(l)
+			l = nil
+		}
+		if l == nil {
+			l = &memberState{}
+			sv.members[m.ID] = l
+			sv.include(m.ID)
+			joined = append(joined, l)
+		}
+		l.Member, l.maxConnections = m, sv.ConnectionLimit()
+		if m.Leaving && !m.Missing {
+			sv.announcedLeave[m.ID] = true
+		}
+	}
+	return joined
+}
+
+// shouldPoll reports whether a member is due. Replicas are polled less often while the primary
+// is healthy.
+func (sv *Supervisor) shouldPoll(l *memberState) bool {
+	if isFormerIncarnation(l.ID) {
+		return false
+	}
+	if l.ID == sv.primary || !l.Answered || l.PausedSince != 0 {
+		return true
+	}
+	p := sv.members[sv.primary]
+	healthy := p != nil && p.Answered && p.Status.Primary && !p.Leaving && p.OverloadedSince == 0 && l.StalledSince == 0
+	return !healthy || sv.Clock()-l.polledAt >= healthyReplicaInterval
+}
+
+// pruneMembers drops members that are no longer listed.
+func (sv *Supervisor) pruneMembers(members []tracker.Member) {
+	for id, l := range sv.members {
+		if !slices.ContainsFunc(members, func(m tracker.Member) bool { return m.ID == id }) {
+			l.close()
+			delete(sv.members, id)
+		}
+	}
+}
+
+// buildView determines the primary from the members' statuses and returns the group's view.
+func (sv *Supervisor) buildView() View {
+	now := sv.Clock()
+	v := View{Now: now, PromotionOrderedAt: sv.orderedAt, ProcessStart: sv.ProcessStart, RebalanceInterval: sv.rebalanceInterval}
+	if sv.primary == "" {
+		sv.primary = sv.Group.Primary()
+	}
+	previous := sv.primary
+	var term uint64
+	for _, l := range sv.members {
+		if l.Answered && l.Status.Primary && l.Status.Term > term {
+			term, sv.primary = l.Status.Term, l.ID
+			sv.recordLeader(Leadership{ID: l.ID, Born: l.StartTime, Term: l.Status.Term})
+		}
+	}
+	p := sv.members[sv.primary]
+	for _, l := range sv.members {
+		if sv.primary != previous {
+			// Stalls were relative to the previous primary.
+			l.StalledSince = 0
+		} else if p != nil {
+			l.updateStall(p.Status.Received)
+			l.updateCoverage(p)
+		}
+		v.Members = append(v.Members, l.Observation)
+	}
+	switch {
+	case p != nil && (!p.Answered || p.Status.Primary):
+		sv.leaderlessSince = 0
+	case sv.leaderlessSince == 0:
+		sv.leaderlessSince = now
+	}
+	v.Primary, v.LeaderlessSince = sv.primary, sv.leaderlessSince
+	return v
+}
--- a/internal/teller/teller.go
+++ b/internal/exchanger/exchanger.go
@@ -1,7 +1,7 @@
-// Package teller exchanges state between instances: the state of the platform's store, the
+// Package exchanger exchanges state between instances: the state of the platform's store, the
 // known peers and the freshness proofs of primaries. The watcher orders received store
 // state by its revision; that state is never used as proof of a read's freshness.
-package teller
+package exchanger
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 	"time"
 
 	"github.com/go-faster/errors"
-	"github.com/oriolegw/oriolegw/internal/introducer"
+	"github.com/oriolegw/oriolegw/internal/discoverer"
 	"github.com/oriolegw/oriolegw/internal/linker"
 	"github.com/oriolegw/oriolegw/internal/linker/wire"
-	"github.com/oriolegw/oriolegw/internal/pauser"
 	"github.com/oriolegw/oriolegw/internal/ranker"
+	"github.com/oriolegw/oriolegw/internal/sleeper"
 	"github.com/oriolegw/oriolegw/internal/storer"
 	"github.com/oriolegw/oriolegw/internal/tracker"
 	"github.com/oriolegw/oriolegw/internal/watcher"
@@ -57,22 +57,22 @@
 // GroupProof is a freshness proof of a group.
 type GroupProof struct {
 	Group string
-	tracker.Proof
+	tracker.FreshnessProof
 }
 
-// Teller sends requests to peers and answers theirs. Set the exported fields, then call Run.
-type Teller struct {
-	Introducer *introducer.Introducer
+// Exchanger sends requests to peers and answers theirs. Set the exported fields, then call Run.
+type Exchanger struct {
+	Discoverer *discoverer.Discoverer
 	Links      *linker.Client
-	Clock      func() tracker.Stamp
-	// Known returns the known state of the store, nil before the first read.
-	Known func() *watcher.News
-	// Reads reports whether this instance watches the store itself and the store is available.
-	Reads func() bool
+	Clock      func() tracker.Timestamp
+	// StoreState returns the known state of the store, nil before the first read.
+	StoreState func() *watcher.StoreState
+	// IsReader reports whether this instance watches the store itself and the store is available.
+	IsReader func() bool
 	// Proofs, if set, returns the recent proofs that this instance obtained from primaries.
-	// Prove is called with the proofs received from a peer.
-	Proofs func() []GroupProof
-	Prove  func(GroupProof)
+	// AddProof is called with the proofs received from a peer.
+	Proofs   func() []GroupProof
+	AddProof func(GroupProof)
 	// Lend, if set, serves a peer that borrows connections.
 	Lend func(stream wire.DRPCNeighbours_LendStream) error
 	// Account, if set, handles a usage report of a peer.
@@ -83,83 +83,83 @@
 	Log func(fields ...any)
 
 	// contacted is the time of the last request by peer name. It is accessed only by Run.
-	contacted map[string]tracker.Stamp
-	// readerRequests counts the calls of Hear, which are not concurrent.
+	contacted map[string]tracker.Timestamp
+	// readerRequests counts the calls of RequestState, which are not concurrent.
 	readerRequests int
 
 	mutex sync.Mutex
 	// ownRecord is the record of this instance in the store.
 	ownRecord storer.Pair
 	// registerTriedAt is when the record was last written.
-	registerTriedAt tracker.Stamp
+	registerTriedAt tracker.Timestamp
 }
 
 // Run registers this instance and contacts its peers until the context ends.
-func (t *Teller) Run(ctx context.Context) error {
-	started := t.Clock()
-	t.contacted = map[string]tracker.Stamp{}
+func (e *Exchanger) Run(ctx context.Context) error {
+	started := e.Clock()
+	e.contacted = map[string]tracker.Timestamp{}
 	var requests sync.WaitGroup
 	defer requests.Wait()
 	for {
-		if err := pauser.Pause(ctx, contactCheckInterval/2+rand.N(contactCheckInterval)); err != nil {
+		if err := sleeper.Sleep(ctx, contactCheckInterval/2+rand.N(contactCheckInterval)); err != nil {
 			return err
 		}
-		t.register(ctx)
-		for _, p := range t.duePeers(t.Clock()-started < introductionPeriod) {
-			requests.Go(func() { _, _ = t.request(ctx, p.Address, &wire.TellRequest{PeersOnly: true}) })
+		e.register(ctx)
+		for _, p := range e.duePeers(e.Clock()-started < introductionPeriod) {
+			requests.Go(func() { _, _ = e.request(ctx, p.Address, &wire.TellRequest{PeersOnly: true}) })
 		}
 	}
 }
 
 // duePeers returns the peers to contact now. A peer that has just failed is contacted at
 // every check; responsive and long unresponsive ones less often.
-func (t *Teller) duePeers(starting bool) []introducer.Peer {
-	now := t.Clock()
-	list := t.Introducer.Guarded()
+func (e *Exchanger) duePeers(starting bool) []discoverer.Peer {
+	now := e.Clock()
+	list := e.Discoverer.Monitored()
 	if starting {
-		list = append(list, t.Introducer.Unmet(now, introductionFanout)...)
+		list = append(list, e.Discoverer.Uncontacted(now, introductionFanout)...)
 	}
-	var duePeers []introducer.Peer
+	var duePeers []discoverer.Peer
 	for _, p := range list {
 		pause := contactInterval
-		if failing, since := t.Introducer.Failing(p.Name); failing && now-since > unresponsiveAfter {
+		if failing, since := e.Discoverer.Failing(p.Name); failing && now-since > unresponsiveAfter {
 			pause = unresponsiveInterval
-		} else if failing || !t.Links.Connected(p.Address) {
+		} else if failing || !e.Links.Connected(p.Address) {
 			pause = contactCheckInterval
 		}
-		if at, contacted := t.contacted[p.Name]; !contacted || now-at >= pause {
+		if at, contacted := e.contacted[p.Name]; !contacted || now-at >= pause {
 			duePeers = append(duePeers, p)
-			t.contacted[p.Name] = now
+			e.contacted[p.Name] = now
 		}
 	}
 	return duePeers
 }
 
-// Hear requests the store state after a revision from peers and returns the newest answer.
-// It implements watcher.Watcher.Hear and must not be called concurrently.
-func (t *Teller) Hear(ctx context.Context, revision int64) (watcher.News, error) {
-	if readerAddresses := t.readerAddresses(); !slices.Contains(readerAddresses, "") {
-		return t.requestFromReader(ctx, readerAddresses, revision)
+// RequestState requests the store state after a revision from peers and returns the newest answer.
+// It implements watcher.Watcher.RequestState and must not be called concurrently.
+func (e *Exchanger) RequestState(ctx context.Context, revision int64) (watcher.StoreState, error) {
+	if readerAddresses := e.readerAddresses(); !slices.Contains(readerAddresses, "") {
+		return e.requestFromReader(ctx, readerAddresses, revision)
 	}
-	list := t.Introducer.Addresses(t.Clock(), stateRequestFanout)
-	answers := make(chan watcher.News, len(list))
+	list := e.Discoverer.Addresses(e.Clock(), stateRequestFanout)
+	answers := make(chan watcher.StoreState, len(list))
 	for _, address := range list {
 		go func() {
-			n, err := t.request(ctx, address, &wire.TellRequest{Revision: revision})
+			n, err := e.request(ctx, address, &wire.TellRequest{Revision: revision})
 			if err != nil {
-				n = watcher.News{}
+				n = watcher.StoreState{}
 			}
 			answers <- n
 		}()
 	}
-	var best watcher.News
+	var best watcher.StoreState
 	for range list {
 		n := <-answers
-		reads := best.Reads || n.Reads
-		if n.Revision > best.Revision || n.Revision == best.Revision && n.Heard > best.Heard {
+		reads := best.SenderIsReader || n.SenderIsReader
+		if n.Revision > best.Revision || n.Revision == best.Revision && n.ConfirmedAt > best.ConfirmedAt {
 			best = n
 		}
-		best.Reads = reads
+		best.SenderIsReader = reads
 	}
 	if best.Revision == 0 {
 		return best, errNoPeerState
@@ -169,28 +169,28 @@
 
 // requestFromReader requests the store state from the readers in round-robin order, and
 // tries the next one if a reader fails.
-func (t *Teller) requestFromReader(ctx context.Context, readers []string, revision int64) (watcher.News, error) {
-	t.readerRequests++
+func (e *Exchanger) requestFromReader(ctx context.Context, readers []string, revision int64) (watcher.StoreState, error) {
+	e.readerRequests++
 	for i := range readers {
-		n, err := t.request(ctx, readers[(t.readerRequests+i)%len(readers)], &wire.TellRequest{Revision: revision, Proofs: true, Changes: true})
+		n, err := e.request(ctx, readers[(e.readerRequests+i)%len(readers)], &wire.TellRequest{Revision: revision, Proofs: true, Changes: true})
 		if err == nil && n.Revision != 0 {
 			return n, nil
 		}
 	}
-	return watcher.News{}, errNoPeerState
+	return watcher.StoreState{}, errNoPeerState
 }
 
 // readerAddresses returns the addresses of the instances that watch the store for this
 // region, "" standing for this instance. It omits unresponsive peers, so that a partitioned
 // zone selects its own readers.
-func (t *Teller) readerAddresses() []string {
-	list := t.Introducer.Region(t.Clock())
+func (e *Exchanger) readerAddresses() []string {
+	list := e.Discoverer.OwnRegion(e.Clock())
 	if len(list) <= maxIndependentReaders {
 		return []string{""}
 	}
 	var addresses []string
 	for _, p := range ranker.Rank(InstancePrefix, list, peerName)[:readersPerRegion] {
-		if p.Name == t.Introducer.Self.Name {
+		if p.Name == e.Discoverer.Self.Name {
 			p.Address = ""
 		}
 		addresses = append(addresses, p.Address)
@@ -198,15 +198,15 @@
 	return addresses
 }
 
-func peerName(p introducer.Peer) string { return p.Name }
+func peerName(p discoverer.Peer) string { return p.Name }
 
-// Follows reports whether others read the store for this instance. It implements
-// watcher.Watcher's Follows.
-func (t *Teller) Follows() bool { return !slices.Contains(t.readerAddresses(), "") }
+// FollowsPeers reports whether others read the store for this instance. It implements
+// watcher.Watcher's FollowsPeers.
+func (e *Exchanger) FollowsPeers() bool { return !slices.Contains(e.readerAddresses(), "") }
 
 // request sends a request to a peer and records the peers and proofs of its reply.
-func (t *Teller) request(ctx context.Context, address string, r *wire.TellRequest) (watcher.News, error) {
-	r.Sender = toPeer(t.Introducer.Self)
+func (t *Exchanger) request(ctx context.Context, address string, r *wire.TellRequest) (watcher.StoreState, error) {
+	r.Sender = toPeer(t.Discoverer.Self)
 	var a *wire.TellReply
 	requestedAt := t.Clock()
 	err := t.Links.Call(ctx, callTimeout, address, func(ctx context.Context, l *linker.Link) (err error) {
@@ -215,56 +215,56 @@
 	})
 	if err != nil {
 		if ctx.Err() == nil {
-			t.Introducer.Failed(t.Clock(), address)
+			t.Discoverer.RecordFailure(t.Clock(), address)
 			t.Log("event", "peer-unanswered", "address", address, "cause", err)
 		}
-		return watcher.News{}, err
+		return watcher.StoreState{}, err
 	}
 	now := t.Clock()
 	responder := fromPeer(a.Teller)
-	t.Introducer.Met(now, responder)
+	t.Discoverer.RecordContact(now, responder)
 	for _, p := range a.Peers {
-		t.Introducer.HeardOf(now, fromPeer(p))
+		t.Discoverer.RecordListed(now, fromPeer(p))
 	}
 	// Ages are relative to the time before the request, so that delays can only make the
 	// received state appear older.
 	for _, p := range a.Proofs {
-		t.Prove(GroupProof{Group: p.Group, Proof: tracker.Proof{
+		t.AddProof(GroupProof{Group: p.Group, FreshnessProof: tracker.FreshnessProof{
 			At: requestedAt - time.Duration(p.AgeUs)*time.Microsecond, Position: orderer.Position{Term: p.Term, Offset: p.Offset},
 		}})
 	}
-	n := watcher.News{Revision: a.Revision, Partial: a.Partial, From: responder.Name, Reads: a.Reads, Heard: requestedAt - time.Duration(a.AgeMs)*time.Millisecond}
+	n := watcher.StoreState{Revision: a.Revision, Partial: a.Partial, Sender: responder.Name, SenderIsReader: a.Reads, ConfirmedAt: requestedAt - time.Duration(a.AgeMs)*time.Millisecond}
 	for _, x := range a.Items {
 		n.Pairs = append(n.Pairs, storer.Pair{Key: x.Key, Value: x.Value, Revision: x.Revision})
 	}
 	return n, nil
 }
 
-// Answer handles a request of a peer.
-func (t *Teller) Answer(r *wire.TellRequest) *wire.TellReply {
-	now := t.Clock()
-	t.Introducer.Met(now, fromPeer(r.Sender))
-	a := &wire.TellReply{Teller: toPeer(t.Introducer.Self)}
+// HandleRequest handles a request of a peer.
+func (e *Exchanger) HandleRequest(r *wire.TellRequest) *wire.TellReply {
+	now := e.Clock()
+	e.Discoverer.RecordContact(now, fromPeer(r.Sender))
+	a := &wire.TellReply{Teller: toPeer(e.Discoverer.Self)}
 	if !r.Changes {
-		for _, p := range t.Introducer.Told(now) {
+		for _, p := range e.Discoverer.PeersForReply(now) {
 			a.Peers = append(a.Peers, toPeer(p))
 		}
 	}
-	if r.Proofs && t.Proofs != nil {
-		a.Proofs = t.encodeProofs()
+	if r.Proofs && e.Proofs != nil {
+		a.Proofs = e.encodeProofs()
 	}
-	k := t.Known()
+	k := e.StoreState()
 	if k == nil || r.PeersOnly {
 		return a
 	}
-	a.Reads = t.Reads()
-	a.Revision, a.AgeMs = k.Revision, uint32(max(0, now-k.Heard).Milliseconds())
+	a.Reads = e.IsReader()
+	a.Revision, a.AgeMs = k.Revision, uint32(max(0, now-k.ConfirmedAt).Milliseconds())
 	if r.Revision >= k.Revision {
 		return a
 	}
 	pairs := k.Pairs
 	if r.Changes {
-		pairs, a.Partial = k.Since(r.Revision)
+		pairs, a.Partial = k.ChangesSince(r.Revision)
 	}
 	for _, p := range pairs {
 		a.Items = append(a.Items, &wire.StoreItem{Key: p.Key, Value: p.Value, Revision: p.Revision})
@@ -274,9 +274,9 @@
 
 // encodeProofs returns the recent proofs for a reply. Ages are rounded up: a proof taken for
 // newer than it is would let a read miss acknowledged commits.
-func (t *Teller) encodeProofs() []*wire.GroupProof {
-	known := t.Proofs()
-	now := t.Clock()
+func (e *Exchanger) encodeProofs() []*wire.GroupProof {
+	known := e.Proofs()
+	now := e.Clock()
 	list := make([]*wire.GroupProof, 0, len(known))
 	for _, p := range known {
 		age := max(0, now-p.At) + time.Microsecond - 1
@@ -285,10 +285,10 @@
 	return list
 }
 
-func toPeer(p introducer.Peer) *wire.Peer {
+func toPeer(p discoverer.Peer) *wire.Peer {
 	return &wire.Peer{Name: p.Name, Address: p.Address, Zone: p.Zone, Millicores: uint32(max(0, p.Millicores))}
 }
 
-func fromPeer(p *wire.Peer) introducer.Peer {
-	return introducer.Peer{Name: p.GetName(), Address: p.GetAddress(), Zone: p.GetZone(), Millicores: int(p.GetMillicores())}
+func fromPeer(p *wire.Peer) discoverer.Peer {
+	return discoverer.Peer{Name: p.GetName(), Address: p.GetAddress(), Zone: p.GetZone(), Millicores: int(p.GetMillicores())}
 }
--- a/internal/teller/teller_test.go
+++ b/internal/exchanger/exchanger_test.go
@@ -1,4 +1,4 @@
-package teller_test
+package exchanger_test
 
 import (
 	"context"
@@ -8,12 +8,12 @@
 	"time"
 
 	"github.com/go-kit/log"
-	"github.com/oriolegw/oriolegw/internal/introducer"
+	"github.com/oriolegw/oriolegw/internal/discoverer"
+	"github.com/oriolegw/oriolegw/internal/exchanger"
 	"github.com/oriolegw/oriolegw/internal/linker"
 	"github.com/oriolegw/oriolegw/internal/linker/wire"
 	"github.com/oriolegw/oriolegw/internal/standin/wirer"
 	"github.com/oriolegw/oriolegw/internal/storer"
-	"github.com/oriolegw/oriolegw/internal/teller"
 	"github.com/oriolegw/oriolegw/internal/tracker"
 	"github.com/oriolegw/oriolegw/internal/watcher"
 	"github.com/oriolegw/oriolegw/pkg/orderer"
@@ -21,45 +21,45 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func newTeller(name string, known *watcher.News) *teller.Teller {
-	return &teller.Teller{
-		Introducer: &introducer.Introducer{Self: introducer.Peer{Name: name, Address: name + ":1", Zone: "a"}, Near: func(string) bool { return false }},
-		Clock:      func() tracker.Stamp { return time.Hour }, Known: func() *watcher.News { return known }, Reads: func() bool { return true }, Log: func(...any) {},
+func newExchanger(name string, known *watcher.StoreState) *exchanger.Exchanger {
+	return &exchanger.Exchanger{
+		Discoverer: &discoverer.Discoverer{Self: discoverer.Peer{Name: name, Address: name + ":1", Zone: "a"}, SameRegion: func(string) bool { return false }},
+		Clock:      func() tracker.Timestamp { return time.Hour }, StoreState: func() *watcher.StoreState { return known }, IsReader: func() bool { return true }, Log: func(...any) {},
 	}
 }
 
-func storeState(revision int64) *watcher.News {
-	return &watcher.News{Revision: revision, Heard: time.Hour - time.Second, Pairs: []storer.Pair{{Key: "k", Value: []byte("v"), Revision: 3}}}
+func storeState(revision int64) *watcher.StoreState {
+	return &watcher.StoreState{Revision: revision, ConfirmedAt: time.Hour - time.Second, Pairs: []storer.Pair{{Key: "k", Value: []byte("v"), Revision: 3}}}
 }
 
 // The reply holds store items only for an outdated peer, and only peers if requested or if
 // the store state is unknown.
-func TestAnswer(t *testing.T) {
-	x := newTeller("x", storeState(9))
+func TestHandleRequest(t *testing.T) {
+	x := newExchanger("x", storeState(9))
 	sender := &wire.Peer{Name: "y", Address: "y:1", Zone: "a"}
-	a := x.Answer(&wire.TellRequest{Sender: sender, Revision: 8})
+	a := x.HandleRequest(&wire.TellRequest{Sender: sender, Revision: 8})
 	must.Eq(t, 9, a.Revision)
 	must.Eq(t, 1000, a.AgeMs)
 	must.Len(t, 1, a.Items)
-	must.SliceEmpty(t, x.Answer(&wire.TellRequest{Sender: sender, Revision: 9}).Items)
-	peersOnly := x.Answer(&wire.TellRequest{Sender: &wire.Peer{Name: "z", Address: "z:1"}, PeersOnly: true})
+	must.SliceEmpty(t, x.HandleRequest(&wire.TellRequest{Sender: sender, Revision: 9}).Items)
+	peersOnly := x.HandleRequest(&wire.TellRequest{Sender: &wire.Peer{Name: "z", Address: "z:1"}, PeersOnly: true})
 	must.Eq(t, 0, peersOnly.Revision)
 	must.Eq(t, 2, len(peersOnly.Peers))
-	must.Eq(t, 0, newTeller("w", nil).Answer(&wire.TellRequest{}).Revision)
+	must.Eq(t, 0, newExchanger("w", nil).HandleRequest(&wire.TellRequest{}).Revision)
 }
 
-// Hear returns the newest state of several peers, with its age on the local clock, adds the
+// RequestState returns the newest state of several peers, with its age on the local clock, adds the
 // peers they know, and tolerates a peer that does not answer.
-func TestHear(t *testing.T) {
+func TestRequestState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := wirer.New(1)
 		ctx, cancel := context.WithCancel(context.Background())
 		start := time.Now()
-		clock := func() tracker.Stamp { return time.Since(start) + time.Hour }
-		key := []linker.Secret{{Number: 1, Value: []byte("key")}}
+		clock := func() tracker.Timestamp { return time.Since(start) + time.Hour }
+		key := []linker.Secret{{KeyNumber: 1, Value: []byte("key")}}
 		ended := make(chan error, 2)
 		for ip, revision := range map[string]int64{"10.0.0.1": 7, "10.0.0.2": 9} {
-			x := newTeller("n"+ip, storeState(revision))
+			x := newExchanger("n"+ip, storeState(revision))
 			s := &linker.Server{
 				Address: ip + ":1", Network: n.Host(ip, "a"), Secrets: key, Versions: linker.CurrentVersions,
 				Log: log.NewNopLogger(), Count: func(string) {}, Register: x.Register,
@@ -67,17 +67,17 @@
 			go func() { ended <- s.Run(ctx) }()
 		}
 		synctest.Wait()
-		y := newTeller("y", nil)
+		y := newExchanger("y", nil)
 		y.Clock, y.Links = clock, &linker.Client{Network: n.Host("10.0.0.9", "a"), Secrets: key, Versions: linker.CurrentVersions}
-		y.Introducer.Seeds = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
-		received, err := y.Hear(ctx, 0)
+		y.Discoverer.Seeds = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
+		received, err := y.RequestState(ctx, 0)
 		must.NoError(t, err)
 		must.Eq(t, 9, received.Revision)
-		must.Eq(t, "n10.0.0.2", received.From)
-		must.LessEq(t, clock()-time.Second, received.Heard)
-		must.Eq(t, 2, len(y.Introducer.Peers(clock())))
+		must.Eq(t, "n10.0.0.2", received.Sender)
+		must.LessEq(t, clock()-time.Second, received.ConfirmedAt)
+		must.Eq(t, 2, len(y.Discoverer.Peers(clock())))
 		n.Cut("10.0.0.9", "10.0.0.2")
-		received, err = y.Hear(ctx, 0)
+		received, err = y.RequestState(ctx, 0)
 		must.NoError(t, err)
 		must.Eq(t, 7, received.Revision)
 		y.Links.Close()
@@ -98,38 +98,38 @@
 		if proto.Unmarshal(data, &r) != nil {
 			return
 		}
-		x := newTeller("x", storeState(9))
-		a := x.Answer(&r)
+		x := newExchanger("x", storeState(9))
+		a := x.HandleRequest(&r)
 		must.True(t, a.Revision == 0 || a.Revision == 9)
-		must.LessEq(t, 1, len(x.Introducer.Peers(time.Hour)))
+		must.LessEq(t, 1, len(x.Discoverer.Peers(time.Hour)))
 	})
 }
 
 // Valid instance records add peers; invalid ones are ignored.
 func TestRecords(t *testing.T) {
-	x := newTeller("x", nil)
-	x.Saw(storer.Pair{Key: teller.InstancePrefix + "y", Value: []byte(`{"address": "y:1", "availability-zone": "a"}`), Revision: 1})
-	x.Saw(storer.Pair{Key: teller.InstancePrefix + "z", Value: []byte("nonsense"), Revision: 2})
-	x.Saw(storer.Pair{Key: teller.InstancePrefix + "w", Value: []byte("{}"), Revision: 3})
-	must.Eq(t, []introducer.Peer{{Name: "y", Address: "y:1", Zone: "a"}}, x.Introducer.Peers(time.Hour))
+	x := newExchanger("x", nil)
+	x.HandleRecord(storer.Pair{Key: exchanger.InstancePrefix + "y", Value: []byte(`{"address": "y:1", "availability-zone": "a"}`), Revision: 1})
+	x.HandleRecord(storer.Pair{Key: exchanger.InstancePrefix + "z", Value: []byte("nonsense"), Revision: 2})
+	x.HandleRecord(storer.Pair{Key: exchanger.InstancePrefix + "w", Value: []byte("{}"), Revision: 3})
+	must.Eq(t, []discoverer.Peer{{Name: "y", Address: "y:1", Zone: "a"}}, x.Discoverer.Peers(time.Hour))
 }
 
-// fleet returns a teller for each instance in the zones a to f, which form three regions of
+// fleet returns an exchanger for each instance in the zones a to f, which form three regions of
 // two zones. All instances know each other.
-func fleet(perZone int) map[string]*teller.Teller {
-	var peers []introducer.Peer
+func fleet(perZone int) map[string]*exchanger.Exchanger {
+	var peers []discoverer.Peer
 	for _, zone := range "abcdef" {
 		for n := range perZone {
 			name := fmt.Sprintf("%c%d", zone, n)
-			peers = append(peers, introducer.Peer{Name: name, Address: name + ":1", Zone: string(zone)})
+			peers = append(peers, discoverer.Peer{Name: name, Address: name + ":1", Zone: string(zone)})
 		}
 	}
-	all := map[string]*teller.Teller{}
+	all := map[string]*exchanger.Exchanger{}
 	for _, self := range peers {
-		x := newTeller(self.Name, nil)
-		x.Introducer = &introducer.Introducer{Self: self, Near: func(zone string) bool { return (zone[0]-'a')/2 == (self.Zone[0]-'a')/2 }}
+		x := newExchanger(self.Name, nil)
+		x.Discoverer = &discoverer.Discoverer{Self: self, SameRegion: func(zone string) bool { return (zone[0]-'a')/2 == (self.Zone[0]-'a')/2 }}
 		for _, p := range peers {
-			x.Introducer.HeardOf(time.Hour, p)
+			x.Discoverer.RecordListed(time.Hour, p)
 		}
 		all[self.Name] = x
 	}
@@ -137,10 +137,10 @@
 }
 
 // readers counts the instances that watch the store, by region.
-func readers(all map[string]*teller.Teller) map[byte]int {
+func readers(all map[string]*exchanger.Exchanger) map[byte]int {
 	n := map[byte]int{}
 	for name, x := range all {
-		if !x.Follows() {
+		if !x.FollowsPeers() {
 			n[(name[0]-'a')/2]++
 		}
 	}
@@ -163,14 +163,14 @@
 		for name, x := range all {
 			for other := range all {
 				if name[0] != other[0] && (name[0] == 'a' || other[0] == 'a') {
-					x.Introducer.Failed(time.Hour, other+":1")
-					x.Introducer.Failed(time.Hour, other+":1")
+					x.Discoverer.RecordFailure(time.Hour, other+":1")
+					x.Discoverer.RecordFailure(time.Hour, other+":1")
 				}
 			}
 		}
 		n := 0
 		for name, x := range all {
-			if name[0] == 'a' && !x.Follows() {
+			if name[0] == 'a' && !x.FollowsPeers() {
 				n++
 			}
 		}
@@ -194,19 +194,19 @@
 				n.Latency = func(_, _ *wirer.Host) time.Duration { return c.latency }
 				ctx, cancel := context.WithCancel(context.Background())
 				start := time.Now()
-				key := []linker.Secret{{Number: 1, Value: []byte("key")}}
+				key := []linker.Secret{{KeyNumber: 1, Value: []byte("key")}}
 				provenAt := start.Add(c.offset)
 				time.Sleep(time.Second)
-				y := newTeller("y", nil)
+				y := newExchanger("y", nil)
 				ended := make(chan error, 4)
 				for i := range 4 {
 					ip := fmt.Sprintf("10.0.0.%d", i+1)
-					y.Introducer.HeardOf(9*time.Hour, introducer.Peer{Name: ip, Address: ip + ":1", Zone: "a"})
-					x := newTeller(ip, storeState(7))
-					x.Clock = func() tracker.Stamp { return time.Since(start) + time.Hour }
-					x.Proofs = func() []teller.GroupProof {
+					y.Discoverer.RecordListed(9*time.Hour, discoverer.Peer{Name: ip, Address: ip + ":1", Zone: "a"})
+					x := newExchanger(ip, storeState(7))
+					x.Clock = func() tracker.Timestamp { return time.Since(start) + time.Hour }
+					x.Proofs = func() []exchanger.GroupProof {
 						defer time.Sleep(c.pause)
-						return []teller.GroupProof{{Group: "g", Proof: tracker.Proof{At: provenAt.Sub(start) + time.Hour, Position: orderer.Position{Term: 2, Offset: 9}}}}
+						return []exchanger.GroupProof{{Group: "g", FreshnessProof: tracker.FreshnessProof{At: provenAt.Sub(start) + time.Hour, Position: orderer.Position{Term: 2, Offset: 9}}}}
 					}
 					s := &linker.Server{
 						Address: ip + ":1", Network: n.Host(ip, "a"), Secrets: key, Versions: linker.CurrentVersions,
@@ -214,14 +214,14 @@
 					}
 					go func() { ended <- s.Run(ctx) }()
 				}
-				y.Clock = func() tracker.Stamp { return time.Since(start) + 9*time.Hour }
+				y.Clock = func() tracker.Timestamp { return time.Since(start) + 9*time.Hour }
 				y.Links = &linker.Client{Network: n.Host("10.0.0.9", "a"), Secrets: key, Versions: linker.CurrentVersions}
-				var received []teller.GroupProof
-				y.Prove = func(p teller.GroupProof) { received = append(received, p) }
+				var received []exchanger.GroupProof
+				y.AddProof = func(p exchanger.GroupProof) { received = append(received, p) }
 				synctest.Wait()
-				must.True(t, y.Follows())
+				must.True(t, y.FollowsPeers())
 				for range 4 {
-					_, _ = y.Hear(ctx, 7)
+					_, _ = y.RequestState(ctx, 7)
 				}
 				must.SliceNotEmpty(t, received)
 				for _, h := range received {
--- a/internal/carrier/carrier.go
+++ b/internal/forwarder/forwarder.go
@@ -1,9 +1,9 @@
-// Package carrier forwards connections to targets between instances. An instance that can't
+// Package forwarder forwards connections to targets between instances. An instance that can't
 // reach a target borrows a peer's connection for one exchange or one transaction and uses it
 // like its own: statements, replies and session state are handled by the borrower. If the peer
 // fails, the borrower sees a broken connection. Loans are never forwarded: a peer lends only
 // its own connections.
-package carrier
+package forwarder
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/go-faster/errors"
-	"github.com/oriolegw/oriolegw/internal/introducer"
+	"github.com/oriolegw/oriolegw/internal/discoverer"
 	"github.com/oriolegw/oriolegw/internal/lender"
 	"github.com/oriolegw/oriolegw/internal/linker"
 	"github.com/oriolegw/oriolegw/internal/messenger"
@@ -41,13 +41,13 @@
 	errUnreachable = errors.New("peer does not reach the members")
 )
 
-// Carrier borrows connections from peers and lends this instance's own. Set the exported fields
+// Forwarder borrows connections from peers and lends this instance's own. Set the exported fields
 // before use.
-type Carrier struct {
-	Introducer *introducer.Introducer
+type Forwarder struct {
+	Discoverer *discoverer.Discoverer
 	Links      *linker.Client
 	Codec      messenger.MemberCodec
-	Clock      func() tracker.Stamp
+	Clock      func() tracker.Timestamp
 	// Pool returns the connection pool of a group, nil if the group is unknown.
 	Pool func(group string) *lender.Pool
 	// Connections returns how many connections a member of a group accepts from all instances,
@@ -57,8 +57,8 @@
 	Customers func() int
 	// Zones is the number of availability zones.
 	Zones int
-	// Leaving reports whether this instance is draining; it then lends nothing new.
-	Leaving func() bool
+	// Draining reports whether this instance is draining; it then lends nothing new.
+	Draining func() bool
 	// Log writes a line of alternating keys and values.
 	Log func(fields ...any)
 
@@ -68,58 +68,58 @@
 	lastLender  map[string]string
 	assignments map[string]*assignment
 	// refusals is when a peer last refused a member, by peer address and member.
-	refusals map[[2]string]tracker.Stamp
+	refusals map[[2]string]tracker.Timestamp
 	// holderFailures is when a holder last failed, by address and member; an empty member
 	// stands for all.
-	holderFailures map[[2]string]tracker.Stamp
+	holderFailures map[[2]string]tracker.Timestamp
 	closed         bool
 
 	lent     atomic.Int64
 	borrowed atomic.Int64
 }
 
-// Lent returns how many connections are currently lent to peers.
-func (c *Carrier) Lent() int { return int(c.lent.Load()) }
+// LentCount returns how many connections are currently lent to peers.
+func (fw *Forwarder) LentCount() int { return int(fw.lent.Load()) }
 
-// Borrowed returns how many loans this instance has taken since it started.
-func (c *Carrier) Borrowed() int { return int(c.borrowed.Load()) }
+// BorrowedCount returns how many loans this instance has taken since it started.
+func (c *Forwarder) BorrowedCount() int { return int(c.borrowed.Load()) }
 
 // Close closes all idle streams.
-func (c *Carrier) Close() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.closed = true
-	for _, list := range c.idleStreams {
+func (fw *Forwarder) Close() {
+	fw.mutex.Lock()
+	defer fw.mutex.Unlock()
+	fw.closed = true
+	for _, list := range fw.idleStreams {
 		for _, l := range list {
 			l.close()
 		}
 	}
-	c.idleStreams = nil
+	fw.idleStreams = nil
 }
 
-// Carry borrows a connection to one of the members from the first peer that lends one. It
-// implements lender.Pool's Carry.
-func (c *Carrier) Carry(ctx context.Context, group string, members []string, r lender.Request) (*lender.Conn, error) {
-	for _, address := range c.candidatePeers(members) {
-		if time.Now().After(r.Until) || ctx.Err() != nil {
+// BorrowRemote borrows a connection to one of the members from the first peer that lends one. It
+// implements lender.Pool's BorrowRemote.
+func (fw *Forwarder) BorrowRemote(ctx context.Context, group string, members []string, r lender.Request) (*lender.Conn, error) {
+	for _, address := range fw.candidatePeers(members) {
+		if time.Now().After(r.Deadline) || ctx.Err() != nil {
 			break
 		}
-		conn, err := c.borrow(ctx, address, group, members, r)
+		conn, err := fw.borrow(ctx, address, group, members, r)
 		if err == nil {
-			c.rememberLender(conn.Member, address)
-			c.borrowed.Add(1)
+			fw.rememberLender(conn.Member, address)
+			fw.borrowed.Add(1)
 			return conn, nil
 		}
 		if isFinal(err) || ctx.Err() != nil {
 			return nil, err
 		}
-		c.recordRefusal(address, members, err)
+		fw.recordRefusal(address, members, err)
 	}
 	return nil, errNoPeer
 }
 
 // isFinal reports whether every other peer would refuse with the same error.
-func isFinal(err error) bool { return errors.Is(err, lender.ErrFull) || isLimitError(err) }
+func isFinal(err error) bool { return errors.Is(err, lender.ErrNoConnection) || isLimitError(err) }
 
 func isLimitError(err error) bool {
 	var limit *lender.LimitError
@@ -128,20 +128,20 @@
 
 // candidatePeers returns the peers to ask: the last lender first, then the nearest peers
 // without a recent refusal.
-func (c *Carrier) candidatePeers(members []string) []string {
-	now := c.Clock()
-	known := c.Introducer.Peers(now)
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
+func (fw *Forwarder) candidatePeers(members []string) []string {
+	now := fw.Clock()
+	known := fw.Discoverer.Peers(now)
+	fw.mutex.Lock()
+	defer fw.mutex.Unlock()
 	var list []string
 	for _, m := range members {
-		if a, ok := c.lastLender[m]; ok {
+		if a, ok := fw.lastLender[m]; ok {
 			list = append(list, a)
 			break
 		}
 	}
 	for _, p := range known {
-		at, refused := c.refusals[[2]string{p.Address, members[0]}]
+		at, refused := fw.refusals[[2]string{p.Address, members[0]}]
 		if len(list) < maxPeersTried && (!refused || now-at > refusalTTL) && (len(list) == 0 || list[0] != p.Address) {
 			list = append(list, p.Address)
 		}
@@ -149,72 +149,72 @@
 	return list
 }
 
-func (c *Carrier) rememberLender(member, address string) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.lastLender == nil {
-		c.lastLender = map[string]string{}
+func (fw *Forwarder) rememberLender(member, address string) {
+	fw.mutex.Lock()
+	defer fw.mutex.Unlock()
+	if fw.lastLender == nil {
+		fw.lastLender = map[string]string{}
 	}
-	if c.lastLender[member] != address {
-		c.lastLender[member] = address
-		c.Log("event", "carried", "member", member, "by", address)
+	if fw.lastLender[member] != address {
+		fw.lastLender[member] = address
+		fw.Log("event", "carried", "member", member, "by", address)
 	}
 }
 
-func (c *Carrier) recordRefusal(address string, members []string, err error) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.refusals == nil {
-		c.refusals = map[[2]string]tracker.Stamp{}
+func (fw *Forwarder) recordRefusal(address string, members []string, err error) {
+	fw.mutex.Lock()
+	defer fw.mutex.Unlock()
+	if fw.refusals == nil {
+		fw.refusals = map[[2]string]tracker.Timestamp{}
 	}
-	now := c.Clock()
-	for k, at := range c.refusals {
+	now := fw.Clock()
+	for k, at := range fw.refusals {
 		if now-at > refusalTTL {
-			delete(c.refusals, k)
+			delete(fw.refusals, k)
 		}
 	}
 	for _, m := range members {
-		if c.lastLender[m] == address {
-			delete(c.lastLender, m)
-			c.Log("event", "carrier-lost", "member", m, "by", address, "cause", err)
+		if fw.lastLender[m] == address {
+			delete(fw.lastLender, m)
+			fw.Log("event", "carrier-lost", "member", m, "by", address, "cause", err)
 		}
-		c.refusals[[2]string{address, m}] = now
+		fw.refusals[[2]string{address, m}] = now
 	}
 }
 
 // getStream returns an idle stream to a peer, or opens one.
-func (c *Carrier) getStream(ctx context.Context, address string) (*peerStream, error) {
-	c.mutex.Lock()
-	for list := c.idleStreams[address]; len(list) > 0; list = c.idleStreams[address] {
+func (fw *Forwarder) getStream(ctx context.Context, address string) (*peerStream, error) {
+	fw.mutex.Lock()
+	for list := fw.idleStreams[address]; len(list) > 0; list = fw.idleStreams[address] {
 		l := list[len(list)-1]
-		c.idleStreams[address] = list[:len(list)-1]
+		fw.idleStreams[address] = list[:len(list)-1]
 		if !l.isClosed() && time.Since(l.idleSince) < streamIdleTimeout {
-			c.mutex.Unlock()
+			fw.mutex.Unlock()
 			return l, nil
 		}
 		l.close()
 	}
-	c.mutex.Unlock()
+	fw.mutex.Unlock()
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	return openPeerStream(dialCtx, c.Links, address)
+	return openPeerStream(dialCtx, fw.Links, address)
 }
 
 // putStream keeps a stream for the next loan.
-func (c *Carrier) putStream(l *peerStream) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.closed || l.isClosed() || len(c.idleStreams[l.address]) >= maxIdleStreams {
+func (fw *Forwarder) putStream(l *peerStream) {
+	fw.mutex.Lock()
+	defer fw.mutex.Unlock()
+	if fw.closed || l.isClosed() || len(fw.idleStreams[l.address]) >= maxIdleStreams {
 		l.close()
 		return
 	}
-	if c.idleStreams == nil {
-		c.idleStreams = map[string][]*peerStream{}
+	if fw.idleStreams == nil {
+		fw.idleStreams = map[string][]*peerStream{}
 	}
 	l.idleSince = time.Now()
-	c.idleStreams[l.address] = append(c.idleStreams[l.address], l)
-	if oldest := c.idleStreams[l.address][0]; time.Since(oldest.idleSince) > streamIdleTimeout {
-		c.idleStreams[l.address] = c.idleStreams[l.address][1:]
+	fw.idleStreams[l.address] = append(fw.idleStreams[l.address], l)
+	if oldest := fw.idleStreams[l.address][0]; time.Since(oldest.idleSince) > streamIdleTimeout {
+		fw.idleStreams[l.address] = fw.idleStreams[l.address][1:]
 		oldest.close()
 	}
 }
