--- a/internal/carrier/carrier_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -1,4 +1,4 @@
-package carrier_test
+package forwarder_test
 
 import (
 	"context"
@@ -9,27 +9,27 @@
 	"time"
 
 	"github.com/go-kit/log"
-	"github.com/oriolegw/oriolegw/internal/carrier"
-	"github.com/oriolegw/oriolegw/internal/introducer"
+	"github.com/oriolegw/oriolegw/internal/discoverer"
+	"github.com/oriolegw/oriolegw/internal/exchanger"
+	"github.com/oriolegw/oriolegw/internal/forwarder"
 	"github.com/oriolegw/oriolegw/internal/lender"
 	"github.com/oriolegw/oriolegw/internal/linker"
 	"github.com/oriolegw/oriolegw/internal/linker/wire"
 	"github.com/oriolegw/oriolegw/internal/messenger"
 	"github.com/oriolegw/oriolegw/internal/standin/liner"
 	"github.com/oriolegw/oriolegw/internal/standin/wirer"
-	"github.com/oriolegw/oriolegw/internal/teller"
 	"github.com/oriolegw/oriolegw/internal/tracker"
 	"github.com/oriolegw/oriolegw/platform"
 	"github.com/shoenig/test/must"
 )
 
-var key = []linker.Secret{{Number: 1, Value: []byte("key")}}
+var key = []linker.Secret{{KeyNumber: 1, Value: []byte("key")}}
 
 // fixture is a group, a lending instance, and the client of a borrowing one.
 type fixture struct {
 	net     *wirer.Net
 	pool    *lender.Pool
-	lender  *carrier.Carrier
+	lender  *forwarder.Forwarder
 	links   *linker.Client
 	leaving atomic.Bool
 }
@@ -49,18 +49,18 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		n, begin := wirer.New(1), time.Now()
 		n.Latency = func(_, _ *wirer.Host) time.Duration { return time.Millisecond }
-		clock := func() tracker.Stamp { return time.Since(begin) + time.Hour }
+		clock := func() tracker.Timestamp { return time.Since(begin) + time.Hour }
 		g := &liner.Group{Name: "g", Net: n, Travel: time.Millisecond, Promotion: time.Second, Work: 5 * time.Millisecond, Connections: 8}
 		g.Start(ctx, "a", "b", "c")
-		known := &tracker.Group{Name: "g", Zone: "a", Near: func(string) bool { return false }}
-		known.Members(g.Registered())
+		known := &tracker.Group{Name: "g", Zone: "a", SameRegion: func(string) bool { return false }}
+		known.SetMembers(g.Registered())
 		host := n.Host("10.8.0.1", "a")
-		s := &fixture{net: n, pool: &lender.Pool{Group: known, Network: host, Codec: platform.Lines{}, Who: "lender", Clock: clock}}
+		s := &fixture{net: n, pool: &lender.Pool{Group: known, Network: host, Codec: platform.Lines{}, ClientName: "lender", Clock: clock}}
 		s.pool.Configure(8, nil)
 		prepare(s.pool)
-		discovery := &introducer.Introducer{Self: introducer.Peer{Name: "lender", Address: lenderAddress, Zone: "a"}, Near: known.Near}
-		s.lender = &carrier.Carrier{
-			Introducer: discovery, Codec: platform.Lines{}, Clock: clock, Leaving: s.leaving.Load, Log: func(...any) {},
+		discovery := &discoverer.Discoverer{Self: discoverer.Peer{Name: "lender", Address: lenderAddress, Zone: "a"}, SameRegion: known.SameRegion}
+		s.lender = &forwarder.Forwarder{
+			Discoverer: discovery, Codec: platform.Lines{}, Clock: clock, Draining: s.leaving.Load, Log: func(...any) {},
 			Pool: func(group string) *lender.Pool {
 				if group != "g" {
 					return nil
@@ -68,7 +68,7 @@
 				return s.pool
 			},
 		}
-		x := &teller.Teller{Introducer: discovery, Clock: clock, Log: func(...any) {}, Lend: s.lender.Lend}
+		x := &exchanger.Exchanger{Discoverer: discovery, Clock: clock, Log: func(...any) {}, Lend: s.lender.ServeLoans}
 		server := &linker.Server{
 			Address: lenderAddress, Network: host, Secrets: key, Versions: linker.CurrentVersions,
 			Log: log.NewNopLogger(), Count: func(string) {}, Register: x.Register,
@@ -92,7 +92,7 @@
 // openStream opens a raw loan stream to the lender.
 func (s *fixture) openStream(t *testing.T) (wire.DRPCNeighbours_LendClient, func()) {
 	t.Helper()
-	conn, err := s.links.Open(t.Context(), lenderAddress)
+	conn, err := s.links.Dial(t.Context(), lenderAddress)
 	must.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	x, err := wire.NewDRPCNeighboursClient(conn).Lend(ctx)
@@ -111,7 +111,7 @@
 // mustExchange checks that the lender's own requests are still answered.
 func (s *fixture) mustExchange(t *testing.T) {
 	t.Helper()
-	c, err := s.pool.Borrow(t.Context(), lender.Request{Choose: func() []string { return []string{"g-1"} }, Until: time.Now().Add(time.Second)})
+	c, err := s.pool.Borrow(t.Context(), lender.Request{EligibleMembers: func() []string { return []string{"g-1"} }, Deadline: time.Now().Add(time.Second)})
 	must.NoError(t, err)
 	replies, _, err := c.Exchange([]messenger.Command{{ID: "x", Kind: messenger.KindRead, Text: "FETCH k"}}, time.Now().Add(time.Second))
 	must.NoError(t, err)
@@ -172,7 +172,7 @@
 				for range 3 {
 					s.mustExchange(t)
 				}
-				must.Eq(t, 0, s.lender.Lent())
+				must.Eq(t, 0, s.lender.LentCount())
 			})
 		})
 	}
@@ -201,12 +201,12 @@
 	var forwarded atomic.Int64
 	forward := func() (*lender.Conn, error) {
 		forwarded.Add(1)
-		return nil, lender.ErrFull
+		return nil, lender.ErrNoConnection
 	}
 	prepare := func(p *lender.Pool) {
-		p.Elsewhere = func(string, string) bool { return true }
-		p.Central = func(context.Context, string, lender.Request) (*lender.Conn, error) { return forward() }
-		p.Carry = func(context.Context, string, []string, lender.Request) (*lender.Conn, error) { return forward() }
+		p.HeldElsewhere = func(string, string) bool { return true }
+		p.BorrowFromHolder = func(context.Context, string, lender.Request) (*lender.Conn, error) { return forward() }
+		p.BorrowRemote = func(context.Context, string, []string, lender.Request) (*lender.Conn, error) { return forward() }
 	}
 	withLenderPool(t, prepare, func(t *testing.T, s *fixture) {
 		x, end := s.openStream(t)
@@ -233,14 +233,14 @@
 // The cached holders of a just started instance are replaced as soon as it discovers its peers,
 // so that it doesn't open connections of its own until the cache expires.
 func TestHoldersFollowFirstDiscovery(t *testing.T) {
-	i := &introducer.Introducer{Self: introducer.Peer{Name: "z", Address: "z:1", Zone: "a", Millicores: 192}, Near: func(string) bool { return false }}
-	c := &carrier.Carrier{
-		Introducer: i, Clock: func() tracker.Stamp { return time.Hour }, Connections: func(string) int { return 12 }, Zones: 3, Log: func(...any) {},
+	i := &discoverer.Discoverer{Self: discoverer.Peer{Name: "z", Address: "z:1", Zone: "a", Millicores: 192}, SameRegion: func(string) bool { return false }}
+	c := &forwarder.Forwarder{
+		Discoverer: i, Clock: func() tracker.Timestamp { return time.Hour }, Connections: func(string) int { return 12 }, Zones: 3, Log: func(...any) {},
 	}
-	must.False(t, c.Elsewhere("g", "g-1"))
+	must.False(t, c.HeldElsewhere("g", "g-1"))
 	for n := range 9 {
 		name := fmt.Sprint("p", n)
-		i.HeardOf(time.Hour, introducer.Peer{Name: name, Address: name + ":1", Zone: "a", Millicores: 800})
+		i.RecordListed(time.Hour, discoverer.Peer{Name: name, Address: name + ":1", Zone: "a", Millicores: 800})
 	}
-	must.True(t, c.Elsewhere("g", "g-1"))
+	must.True(t, c.HeldElsewhere("g", "g-1"))
 }
--- /dev/null
+++ b/internal/forwarder/holders.go
@@ -0,0 +1,226 @@
+package forwarder
+
+import (
+	"context"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/go-faster/errors"
+	"github.com/oriolegw/oriolegw/internal/concentrator"
+	"github.com/oriolegw/oriolegw/internal/lender"
+	"github.com/oriolegw/oriolegw/internal/tracker"
+)
+
+const (
+	// holdersTTL is how long the choice of holders is cached. Failed loans reveal dead holders
+	// sooner.
+	holdersTTL = 500 * time.Millisecond
+	// maxHoldersTried is how many holders are tried before the instance connects itself.
+	maxHoldersTried = 4
+	// attemptTimeout bounds one attempt to borrow; the members are then chosen again, since the
+	// primary may have changed.
+	attemptTimeout = 200 * time.Millisecond
+	// holderBackoff is how long an unreachable holder is skipped.
+	holderBackoff = time.Second
+	// failureTTL is how long failures of holders are remembered.
+	failureTTL = 30 * time.Second
+	// retryDelay is the pause after a holder had no free connection.
+	retryDelay = 20 * time.Millisecond
+)
+
+type (
+	// assignment is the cached choice of the instances that hold a group's connections.
+	assignment struct {
+		concentrator.Selector
+		updatedAt tracker.Timestamp
+		// peersAdded is the discoverer's count of added peers at updatedAt.
+		peersAdded int
+		// zoneHolders hold this zone's connections to all members; empty unless the placement
+		// is concentrator.PlaceZone.
+		zoneHolders holders
+		// memberHolders are the holders per member, computed on demand.
+		memberHolders map[string]holders
+		// holderCount is how many instances hold connections to a member.
+		holderCount int
+	}
+
+	// holders are addresses in order of preference; "" is this instance.
+	holders []string
+)
+
+// isRemote reports whether another instance is the preferred holder.
+func (h holders) isRemote() bool { return len(h) > 0 && h[0] != "" }
+
+// HolderCount returns how many instances hold connections to a member. It implements lender.Pool's
+// HolderCount.
+func (fw *Forwarder) HolderCount(group, _ string) int {
+	fw.mutex.Lock()
+	defer fw.mutex.Unlock()
+	return fw.assignment(group).holderCount
+}
+
+// HeldElsewhere reports whether another instance holds this instance's connections to a member. It
+// implements lender.Pool's HeldElsewhere.
+func (fw *Forwarder) HeldElsewhere(group, member string) bool {
+	return fw.holders(group, member).isRemote()
+}
+
+// holders returns the holders of a group's connections to a member; empty if each instance
+// holds its own.
+func (fw *Forwarder) holders(group, member string) holders {
+	// Must precede the lock: memberZone takes locks of the group's pool.
+	zone := fw.memberZone(group, member)
+	fw.mutex.Lock()
+	defer fw.mutex.Unlock()
+	h := fw.assignment(group)
+	if h.Placement() != concentrator.PerMember {
+		return h.zoneHolders
+	}
+	list, ok := h.memberHolders[member]
+	if !ok {
+		list = fw.rankInZone(member, zone)
+		h.memberHolders[member] = list
+	}
+	return list
+}
+
+// assignment returns the current holders of a group's connections. The mutex is held.
+func (fw *Forwarder) assignment(group string) *assignment {
+	now := fw.Clock()
+	if fw.assignments == nil {
+		fw.assignments = map[string]*assignment{}
+	}
+	h, ok := fw.assignments[group]
+	if !ok {
+		h = &assignment{}
+		fw.assignments[group] = h
+	}
+	// A just started instance knows no peers yet. Newly discovered peers invalidate the cache,
+	// so that a fleet-wide restart doesn't make every instance connect to every member.
+	added := fw.Discoverer.AddedCount()
+	if ok && now-h.updatedAt < holdersTTL && h.peersAdded == added {
+		return h
+	}
+	h.peersAdded, h.updatedAt = added, now
+	before := h.Placement()
+	fw.updatePlacement(now, group, h)
+	if after := h.Placement(); after != before {
+		fw.Log("event", "concentrated", "group", group, "placement", after, "holders", strings.Join(h.zoneHolders, ","))
+	}
+	return h
+}
+
+// BorrowFromHolder borrows a connection from a holder of the group's connections. It returns
+// lender.ErrUseLocal if this instance should use its own. It implements lender.Pool's BorrowFromHolder.
+func (fw *Forwarder) BorrowFromHolder(ctx context.Context, group string, r lender.Request) (*lender.Conn, error) {
+	if fw.placement(group) == concentrator.PerInstance {
+		return nil, lender.ErrUseLocal
+	}
+	until := r.Deadline
+	for {
+		members := r.EligibleMembers()
+		if time.Now().After(until) || ctx.Err() != nil {
+			if len(members) == 0 {
+				return nil, lender.ErrNoMember
+			}
+			return nil, lender.ErrNoConnection
+		}
+		if len(members) > 0 {
+			r.Deadline = time.Now().Add(min(attemptTimeout, time.Until(until)))
+			conn, err := fw.borrowFromHolders(ctx, group, members, r)
+			if !errors.Is(err, lender.ErrNoConnection) {
+				return conn, err
+			}
+		}
+		time.Sleep(retryDelay)
+	}
+}
+
+func (fw *Forwarder) placement(group string) concentrator.Placement {
+	fw.mutex.Lock()
+	defer fw.mutex.Unlock()
+	return fw.assignment(group).Placement()
+}
+
+// borrowFromHolders tries the holders in the order of the members. Members with the same
+// holders are requested together.
+func (fw *Forwarder) borrowFromHolders(ctx context.Context, group string, members []string, r lender.Request) (*lender.Conn, error) {
+	result := lender.ErrUseLocal
+	for len(members) > 0 {
+		var list holders
+		list, members = fw.nextHolders(group, members, &r)
+		conn, err := fw.borrowFromFirst(ctx, group, list, r)
+		if err == nil || isLimitError(err) {
+			return conn, err
+		}
+		if errors.Is(err, lender.ErrNoConnection) {
+			result = err
+		}
+		if ctx.Err() != nil {
+			return nil, lender.ErrNoConnection
+		}
+	}
+	return nil, result
+}
+
+// nextHolders returns the holders of the first member and restricts the request to members with
+// the same holders; rest are the other members.
+func (fw *Forwarder) nextHolders(group string, members []string, r *lender.Request) (list holders, rest []string) {
+	var same []string
+	for _, m := range members {
+		x := fw.holders(group, m)
+		switch {
+		case len(same) == 0, slices.Equal(x, list):
+			list = x
+			same = append(same, m)
+		default:
+			rest = append(rest, m)
+		}
+	}
+	r.EligibleMembers = func() []string { return same }
+	return list, rest
+}
+
+// borrowFromFirst borrows from the first reachable holder. It returns lender.ErrUseLocal if none
+// is reachable or this instance comes first.
+func (fw *Forwarder) borrowFromFirst(ctx context.Context, group string, list holders, r lender.Request) (*lender.Conn, error) {
+	for _, address := range list {
+		if address == "" {
+			return fw.borrowOwn(ctx, group, r)
+		}
+		if !fw.mayTry(address, r.EligibleMembers()) {
+			continue
+		}
+		conn, err := fw.borrow(ctx, address, group, r.EligibleMembers(), r)
+		if err == nil {
+			fw.borrowed.Add(1)
+			fw.recordSuccess(address, r.EligibleMembers())
+			return conn, nil
+		}
+		if isLimitError(err) || errors.Is(err, lender.ErrNoConnection) {
+			fw.recordSuccess(address, r.EligibleMembers())
+		}
+		if isLimitError(err) {
+			return nil, err
+		}
+		if errors.Is(err, lender.ErrNoConnection) || ctx.Err() != nil {
+			return nil, lender.ErrNoConnection
+		}
+		fw.recordFailure(address, r.EligibleMembers(), err)
+	}
+	return nil, lender.ErrUseLocal
+}
+
+// borrowOwn borrows one of this instance's own connections.
+func (fw *Forwarder) borrowOwn(ctx context.Context, group string, r lender.Request) (*lender.Conn, error) {
+	if fw.placement(group) == concentrator.PerZone {
+		return nil, lender.ErrUseLocal
+	}
+	p := fw.Pool(group)
+	if p == nil || len(p.Reachable(r.EligibleMembers())) == 0 {
+		return nil, lender.ErrUseLocal
+	}
+	r.LocalOnly = true
+	return p.Borrow(ctx, r)
+}
--- /dev/null
+++ b/internal/forwarder/placement.go
@@ -0,0 +1,120 @@
+package forwarder
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/oriolegw/oriolegw/internal/concentrator"
+	"github.com/oriolegw/oriolegw/internal/discoverer"
+	"github.com/oriolegw/oriolegw/internal/tracker"
+)
+
+// MemberHolders returns the addresses of the instances that hold connections for the members of
+// groups with placement concentrator.PlaceMember. It considers all remembered instances,
+// reachable or not, so that both sides of a network partition compute the same list.
+func (fw *Forwarder) MemberHolders(groups map[string][]string) []string {
+	zones := map[string][]discoverer.Peer{}
+	for _, p := range fw.Discoverer.AllKnown() {
+		zones[p.Zone] = append(zones[p.Zone], p)
+	}
+	var list []string
+	for group, members := range groups {
+		if fw.placement(group) != concentrator.PerMember {
+			continue
+		}
+		for _, m := range members {
+			inZone := zones[fw.memberZone(group, m)]
+			if len(inZone) == 0 {
+				inZone = zones[fw.Discoverer.Self.Zone]
+			}
+			ranked := fw.rank(m, inZone)
+			if len(ranked) == 0 {
+				continue
+			}
+			address := cmp.Or(ranked[0], fw.Discoverer.Self.Address)
+			if !slices.Contains(list, address) {
+				list = append(list, address)
+			}
+		}
+	}
+	return list
+}
+
+// PreferredInstance returns the preferred instance for a key, or this one if no other is available.
+func (fw *Forwarder) PreferredInstance(key string, list []discoverer.Peer) discoverer.Peer {
+	ranked := fw.rank(key, list)
+	if len(ranked) == 0 || ranked[0] == "" {
+		return fw.Discoverer.Self
+	}
+	i := slices.IndexFunc(list, func(p discoverer.Peer) bool { return p.Address == ranked[0] })
+	return list[i]
+}
+
+// rankInZone ranks the instances of a member's availability zone as holders, or those of this
+// instance's zone if that zone has none. The mutex is held.
+func (fw *Forwarder) rankInZone(member, zone string) holders {
+	now := fw.Clock()
+	inZone := fw.Discoverer.InZone(now, zone)
+	if len(inZone) == 0 {
+		inZone = fw.Discoverer.OwnZone(now)
+	}
+	return fw.rank(member, inZone)
+}
+
+// rank orders instances as holders for a key, without this one while it is draining.
+func (fw *Forwarder) rank(key string, list []discoverer.Peer) holders {
+	var candidates []concentrator.Candidate
+	addresses := map[string]string{}
+	for _, p := range list {
+		if p.Name == fw.Discoverer.Self.Name {
+			if fw.Draining != nil && fw.Draining() {
+				continue
+			}
+			p.Address = ""
+		}
+		candidates = append(candidates, concentrator.Candidate{Name: p.Name, Millicores: p.Millicores})
+		addresses[p.Name] = p.Address
+	}
+	var ranked holders
+	for _, name := range concentrator.RankHolders(key, candidates)[:min(maxHoldersTried, len(candidates))] {
+		ranked = append(ranked, addresses[name])
+	}
+	return ranked
+}
+
+// memberZone returns a member's availability zone, "" if unknown.
+func (fw *Forwarder) memberZone(group, member string) string {
+	if fw.Pool == nil {
+		return ""
+	}
+	p := fw.Pool(group)
+	if p == nil {
+		return ""
+	}
+	m, _ := p.Group.Member(member)
+	return m.Zone
+}
+
+// updatePlacement recomputes a group's placement and holders.
+func (fw *Forwarder) updatePlacement(now tracker.Timestamp, group string, h *assignment) {
+	zone := fw.Discoverer.OwnZone(now)
+	// Assumes that all zones have about as many instances.
+	f := concentrator.Fleet{Connections: fw.Connections(group), Instances: len(zone) * fw.Zones, Zones: fw.Zones, Customers: fw.customerCount()}
+	h.zoneHolders, h.memberHolders = nil, map[string]holders{}
+	switch h.Decide(f) {
+	case concentrator.PerInstance:
+		h.holderCount = f.Instances
+	case concentrator.PerZone:
+		h.holderCount = fw.Zones
+		h.zoneHolders = fw.rank(group, zone)
+	case concentrator.PerMember:
+		h.holderCount = 1
+	}
+}
+
+func (fw *Forwarder) customerCount() int {
+	if fw.Customers == nil {
+		return 1
+	}
+	return fw.Customers()
+}
--- a/internal/carrier/serve.go
+++ b/internal/forwarder/serve.go
@@ -1,4 +1,4 @@
-package carrier
+package forwarder
 
 import (
 	"context"
@@ -22,8 +22,8 @@
 // errProtocol means that the peer sent an unexpected message.
 var errProtocol = errors.New("unexpected message")
 
-// Lend serves the loans of one stream, one after another.
-func (c *Carrier) Lend(stream wire.DRPCNeighbours_LendStream) error {
+// ServeLoans serves the loans of one stream, one after another.
+func (fw *Forwarder) ServeLoans(stream wire.DRPCNeighbours_LendStream) error {
 	for {
 		r, err := stream.Recv()
 		if err != nil {
@@ -32,14 +32,14 @@
 		if r.Ask == nil {
 			return errProtocol
 		}
-		conn, p, err := c.borrowForPeer(stream.Context(), r.Ask)
+		conn, p, err := fw.borrowForPeer(stream.Context(), r.Ask)
 		if err != nil {
 			if err := stream.Send(refusalReply(err)); err != nil {
 				return err
 			}
 			continue
 		}
-		if err := c.forward(stream, p, conn); err != nil {
+		if err := fw.forward(stream, p, conn); err != nil {
 			return err
 		}
 	}
@@ -47,26 +47,26 @@
 
 // borrowForPeer borrows one of this instance's own connections for a peer. The request queues
 // with local ones.
-func (c *Carrier) borrowForPeer(ctx context.Context, a *wire.LendAsk) (*lender.Conn, *lender.Pool, error) {
-	p := c.Pool(a.Group)
-	if p == nil || c.Leaving() {
+func (fw *Forwarder) borrowForPeer(ctx context.Context, a *wire.LendAsk) (*lender.Conn, *lender.Pool, error) {
+	p := fw.Pool(a.Group)
+	if p == nil || fw.Draining() {
 		return nil, nil, errUnreachable
 	}
 	wait := min(time.Duration(a.WaitMs)*time.Millisecond, maxPeerWait)
-	if len(p.Reached(a.Members)) == 0 {
+	if len(p.Reachable(a.Members)) == 0 {
 		return nil, nil, errUnreachable
 	}
 	conn, err := p.Borrow(ctx, lender.Request{
-		Choose:   func() []string { return a.Members },
-		Priority: int(a.Priority), Until: time.Now().Add(wait), Question: a.Question, Customer: a.Customer, Counts: a.Counts, Long: a.Long, Own: true,
+		EligibleMembers: func() []string { return a.Members },
+		Priority:        int(a.Priority), Deadline: time.Now().Add(wait), StatusQuery: a.Question, Customer: a.Customer, RateLimited: a.Counts, Transaction: a.Long, LocalOnly: true,
 	})
 	return conn, p, err
 }
 
 // forward copies data between a peer and a connection until the peer returns it.
-func (c *Carrier) forward(stream wire.DRPCNeighbours_LendStream, p *lender.Pool, conn *lender.Conn) error {
-	c.lent.Add(1)
-	defer c.lent.Add(-1)
+func (fw *Forwarder) forward(stream wire.DRPCNeighbours_LendStream, p *lender.Pool, conn *lender.Conn) error {
+	fw.lent.Add(1)
+	defer fw.lent.Add(-1)
 	if err := stream.Send(&wire.LendReply{Member: conn.Member, Born: conn.Born, State: encodeState(conn.State())}); err != nil {
 		conn.Close()
 		p.Return(conn)
@@ -74,13 +74,13 @@
 	}
 	var ending atomic.Bool
 	// Clears the previous user's deadlines, which may have passed.
-	_ = conn.Raw().SetDeadline(time.Time{})
-	balance := c.Codec.Balance()
+	_ = conn.NetConn().SetDeadline(time.Time{})
+	balance := fw.Codec.Balance()
 	copied := make(chan error, 1)
 	go func() { copied <- copyToPeer(stream, conn, &ending, balance.Received) }()
 	end, err := copyToTarget(stream, conn, balance.Sent)
 	ending.Store(true)
-	_ = conn.Raw().SetReadDeadline(time.Now())
+	_ = conn.NetConn().SetReadDeadline(time.Now())
 	// A connection with an outstanding reply must not be reused: its next borrower would read
 	// that reply.
 	if extra := <-copied; extra != nil || err != nil || end.Broken || !balance.Even() {
@@ -90,9 +90,9 @@
 	}
 	switch {
 	case end.GetNoRoom():
-		p.NoRoom(conn.Member)
+		p.NoteOverloaded(conn.Member)
 	case end.GetRan():
-		p.Room(conn.Member)
+		p.NoteServed(conn.Member)
 	}
 	p.Return(conn)
 	return err
@@ -111,8 +111,8 @@
 			return nil, errProtocol
 		}
 		sent(r.Data)
-		_ = conn.Raw().SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := conn.Raw().Write(r.Data); err != nil {
+		_ = conn.NetConn().SetWriteDeadline(time.Now().Add(writeTimeout))
+		if _, err := conn.NetConn().Write(r.Data); err != nil {
 			return nil, errors.Wrap(err, "write to target")
 		}
 	}
@@ -123,7 +123,7 @@
 func copyToPeer(stream wire.DRPCNeighbours_LendStream, conn *lender.Conn, ending *atomic.Bool, received func([]byte)) error {
 	b := make([]byte, chunkBytes)
 	for {
-		n, err := conn.Raw().Read(b)
+		n, err := conn.NetConn().Read(b)
 		if n > 0 {
 			if ending.Load() {
 				return errProtocol
@@ -148,15 +148,15 @@
 	var limit *lender.LimitError
 	switch {
 	case errors.As(err, &limit):
-		return &wire.LendReply{Refusal: wire.LendRefusal_LIMITED, AgainMs: uint32(limit.Again.Milliseconds())}
-	case errors.Is(err, lender.ErrFull):
+		return &wire.LendReply{Refusal: wire.LendRefusal_LIMITED, AgainMs: uint32(limit.RetryAfter.Milliseconds())}
+	case errors.Is(err, lender.ErrNoConnection):
 		return &wire.LendReply{Refusal: wire.LendRefusal_FULL}
 	default:
 		return &wire.LendReply{Refusal: wire.LendRefusal_UNREACHED}
 	}
 }
 
-func encodeState(s lender.State) *wire.SessionState {
+func encodeState(s lender.SessionState) *wire.SessionState {
 	w := &wire.SessionState{Values: s.Values}
 	for p, name := range s.Prepared {
 		w.Prepared = append(w.Prepared, &wire.Prepared{Name: name, Writes: p.Writes, Shape: p.Shape})
@@ -164,8 +164,8 @@
 	return w
 }
 
-func decodeState(w *wire.SessionState) lender.State {
-	s := lender.State{Values: w.GetValues(), Prepared: map[lender.Prepared]string{}}
+func decodeState(w *wire.SessionState) lender.SessionState {
+	s := lender.SessionState{Values: w.GetValues(), Prepared: map[lender.Prepared]string{}}
 	for _, p := range w.GetPrepared() {
 		s.Prepared[lender.Prepared{Writes: p.Writes, Shape: p.Shape}] = p.Name
 	}
--- a/internal/carrier/stream.go
+++ b/internal/forwarder/stream.go
@@ -1,4 +1,4 @@
-package carrier
+package forwarder
 
 import (
 	"context"
@@ -45,7 +45,7 @@
 var errStreamClosed = errors.New("stream to peer closed")
 
 func openPeerStream(ctx context.Context, links *linker.Client, to string) (*peerStream, error) {
-	conn, err := links.Open(ctx, to)
+	conn, err := links.Dial(ctx, to)
 	if err != nil {
 		return nil, errors.Wrapf(err, "open stream to %s", to)
 	}
@@ -124,17 +124,17 @@
 }
 
 // borrow requests a connection from one peer.
-func (c *Carrier) borrow(ctx context.Context, to, group string, members []string, r lender.Request) (*lender.Conn, error) {
-	l, err := c.getStream(ctx, to)
+func (fw *Forwarder) borrow(ctx context.Context, to, group string, members []string, r lender.Request) (*lender.Conn, error) {
+	l, err := fw.getStream(ctx, to)
 	if err != nil {
-		c.Introducer.Failed(c.Clock(), to)
+		fw.Discoverer.RecordFailure(fw.Clock(), to)
 		return nil, err
 	}
 	a, err := l.request(ctx, &wire.LendAsk{
-		Group: group, Members: members, Priority: int32(r.Priority), WaitMs: uint32(max(0, time.Until(r.Until)).Milliseconds()), Question: r.Question, Customer: r.Customer, Counts: r.Counts, Long: r.Long,
-	}, r.Until.Add(replyGrace))
+		Group: group, Members: members, Priority: int32(r.Priority), WaitMs: uint32(max(0, time.Until(r.Deadline)).Milliseconds()), Question: r.StatusQuery, Customer: r.Customer, Counts: r.RateLimited, Long: r.Transaction,
+	}, r.Deadline.Add(replyGrace))
 	if err != nil && ctx.Err() != nil {
-		go c.releaseAbandoned(l, r.Until.Add(replyGrace))
+		go fw.releaseAbandoned(l, r.Deadline.Add(replyGrace))
 		return nil, err
 	}
 	if err != nil {
@@ -144,36 +144,36 @@
 	switch a.Refusal {
 	case wire.LendRefusal_NOT_REFUSED:
 	case wire.LendRefusal_FULL:
-		c.putStream(l)
-		return nil, lender.ErrFull
+		fw.putStream(l)
+		return nil, lender.ErrNoConnection
 	case wire.LendRefusal_LIMITED:
-		c.putStream(l)
-		return nil, &lender.LimitError{Customer: r.Customer, Again: time.Duration(a.AgainMs) * time.Millisecond}
+		fw.putStream(l)
+		return nil, &lender.LimitError{Customer: r.Customer, RetryAfter: time.Duration(a.AgainMs) * time.Millisecond}
 	default:
-		c.putStream(l)
+		fw.putStream(l)
 		return nil, errUnreachable
 	}
 	n := &remoteConn{peer: l}
 	state := decodeState(a.State)
-	return lender.Carried(n, c.Codec, a.Member, a.Born, state, func(e lender.LoanEnd) { c.release(n, e) }), nil
+	return lender.NewRemoteConn(n, fw.Codec, a.Member, a.Born, state, func(e lender.LoanEnd) { fw.release(n, e) }), nil
 }
 
 // releaseAbandoned waits for the reply to a canceled request and returns what was lent. Closing
 // the stream instead would make the peer close its target connection.
-func (c *Carrier) releaseAbandoned(l *peerStream, until time.Time) {
+func (fw *Forwarder) releaseAbandoned(l *peerStream, until time.Time) {
 	a, err := l.awaitReply(context.Background(), until)
 	switch {
 	case err != nil:
 		l.close()
 	case a.Refusal == wire.LendRefusal_NOT_REFUSED:
-		c.release(&remoteConn{peer: l}, lender.LoanEnd{State: decodeState(a.State)})
+		fw.release(&remoteConn{peer: l}, lender.LoanEnd{State: decodeState(a.State)})
 	default:
-		c.putStream(l)
+		fw.putStream(l)
 	}
 }
 
 // release returns a connection to the peer.
-func (c *Carrier) release(n *remoteConn, e lender.LoanEnd) {
+func (fw *Forwarder) release(n *remoteConn, e lender.LoanEnd) {
 	n.mutex.Lock()
 	ended := n.closed
 	n.closed = true
@@ -183,11 +183,11 @@
 		n.peer.close()
 		return
 	}
-	if err := n.peer.stream.Send(&wire.LendRequest{End: &wire.LendEnd{NoRoom: e.NoRoom, Ran: e.Ran, State: encodeState(e.State)}}); err != nil {
+	if err := n.peer.stream.Send(&wire.LendRequest{End: &wire.LendEnd{NoRoom: e.Overloaded, Ran: e.Ran, State: encodeState(e.State)}}); err != nil {
 		n.peer.close()
 		return
 	}
-	c.putStream(n.peer)
+	fw.putStream(n.peer)
 }
 
 // Read implements net.Conn.
--- a/internal/gossiper/client.go
+++ b/internal/gossiper/client.go
@@ -24,13 +24,13 @@
 // Exchange requests a peer's report and returns the size of the call in bytes, both directions.
 func (c *Client) Exchange(ctx context.Context, address string, r *wire.ExchangeRequest) (out *wire.Report, bytes int64, err error) {
 	err = c.Links.Call(ctx, callTimeout, address, func(ctx context.Context, l *linker.Link) error {
-		if l.Introduced {
+		if l.SenderSent {
 			r.Sender = nil
 		}
 		before := l.Bytes()
 		out, err = peersClient(l).Exchange(ctx, r)
 		bytes = l.Bytes() - before
-		l.Introduced = err == nil
+		l.SenderSent = err == nil
 		return err
 	})
 	return out, bytes, err
--- a/internal/gossiper/exchange.go
+++ b/internal/gossiper/exchange.go
@@ -109,7 +109,7 @@
 		return nil
 	}
 	s.nextSeed = now.Add(seedInterval)
-	return []controller.Action{Greet{Address: s.Seeds[s.Random.IntN(len(s.Seeds))]}}
+	return []controller.Action{QuerySeed{Address: s.Seeds[s.Random.IntN(len(s.Seeds))]}}
 }
 
 // handleExchanged processes a peer's report, or the failure to get one.
@@ -121,7 +121,7 @@
 		s.byteBudget += p.cost - float64(e.Bytes)
 		p.inFlight, p.cost = false, float64(e.Bytes)
 	}
-	out := []controller.Action{controller.Emit{Event: lister.Called{Name: e.Peer.Name, OK: e.Err == nil}}}
+	out := []controller.Action{controller.Emit{Event: lister.PeerCalled{Name: e.Peer.Name, OK: e.Err == nil}}}
 	if e.Err != nil {
 		if p != nil {
 			p.received = receivedReport{}
@@ -131,13 +131,13 @@
 	if e.Report.Instance != "" && e.Report.Instance != e.Peer.Name {
 		// The address belongs to another instance now, whose report must not count as this
 		// peer's vote.
-		return []controller.Action{controller.Emit{Event: lister.Called{Name: e.Peer.Name}}}
+		return []controller.Action{controller.Emit{Event: lister.PeerCalled{Name: e.Peer.Name}}}
 	}
-	out = append(out, controller.Emit{Event: configurer.HeardOf{Version: e.Report.Version, Address: e.Peer.Address}})
+	out = append(out, controller.Emit{Event: configurer.PeerVersion{Version: e.Report.Version, Address: e.Peer.Address}})
 	if e.Report.Leaving {
 		leaving := e.Peer
 		leaving.State = lister.StateLeaving
-		out = append(out, controller.Emit{Event: lister.Met{Instance: leaving}})
+		out = append(out, controller.Emit{Event: lister.PeerSeen{Instance: leaving}})
 	}
 	for _, notice := range e.Report.Signs {
 		out = append(out, s.handleNotice(now, noticeFromWire(notice))...)
@@ -163,12 +163,12 @@
 		p.received = receivedReport{} // the next exchange requests a full report
 		return nil
 	}
-	out := []controller.Action{controller.Emit{Event: Heard{Report: r, Asked: e.Asked}}}
+	out := []controller.Action{controller.Emit{Event: ReportReceived{Report: r, RequestedAt: e.RequestedAt}}}
 	for _, g := range r.Groups {
 		for _, m := range g.Members {
 			at := [2]string{g.Service, m.Member}
 			out = append(out, noticeFromReport(p, r.Instance, m, at)...)
-			out = append(out, s.relayObservation(now, r, at, m, e.Asked)...)
+			out = append(out, s.relayObservation(now, r, at, m, e.RequestedAt)...)
 		}
 	}
 	return out
--- a/internal/gossiper/fuzz_test.go
+++ b/internal/gossiper/fuzz_test.go
@@ -45,26 +45,26 @@
 			}
 			now = now.Add(time.Second)
 		}
-		step(configurer.InForce{Version: 1, Document: oneGroupDocument})
-		step(lister.Changed{Instances: []lister.Instance{ownInstance, peerInstance}})
+		step(configurer.Activated{Version: 1, Document: oneGroupDocument})
+		step(lister.ViewChanged{Instances: []lister.Instance{ownInstance, peerInstance}})
 		var r wire.Report
 		if proto.Unmarshal(data, &r) == nil {
 			for range 2 {
-				step(gossiper.Exchanged{Peer: peerInstance, Report: &r, Asked: now})
+				step(gossiper.Exchanged{Peer: peerInstance, Report: &r, RequestedAt: now})
 			}
 		}
 		var n wire.Announcement
 		if proto.Unmarshal(data, &n) == nil {
-			step(gossiper.FromAnnouncement(&n))
+			step(gossiper.AnnouncementFromWire(&n))
 		}
 		var q wire.ExchangeRequest
 		if proto.Unmarshal(data, &q) == nil {
-			step(gossiper.FromRequest(&q))
+			step(gossiper.ExchangeRequestFromWire(&q))
 			(&gossiper.Snapshot{}).Report(now, &q)
 		}
 		var d wire.FetchReply
 		if proto.Unmarshal(data, &d) == nil {
-			gossiper.FromFetchReply(&d, []byte("base"))
+			gossiper.DecodeFetchReply(&d, []byte("base"))
 		}
 		step(controller.Tick{})
 	})
@@ -76,9 +76,9 @@
 		return
 	}
 	switch e := e.Event.(type) {
-	case configurer.InForce:
+	case configurer.Activated:
 		t.Fatal("a report put a version in force")
 	case observer.Observed:
-		must.True(t, e.Service == "lockers" && oneGroupDocument.Services[0].Holds(e.Member))
+		must.True(t, e.Service == "lockers" && oneGroupDocument.Services[0].HasMember(e.Member))
 	}
 }
--- a/internal/gossiper/leaving.go
+++ b/internal/gossiper/leaving.go
@@ -22,7 +22,7 @@
 
 // storedNotice is a notice with its time of issue on this instance's clock.
 type storedNotice struct {
-	LeavingSign
+	LeavingNotice
 	givenAt time.Time
 }
 
@@ -41,21 +41,21 @@
 		// leaving, the number of announcements would be quadratic.
 		return nil
 	}
-	g := LeavingSign{Service: at[0], Member: at[1], Leaving: e.Leaving, Origin: s.Self.Name, Run: s.Run, Number: s.sequence}
-	s.leavingNotices[at] = storedNotice{LeavingSign: g, givenAt: now}
+	g := LeavingNotice{Service: at[0], Member: at[1], Leaving: e.Leaving, Origin: s.Self.Name, Run: s.Run, Sequence: s.sequence}
+	s.leavingNotices[at] = storedNotice{LeavingNotice: g, givenAt: now}
 	return s.broadcast(&wire.Announcement{Leaving: []*wire.Leaving{noticeToWire(g)}})
 }
 
 // handleNotice processes a notice received from a peer and forwards it if it changes the state.
-func (s *Slice) handleNotice(now time.Time, g LeavingSign) []controller.Action {
+func (s *Slice) handleNotice(now time.Time, g LeavingNotice) []controller.Action {
 	at := [2]string{g.Service, g.Member}
 	known := s.leavingNotices[at]
-	if g.Age > noticeTTL || g.Origin == s.Self.Name || (known.Origin == g.Origin && known.Run == g.Run && known.Number >= g.Number) {
+	if g.Age > noticeTTL || g.Origin == s.Self.Name || (known.Origin == g.Origin && known.Run == g.Run && known.Sequence >= g.Sequence) {
 		return nil
 	}
 	changed := known.Leaving != g.Leaving
 	if changed || known.Origin == g.Origin {
-		s.leavingNotices[at] = storedNotice{LeavingSign: g, givenAt: now.Add(-g.Age)}
+		s.leavingNotices[at] = storedNotice{LeavingNotice: g, givenAt: now.Add(-g.Age)}
 		s.dirty = true
 	}
 	out := []controller.Action{controller.Emit{Event: drainer.Sign{
@@ -104,16 +104,16 @@
 	}}}
 }
 
-func noticeToWire(g LeavingSign) *wire.Leaving {
+func noticeToWire(g LeavingNotice) *wire.Leaving {
 	return &wire.Leaving{
 		Service: g.Service, Member: g.Member, Leaving: g.Leaving,
-		Origin: g.Origin, Run: g.Run, Number: g.Number, AgeMs: uint32(g.Age / time.Millisecond),
+		Origin: g.Origin, Run: g.Run, Number: g.Sequence, AgeMs: uint32(g.Age / time.Millisecond),
 	}
 }
 
-func noticeFromWire(w *wire.Leaving) LeavingSign {
-	return LeavingSign{
+func noticeFromWire(w *wire.Leaving) LeavingNotice {
+	return LeavingNotice{
 		Service: w.GetService(), Member: w.GetMember(), Leaving: w.GetLeaving(),
-		Origin: w.GetOrigin(), Run: w.GetRun(), Number: w.GetNumber(), Age: time.Duration(w.GetAgeMs()) * time.Millisecond,
+		Origin: w.GetOrigin(), Run: w.GetRun(), Sequence: w.GetNumber(), Age: time.Duration(w.GetAgeMs()) * time.Millisecond,
 	}
 }
--- a/internal/gossiper/planner.go
+++ b/internal/gossiper/planner.go
@@ -39,7 +39,7 @@
 func (s *Slice) peersForShard(shard uint32) ([]lister.Instance, time.Duration) {
 	zoneObservers := observer.Of(shard, s.Self.Zone, s.members)
 	key := s.Self.Name + "/" + strconv.Itoa(int(shard))
-	if !lister.Holds(zoneObservers, s.Self.Name) {
+	if !lister.Contains(zoneObservers, s.Self.Name) {
 		r := lister.Rank(key, zoneObservers)
 		if s.usedShards[shard] {
 			return r[:min(1, len(r))], exchangeInterval
--- a/internal/gossiper/report.go
+++ b/internal/gossiper/report.go
@@ -43,11 +43,11 @@
 		Leaving   bool
 	}
 
-	// Heard is a received report. It was made after Asked on this instance's clock, so an
-	// observation in it is at most now - Asked + Age old.
-	Heard struct {
-		Report Report
-		Asked  time.Time
+	// ReportReceived is a received report. It was made after RequestedAt on this instance's clock, so an
+	// observation in it is at most now - RequestedAt + Age old.
+	ReportReceived struct {
+		Report      Report
+		RequestedAt time.Time
 	}
 
 	// Suspicion is this instance's own suspicion of a member, to be reported to its peers.
@@ -57,55 +57,55 @@
 		On      bool
 	}
 
-	// Announced is an announcement received from a peer.
-	Announced struct {
+	// AnnouncementReceived is an announcement received from a peer.
+	AnnouncementReceived struct {
 		Sender  lister.Instance
 		Version int64
-		Leaving []LeavingSign
+		Leaving []LeavingNotice
 		// Urgent requests an immediate exchange.
 		Urgent bool
-		// Gone means that the sender itself is leaving.
-		Gone bool
+		// SenderLeaving means that the sender itself is leaving.
+		SenderLeaving bool
 	}
 
-	// LeavingSign is a notice that a target is leaving, or no longer is.
-	LeavingSign struct {
+	// LeavingNotice is a notice that a target is leaving, or no longer is.
+	LeavingNotice struct {
 		Service string
 		Member  string
 		Leaving bool
-		// Origin is the instance that issued the notice, Run its run and Number the sequence
+		// Origin is the instance that issued the notice, Run its run and Sequence the sequence
 		// number within the run; a higher one supersedes a lower one.
-		Origin string
-		Run    uint32
-		Number uint64
+		Origin   string
+		Run      uint32
+		Sequence uint64
 		// Age is the time since the origin issued the notice.
 		Age time.Duration
 	}
 
-	// Asked is an exchange request received from a peer.
-	Asked struct {
+	// ExchangeRequested is an exchange request received from a peer.
+	ExchangeRequested struct {
 		Sender  lister.Instance
 		Version int64
 	}
 
-	// Greeted is a seed's reply to an instance that knows no peers.
-	Greeted struct {
-		Peers   []lister.Instance
-		Offered configurer.Offered
+	// SeedReplied is a seed's reply to an instance that knows no peers.
+	SeedReplied struct {
+		Peers  []lister.Instance
+		Result configurer.ReadResult
 	}
 )
 
 // EventName implements controller.Event.
-func (Heard) EventName() string { return "report-heard" }
+func (ReportReceived) EventName() string { return "report-heard" }
 
 // EventName implements controller.Event.
 func (Suspicion) EventName() string { return "own-suspicion" }
 
 // EventName implements controller.Event.
-func (Asked) EventName() string { return "peer-asked" }
+func (ExchangeRequested) EventName() string { return "peer-asked" }
 
 // EventName implements controller.Event.
-func (Greeted) EventName() string { return "seed-answered" }
+func (SeedReplied) EventName() string { return "seed-answered" }
 
 // EventName implements controller.Event.
-func (Announced) EventName() string { return "news-announced" }
+func (AnnouncementReceived) EventName() string { return "news-announced" }
--- a/internal/gossiper/server.go
+++ b/internal/gossiper/server.go
@@ -14,8 +14,8 @@
 	Server struct {
 		// Exchange returns this instance's report.
 		Exchange func(context.Context, *wire.ExchangeRequest) (*wire.Report, error)
-		// Announced processes a peer's announcement.
-		Announced func(context.Context, *wire.Announcement)
+		// OnAnnouncement processes a peer's announcement.
+		OnAnnouncement func(context.Context, *wire.Announcement)
 		// Configuration returns the document in force.
 		Configuration func(*wire.FetchRequest) *wire.FetchReply
 		// Cancel cancels a client request on this instance; it may be nil.
@@ -38,7 +38,7 @@
 
 // Exchange implements wire.DRPCPeersServer.
 func (p *peerSession) Exchange(ctx context.Context, r *wire.ExchangeRequest) (*wire.Report, error) {
-	if err := p.Ready(); err != nil {
+	if err := p.CheckAuthenticated(); err != nil {
 		return nil, err
 	}
 	if r.Sender != nil {
@@ -50,16 +50,16 @@
 
 // Announce implements wire.DRPCPeersServer.
 func (p *peerSession) Announce(ctx context.Context, r *wire.Announcement) (*wire.AnnounceReply, error) {
-	if err := p.Ready(); err != nil {
+	if err := p.CheckAuthenticated(); err != nil {
 		return nil, err
 	}
-	p.server.Announced(ctx, r)
+	p.server.OnAnnouncement(ctx, r)
 	return &wire.AnnounceReply{}, nil
 }
 
 // FetchConfiguration implements wire.DRPCPeersServer.
 func (p *peerSession) FetchConfiguration(_ context.Context, r *wire.FetchRequest) (*wire.FetchReply, error) {
-	if err := p.Ready(); err != nil {
+	if err := p.CheckAuthenticated(); err != nil {
 		return nil, err
 	}
 	return p.server.Configuration(r), nil
@@ -67,7 +67,7 @@
 
 // Cancel implements wire.DRPCPeersServer.
 func (p *peerSession) Cancel(ctx context.Context, r *wire.CancelRequest) (*wire.CancelReply, error) {
-	if err := p.Ready(); err != nil {
+	if err := p.CheckAuthenticated(); err != nil {
 		return nil, err
 	}
 	if p.server.Cancel == nil {
--- a/internal/gossiper/slice.go
+++ b/internal/gossiper/slice.go
@@ -113,9 +113,9 @@
 
 	// Exchanged is the outcome of an Exchange.
 	Exchanged struct {
-		Peer   lister.Instance
-		Report *wire.Report
-		Asked  time.Time
+		Peer        lister.Instance
+		Report      *wire.Report
+		RequestedAt time.Time
 		// Bytes is the size of the exchange, both directions.
 		Bytes int64
 		Err   error
@@ -123,12 +123,12 @@
 
 	// Announce sends an announcement to a peer, without a delivery guarantee.
 	Announce struct {
-		Peer lister.Instance
-		News *wire.Announcement
+		Peer    lister.Instance
+		Message *wire.Announcement
 	}
 
-	// Greet asks a seed address for its document and its peers.
-	Greet struct{ Address string }
+	// QuerySeed asks a seed address for its document and its peers.
+	QuerySeed struct{ Address string }
 )
 
 // ActionName implements controller.Action.
@@ -138,7 +138,7 @@
 func (Announce) ActionName() string { return "announce" }
 
 // ActionName implements controller.Action.
-func (Greet) ActionName() string { return "greet" }
+func (QuerySeed) ActionName() string { return "greet" }
 
 // EventName implements controller.Event.
 func (Exchanged) EventName() string { return "exchanged" }
@@ -147,9 +147,9 @@
 func (s *Slice) Step(now time.Time, e controller.Event) []controller.Action {
 	s.initialize()
 	switch e := e.(type) {
-	case configurer.InForce:
+	case configurer.Activated:
 		return s.applyDocument(e)
-	case lister.Changed:
+	case lister.ViewChanged:
 		s.members = e.Instances
 		s.chooseSeedPeers()
 		s.choosePeers()
@@ -164,16 +164,16 @@
 		return s.handleOwnNotice(now, e)
 	case drainer.InstanceLeaving:
 		return s.startLeaving()
-	case Announced:
+	case AnnouncementReceived:
 		return s.handleAnnounced(now, e)
 	case Exchanged:
 		return s.handleExchanged(now, e)
-	case Asked:
+	case ExchangeRequested:
 		return []controller.Action{
-			controller.Emit{Event: lister.Met{Instance: e.Sender}},
-			controller.Emit{Event: configurer.HeardOf{Version: e.Version, Address: e.Sender.Address}},
+			controller.Emit{Event: lister.PeerSeen{Instance: e.Sender}},
+			controller.Emit{Event: configurer.PeerVersion{Version: e.Version, Address: e.Sender.Address}},
 		}
-	case Greeted:
+	case SeedReplied:
 		return handleGreeted(e)
 	case lister.Probe:
 		return []controller.Action{s.probeExchange(e.Instance)}
@@ -195,7 +195,7 @@
 
 // applyDocument replaces the document, keeps the observations of remaining members and
 // announces the version.
-func (s *Slice) applyDocument(e configurer.InForce) []controller.Action {
+func (s *Slice) applyDocument(e configurer.Activated) []controller.Action {
 	oldPositions, oldGroups := s.positions, s.observedGroups
 	s.version, s.document = e.Version, e.Document
 	s.documents[e.Version] = e.Document
@@ -246,7 +246,7 @@
 
 func (s *Slice) announce(to lister.Instance, message *wire.Announcement) Announce {
 	message.Sender, message.Version = peerToWire(s.Self), s.version
-	return Announce{Peer: to, News: message}
+	return Announce{Peer: to, Message: message}
 }
 
 // broadcast sends an announcement to announceFanOut peers, at least one of them in another
@@ -282,10 +282,10 @@
 }
 
 // handleGreeted publishes the document and the peers that a seed returned.
-func handleGreeted(e Greeted) []controller.Action {
-	out := []controller.Action{controller.Emit{Event: e.Offered}}
+func handleGreeted(e SeedReplied) []controller.Action {
+	out := []controller.Action{controller.Emit{Event: e.Result}}
 	for _, i := range e.Peers {
-		out = append(out, controller.Emit{Event: lister.Met{Instance: i}})
+		out = append(out, controller.Emit{Event: lister.PeerSeen{Instance: i}})
 	}
 	return out
 }
@@ -299,13 +299,13 @@
 }
 
 // handleAnnounced processes a peer's announcement.
-func (s *Slice) handleAnnounced(now time.Time, e Announced) []controller.Action {
-	if e.Gone {
+func (s *Slice) handleAnnounced(now time.Time, e AnnouncementReceived) []controller.Action {
+	if e.SenderLeaving {
 		e.Sender.State = lister.StateLeaving
 	}
 	out := []controller.Action{
-		controller.Emit{Event: lister.Met{Instance: e.Sender}},
-		controller.Emit{Event: configurer.HeardOf{Version: e.Version, Address: e.Sender.Address}},
+		controller.Emit{Event: lister.PeerSeen{Instance: e.Sender}},
+		controller.Emit{Event: configurer.PeerVersion{Version: e.Version, Address: e.Sender.Address}},
 	}
 	for _, l := range e.Leaving {
 		out = append(out, s.handleNotice(now, l)...)
--- a/internal/gossiper/snapshot.go
+++ b/internal/gossiper/snapshot.go
@@ -74,7 +74,7 @@
 	}
 	for _, g := range s.notices {
 		g.Age = now.Sub(g.givenAt)
-		out.Signs = append(out.Signs, noticeToWire(g.LeavingSign))
+		out.Signs = append(out.Signs, noticeToWire(g.LeavingNotice))
 	}
 	var requested [observer.Shards]bool
 	for _, n := range r.Shards {
--- a/internal/gossiper/wire_test.go
+++ b/internal/gossiper/wire_test.go
@@ -23,7 +23,7 @@
 
 const serverAddress = "10.0.0.1:7100"
 
-var fleetKey = []linker.Secret{{Number: 1, Value: []byte("one secret")}}
+var fleetKey = []linker.Secret{{KeyNumber: 1, Value: []byte("one secret")}}
 
 // withServer runs a test with a server on virtual time.
 func withServer(t *testing.T, versions linker.Versions, test func(t *testing.T, client *gossiper.Client, n *wirer.Net, h *wirer.Host)) {
@@ -84,9 +84,9 @@
 		{"client one newer", fleetKey, linker.Versions{Oldest: 1, Newest: 2}, linker.Versions{Oldest: 1, Newest: 1}, nil},
 		{"client too old", fleetKey, linker.Versions{Oldest: 1, Newest: 1}, linker.Versions{Oldest: 2, Newest: 3}, linker.ErrWireVersion},
 		{"client too new", fleetKey, linker.Versions{Oldest: 2, Newest: 3}, linker.Versions{Oldest: 1, Newest: 1}, linker.ErrWireVersion},
-		{"unknown key number", []linker.Secret{{Number: 2, Value: []byte("one secret")}}, linker.CurrentVersions, linker.CurrentVersions, linker.ErrForeign},
-		{"different secret", []linker.Secret{{Number: 1, Value: []byte("other secret")}}, linker.CurrentVersions, linker.CurrentVersions, linker.ErrForeign},
-		{"key being replaced", append([]linker.Secret{{Number: 2, Value: []byte("next secret")}}, fleetKey...), linker.CurrentVersions, linker.CurrentVersions, nil},
+		{"unknown key number", []linker.Secret{{KeyNumber: 2, Value: []byte("one secret")}}, linker.CurrentVersions, linker.CurrentVersions, linker.ErrForeignFleet},
+		{"different secret", []linker.Secret{{KeyNumber: 1, Value: []byte("other secret")}}, linker.CurrentVersions, linker.CurrentVersions, linker.ErrForeignFleet},
+		{"key being replaced", append([]linker.Secret{{KeyNumber: 2, Value: []byte("next secret")}}, fleetKey...), linker.CurrentVersions, linker.CurrentVersions, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			withServer(t, c.server, func(t *testing.T, client *gossiper.Client, _ *wirer.Net, _ *wirer.Host) {
--- a/internal/identifier/identifier.go
+++ b/internal/identifier/identifier.go
@@ -50,8 +50,8 @@
 	}
 )
 
-// KeyOf returns the digest of an API key.
-func KeyOf(secret []byte) Key {
+// DigestKey returns the digest of an API key.
+func DigestKey(secret []byte) Key {
 	h := sha256.New()
 	_, _ = h.Write([]byte(keyLabel))
 	_, _ = h.Write(secret)
@@ -80,9 +80,9 @@
 	return d
 }
 
-// Holder returns the account of a key. Its timing depends only on digests, so it reveals
+// ByKey returns the account of a key. Its timing depends only on digests, so it reveals
 // nothing about existing keys.
-func (d *Directory) Holder(k Key) (*Customer, bool) {
+func (d *Directory) ByKey(k Key) (*Customer, bool) {
 	c, ok := d.byKey[k]
 	if !ok {
 		return nil, false
@@ -95,8 +95,8 @@
 	return nil, false
 }
 
-// Customer returns the account with a name, nil if there is none.
-func (d *Directory) Customer(name string) *Customer {
+// ByName returns the account with a name, nil if there is none.
+func (d *Directory) ByName(name string) *Customer {
 	if d == nil {
 		return nil
 	}
--- a/internal/launcher/backend.go
+++ b/internal/launcher/backend.go
@@ -10,7 +10,7 @@
 	"github.com/oriolegw/oriolegw/internal/dispatcher"
 	"github.com/oriolegw/oriolegw/internal/lender"
 	"github.com/oriolegw/oriolegw/internal/messenger"
-	"github.com/oriolegw/oriolegw/internal/pauser"
+	"github.com/oriolegw/oriolegw/internal/sleeper"
 	"github.com/oriolegw/oriolegw/internal/tracker"
 	"github.com/oriolegw/oriolegw/pkg/orderer"
 )
@@ -44,7 +44,7 @@
 // backend is a group with what keeps the instance's belief about it true.
 type backend struct {
 	dispatcher.Backend
-	clock     func() tracker.Stamp
+	clock     func() tracker.Timestamp
 	codec     messenger.MemberCodec
 	log       func(fields ...any)
 	suspicion chan string
@@ -81,10 +81,10 @@
 		told := i.expectsProofs()
 		for _, b := range i.groupsInUse() {
 			if b.tend(now, told) {
-				pause = lender.TendInterval
+				pause = lender.MaintenanceInterval
 			}
 		}
-		if err := pauser.Pause(ctx, pause); err != nil {
+		if err := sleeper.Sleep(ctx, pause); err != nil {
 			return err
 		}
 	}
@@ -96,13 +96,13 @@
 // groups, the replicas too, make some 20,000 questions in the second in which callers come
 // back.
 func (i *Instance) expectsProofs() bool {
-	return i.peers != nil && i.Clock()-i.booted < toldFor && i.peers.teller.Follows()
+	return i.peers != nil && i.Clock()-i.booted < toldFor && i.peers.teller.FollowsPeers()
 }
 
 // tend wakes what is due for the group, and reports whether it is to be looked at again
 // soon. With told, another instance is about to tell the group's proof.
 func (b *backend) tend(now time.Time, told bool) bool {
-	b.Pool.Tend(now)
+	b.Pool.Maintain(now)
 	leaderless := b.Group.Primary() == ""
 	if leaderless && now.Sub(b.searched) >= searchInterval {
 		b.searched = now
@@ -127,7 +127,7 @@
 
 // proofAge is how old the group's newest proof is.
 func (b *backend) proofAge() time.Duration {
-	p, ok := b.Group.Freshest()
+	p, ok := b.Group.NewestProof()
 	if !ok {
 		return math.MaxInt64
 	}
@@ -153,20 +153,20 @@
 }
 
 func (b *backend) renewAfter() time.Duration {
-	if b.clock()-tracker.Stamp(b.told.Load()) < toldFor || b.Pool.Scarce(b.Group.Primary()) {
+	if b.clock()-tracker.Timestamp(b.told.Load()) < toldFor || b.Pool.ConnectionsScarce(b.Group.Primary()) {
 		return scarceProofAge
 	}
 	return proofAge
 }
 
 // hear takes in a proof that another instance tells.
-func (b *backend) hear(p tracker.Proof) {
+func (b *backend) hear(p tracker.FreshnessProof) {
 	now := b.clock()
-	if !b.Group.Hear(now, p) {
+	if !b.Group.AddRemoteProof(now, p) {
 		return
 	}
 	b.told.Store(int64(now))
-	b.Pool.Changed()
+	b.Pool.MembersChanged()
 }
 
 // proveByReplicas makes a proof without the primary. After all instances have lost
@@ -194,7 +194,7 @@
 		}
 	}
 	asking.Wait()
-	p := tracker.Proof{At: asked, Position: floor, ByReplicas: true}
+	p := tracker.FreshnessProof{At: asked, Position: floor, FromReplicas: true}
 	for i, id := range ids {
 		if id == primary {
 			continue
@@ -205,8 +205,8 @@
 		p.Position = orderer.Max(p.Position, said[i].Received)
 	}
 	b.log("event", "proved-by-replicas", "group", b.Group.Name, "position", p.Position, "replicas", len(ids)-1)
-	b.Group.Prove(p)
-	b.Pool.Changed()
+	b.Group.AddProof(p)
+	b.Pool.MembersChanged()
 }
 
 // replicasFloor is the least that a proof by the replicas must show. A replica that has
@@ -214,11 +214,11 @@
 // read would miss the commit. Only the primary can tell how far its log was then, so
 // without a proof of the primary's from after the restart it is false.
 func (b *backend) replicasFloor() (orderer.Position, bool) {
-	restarted := b.Group.Restarted(b.clock())
+	restarted := b.Group.LastRestart(b.clock())
 	if restarted == 0 {
 		return orderer.Position{}, true
 	}
-	p, ok := b.Group.FromPrimary()
+	p, ok := b.Group.NewestPrimaryProof()
 	return p.Position, ok && restarted < p.At
 }
 
@@ -229,7 +229,7 @@
 	if b.Group.Primary() == "" {
 		return
 	}
-	c, err := b.Pool.Borrow(ctx, lender.Request{Until: until, Question: true, Choose: func() []string { return []string{b.Group.Primary()} }})
+	c, err := b.Pool.Borrow(ctx, lender.Request{Deadline: until, StatusQuery: true, EligibleMembers: func() []string { return []string{b.Group.Primary()} }})
 	if err != nil {
 		return
 	}
@@ -243,10 +243,10 @@
 	}
 	switch replies[0].Code {
 	case messenger.CodeNone:
-		b.Group.Prove(tracker.Proof{At: asked, Position: replies[0].Position})
-		b.Pool.Changed()
+		b.Group.AddProof(tracker.FreshnessProof{At: asked, Position: replies[0].Position})
+		b.Pool.MembersChanged()
 	case messenger.CodeNotPrimary:
-		b.Group.Lost(c.Member)
+		b.Group.ClearPrimary(c.Member)
 		b.Suspect(c.Member)
 	}
 }
@@ -268,7 +268,7 @@
 		case member := <-b.suspicion:
 			if member == b.Group.Primary() || b.Group.Primary() == "" {
 				b.look(ctx)
-				if pauser.Pause(ctx, suspicionPause) != nil {
+				if sleeper.Sleep(ctx, suspicionPause) != nil {
 					return
 				}
 			}
@@ -290,7 +290,7 @@
 // ask asks a member for its status, and takes it in.
 func (b *backend) ask(ctx context.Context, id string) (messenger.Status, bool) {
 	until := time.Now().Add(proveTimeout)
-	c, err := b.Pool.Borrow(ctx, lender.Request{Until: until, Question: true, Choose: func() []string { return []string{id} }})
+	c, err := b.Pool.Borrow(ctx, lender.Request{Deadline: until, StatusQuery: true, EligibleMembers: func() []string { return []string{id} }})
 	if err != nil {
 		return messenger.Status{}, false
 	}
@@ -299,16 +299,16 @@
 	replies, _, err := c.Exchange([]messenger.Command{{Kind: messenger.KindStatus}}, time.Now().Add(proveTimeout))
 	if err != nil {
 		c.Close()
-		b.Group.Unanswered(b.clock(), id, false)
+		b.Group.RecordFailure(b.clock(), id, false)
 		return messenger.Status{}, false
 	}
 	s, err := b.codec.Status(replies[0])
 	if err != nil {
 		return messenger.Status{}, false
 	}
-	if b.Group.Saw(asked, id, s) {
+	if b.Group.UpdateStatus(asked, id, s) {
 		b.log("event", "primary", "group", b.Group.Name, "member", b.Group.Primary(), "term", s.Term, "source", "status", "of", id)
-		b.Pool.Changed()
+		b.Pool.MembersChanged()
 	}
 	return s, true
 }
--- a/internal/launcher/clock.go
+++ b/internal/launcher/clock.go
@@ -14,7 +14,7 @@
 // Boottime is the time since the machine's start, suspensions included. A lease or
 // a proof of leadership that was taken before a suspension must look its true age
 // after it; the monotonic clock of package time stands still meanwhile.
-func Boottime() tracker.Stamp {
+func Boottime() tracker.Timestamp {
 	var t syscall.Timespec
 	if _, _, e := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, clockBoottime, uintptr(unsafe.Pointer(&t)), 0); e != 0 {
 		panic("launcher: no clock that counts suspensions: " + e.Error())
--- a/internal/launcher/customers.go
+++ b/internal/launcher/customers.go
@@ -31,14 +31,14 @@
 }
 
 // customerStates returns what this instance knows of each customer.
-func (i *Instance) customerStates() []accountant.State {
+func (i *Instance) customerStates() []accountant.CustomerState {
 	c := i.configuration.Load()
 	if c == nil {
 		return nil
 	}
 	held := map[string]int{}
 	for _, b := range i.groupsInUse() {
-		b.Pool.Held(held)
+		b.Pool.CountByCustomer(held)
 	}
 	accounts := map[string]limiter.Balance{}
 	if i.peers != nil {
@@ -46,14 +46,14 @@
 			accounts[b.Customer] = b
 		}
 	}
-	var list []accountant.State
+	var list []accountant.CustomerState
 	for x := range c.Customers.All {
-		s := accountant.State{
+		s := accountant.CustomerState{
 			Customer: x.Name, PerSecond: x.Limit.PerSecond, Burst: x.Limit.Burst, Keys: len(x.Keys),
 			Connections: held[x.Name], Refused: i.refusedOf.get(x.Name),
 		}
 		if b, ok := accounts[x.Name]; ok && b.Instances > 0 {
-			s.Kept, s.Used, s.Available, s.Leased, s.Demand = true, b.Used, b.Available, b.Leased, b.Demand
+			s.IsAccountant, s.Used, s.Available, s.Leased, s.Demand = true, b.Used, b.Available, b.Leased, b.Demand
 		}
 		list = append(list, s)
 	}
--- a/internal/launcher/launcher.go
+++ b/internal/launcher/launcher.go
@@ -14,6 +14,7 @@
 
 	"github.com/oriolegw/oriolegw/internal/dispatcher"
 	"github.com/oriolegw/oriolegw/internal/elector"
+	"github.com/oriolegw/oriolegw/internal/exchanger"
 	"github.com/oriolegw/oriolegw/internal/journaler"
 	"github.com/oriolegw/oriolegw/internal/lender"
 	"github.com/oriolegw/oriolegw/internal/loader"
@@ -21,7 +22,6 @@
 	"github.com/oriolegw/oriolegw/internal/networker"
 	"github.com/oriolegw/oriolegw/internal/reporter"
 	"github.com/oriolegw/oriolegw/internal/storer"
-	"github.com/oriolegw/oriolegw/internal/teller"
 	"github.com/oriolegw/oriolegw/internal/tracker"
 	"github.com/oriolegw/oriolegw/internal/watcher"
 	"github.com/uber-go/tally/v4"
@@ -63,7 +63,7 @@
 		Platform Platform
 		Network  networker.Network
 		Journal  *journaler.Journal
-		Clock    func() tracker.Stamp
+		Clock    func() tracker.Timestamp
 		// Leave is received from when the process is told to end.
 		Leave <-chan os.Signal
 		// Reload is received from when the settings may have changed; Reread reads them.
@@ -78,7 +78,7 @@
 		register      *reporter.Register
 		configuration atomic.Pointer[tracker.Configuration]
 		leaving       atomic.Bool
-		booted        tracker.Stamp
+		booted        tracker.Timestamp
 		belief        *journaler.Kind
 
 		mutex    sync.Mutex
@@ -174,14 +174,14 @@
 	}
 	i.elector = &elector.Elector{
 		Store: i.Platform.Store, Clock: i.Clock, Name: i.Settings.Name + lifeSeparator + life(),
-		FirstStart: i.Settings.FirstStart, Groups: i.groups, Keep: i.keep, Log: i.Journal.Kind("duty").Log,
+		ColdStart: i.Settings.FirstStart, Groups: i.groups, Supervise: i.keep, Log: i.Journal.Kind("duty").Log,
 	}
 	i.watch = i.watcher()
-	i.elector.InTouch = i.watch.InTouch
+	i.elector.StoreReachable = i.watch.StoreAvailable
 	if i.Settings.Peers != "" {
 		i.peers = i.openNeighbours()
-		i.elector.Turn = i.peers.turn
-		i.watch.Hear, i.watch.Instance, i.watch.Follows = i.peers.teller.Hear, i.peers.teller.Saw, i.peers.teller.Follows
+		i.elector.AcquireRank = i.peers.turn
+		i.watch.RequestState, i.watch.OnInstance, i.watch.FollowsPeers = i.peers.teller.RequestState, i.peers.teller.HandleRecord, i.peers.teller.FollowsPeers
 	}
 	i.declareMetrics()
 }
@@ -194,17 +194,17 @@
 
 func (i *Instance) watcher() *watcher.Watcher {
 	return &watcher.Watcher{
-		Source: i.Platform.Store, Clock: i.Clock, InForce: i.Settings.InForce, FirstStart: i.Settings.FirstStart,
-		ConfigurationKey: i.Platform.ConfigurationKey, MemberPrefix: i.Platform.MemberPrefix, DutyPrefix: elector.DutyPrefix, InstancePrefix: teller.InstancePrefix,
+		Source: i.Platform.Store, Clock: i.Clock, MaxPropagationDelay: i.Settings.InForce, FirstStart: i.Settings.FirstStart,
+		ConfigurationKey: i.Platform.ConfigurationKey, MemberPrefix: i.Platform.MemberPrefix, OwnershipPrefix: elector.OwnershipPrefix, InstancePrefix: exchanger.InstancePrefix,
 		DecodeConfiguration: i.Platform.DecodeConfiguration, DecodeMember: i.Platform.DecodeMember,
-		Configured: i.configured, Members: i.registered, Duty: i.elector.Saw, Log: i.belief.Log,
+		OnConfiguration: i.configured, OnMembers: i.registered, OnOwnership: i.elector.HandleRecord, Log: i.belief.Log,
 	}
 }
 
 func (i *Instance) configured(c *tracker.Configuration) {
-	c.Taken = i.Clock()
+	c.AppliedAt = i.Clock()
 	if i.peers != nil && c.Customers != nil {
-		i.peers.teller.Introducer.Wide.Store(true)
+		i.peers.teller.Discoverer.KeepAllZones.Store(true)
 	}
 	i.noteCustomers(i.configuration.Swap(c), c)
 	if i.peers != nil {
@@ -229,8 +229,8 @@
 	defer i.mutex.Unlock()
 	i.members = byGroup
 	for name, b := range i.backends {
-		b.Group.Members(byGroup[name])
-		b.Pool.Changed()
+		b.Group.SetMembers(byGroup[name])
+		b.Pool.MembersChanged()
 	}
 }
 
@@ -257,22 +257,22 @@
 	if b, ok := i.backends[group]; ok {
 		return b
 	}
-	g := &tracker.Group{Name: group, Zone: i.Settings.Zone, Near: i.near}
+	g := &tracker.Group{Name: group, Zone: i.Settings.Zone, SameRegion: i.near}
 	b := &backend{clock: i.Clock, codec: i.Platform.MemberCodec, log: i.belief.Log, suspicion: make(chan string, 1), aged: make(chan struct{}, 1), leaderless: make(chan struct{}, 1)}
 	b.roster = func() ([]string, bool) { return i.roster(group) }
 	b.Backend = dispatcher.Backend{Group: g, Suspect: b.suspect, Pool: &lender.Pool{
-		Group: g, Network: i.Network, Codec: i.Platform.MemberCodec, Who: i.Settings.Name, Clock: i.Clock, Note: i.noteConnection(group), Tended: true,
-		NoteLost: i.noteLost(group), NoteLent: i.noteLent,
-		NoteRoom: func(member string, room bool) {
+		Group: g, Network: i.Network, Codec: i.Platform.MemberCodec, ClientName: i.Settings.Name, Clock: i.Clock, NoteOpened: i.noteConnection(group), MaintainedByOwner: true,
+		NoteBroken: i.noteLost(group), NoteLent: i.noteLent,
+		NotePacing: func(member string, room bool) {
 			i.belief.Log("event", "room", "group", group, "member", member, "room", room)
 		},
 	}}
 	if i.peers != nil {
-		b.Pool.Carry, b.Pool.Central = i.peers.carrier.Carry, i.peers.carrier.Borrow
-		b.Pool.Elsewhere, b.Pool.Sharers = i.peers.carrier.Elsewhere, i.peers.carrier.Sharers
-		b.Pool.Admit, b.Pool.Undo = i.peers.accountant.Admit, i.peers.accountant.Undo
+		b.Pool.BorrowRemote, b.Pool.BorrowFromHolder = i.peers.carrier.BorrowRemote, i.peers.carrier.BorrowFromHolder
+		b.Pool.HeldElsewhere, b.Pool.HolderCount = i.peers.carrier.HeldElsewhere, i.peers.carrier.HolderCount
+		b.Pool.Admit, b.Pool.UndoAdmit = i.peers.accountant.Admit, i.peers.accountant.UndoAdmit
 	}
-	g.Members(i.members[group])
+	g.SetMembers(i.members[group])
 	if c := i.configuration.Load(); c != nil {
 		b.Pool.Configure(c.Groups[group].Connections, c.Customers)
 	}
@@ -291,7 +291,7 @@
 // roster lists the members whose logs may hold acknowledged commits: those that are
 // registered, and those that the group's duty has on record.
 func (i *Instance) roster(group string) ([]string, bool) {
-	ids := i.elector.Roster(group)
+	ids := i.elector.RecordedMembers(group)
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	for _, m := range i.members[group] {
@@ -341,9 +341,9 @@
 }
 
 // keep watches over a group while the duty lasts.
-func (i *Instance) keep(ctx context.Context, group string, d *elector.Duty) error {
+func (i *Instance) keep(ctx context.Context, group string, d *elector.Ownership) error {
 	b := i.backend(group)
-	k := &elector.Keeper{
+	k := &elector.Supervisor{
 		Group: b.Group, Clock: i.Clock, Codec: i.Platform.MemberCodec,
 		Members: func() []tracker.Member {
 			i.mutex.Lock()
@@ -353,14 +353,14 @@
 		Connect: func(ctx context.Context, m tracker.Member) (*lender.Conn, error) {
 			return lender.Connect(ctx, i.Network, i.Platform.MemberCodec, m, i.Settings.Name)
 		},
-		Holds: d.Holds, Fence: d.Fence, Facts: d.Facts, Spend: d.Spend,
+		Holds: d.Holds, NextFencingToken: d.NextFencingToken, State: d.State, MarkPromotionUnanswered: d.MarkPromotionUnanswered,
 		Promote: i.Platform.Promote, Refused: i.Platform.PromoteRefused,
-		Synchronous: func() int {
+		SynchronousReplicas: func() int {
 			c := i.configuration.Load()
 			return c.Groups[group].SyncReplicas
 		},
-		Connections: func() int { return i.configuration.Load().Groups[group].Connections },
-		Booted:      i.booted, Changed: b.Pool.Changed,
+		ConnectionLimit: func() int { return i.configuration.Load().Groups[group].Connections },
+		ProcessStart:    i.booted, PrimaryChanged: b.Pool.MembersChanged,
 		Log: i.Journal.Kind("duty").Log,
 	}
 	return k.Run(ctx)
--- a/internal/launcher/launcher_test.go
+++ b/internal/launcher/launcher_test.go
@@ -33,8 +33,8 @@
 // routes are there in every version; added is in some.
 var (
 	routes = []tracker.Route{
-		{Database: "strict", Group: "g", Rule: tracker.RulePrimary, Timeout: time.Second, Aim: 400 * time.Millisecond},
-		{Database: "own", Group: "g", Rule: tracker.RuleOwnWrites, Timeout: time.Second, Aim: 800 * time.Millisecond, Staleness: 2500 * time.Millisecond},
+		{Database: "strict", Group: "g", Rule: tracker.RulePrimary, Timeout: time.Second, LatencyObjective: 400 * time.Millisecond},
+		{Database: "own", Group: "g", Rule: tracker.RuleReadYourWrites, Timeout: time.Second, LatencyObjective: 800 * time.Millisecond, Staleness: 2500 * time.Millisecond},
 	}
 	added = tracker.Route{Database: "added", Group: "g", Rule: tracker.RulePrimary, Timeout: time.Second}
 )
@@ -204,7 +204,7 @@
 	journal := journaler.New(&f.log)
 	begin := time.Now().Add(-time.Hour)
 	x := &launcher.Instance{
-		Settings: s, Network: i.host, Journal: journal, Clock: func() tracker.Stamp { return time.Since(begin) }, Leave: i.leave,
+		Settings: s, Network: i.host, Journal: journal, Clock: func() tracker.Timestamp { return time.Since(begin) }, Leave: i.leave,
 		Reload: i.reload, Reread: i.reread,
 		Platform: launcher.Platform{
 			Store: store, Promote: promotions.Promote, PromoteRefused: func(err error) bool { return errors.Is(err, platform.ErrRefused) },
@@ -360,7 +360,7 @@
 			i := f.start("10.5.0.1", "a")
 			time.Sleep(3 * time.Second)
 			f.configure(added)
-			f.store.Forget()
+			f.store.Compact()
 			time.Sleep(time.Second)
 			must.Eq(t, "none I", f.call(i, "added")("FETCH k"))
 		})
--- a/internal/launcher/limits.go
+++ b/internal/launcher/limits.go
@@ -24,11 +24,11 @@
 type cached[T any] struct {
 	mutex sync.Mutex
 	value T
-	at    tracker.Stamp
+	at    tracker.Timestamp
 }
 
 // get returns the value, made anew when it is older than lasts.
-func (c *cached[T]) get(now tracker.Stamp, lasts time.Duration, compute func() T) T {
+func (c *cached[T]) get(now tracker.Timestamp, lasts time.Duration, compute func() T) T {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.at == 0 || now-c.at > lasts {
@@ -42,15 +42,15 @@
 	run := uint64(time.Now().UnixNano())
 	return (&accountant.Accountant{
 		Meter: &limiter.Meter{
-			Instance: i.Settings.Peers, Run: run,
-			Instances: func() int { return max(1, len(lenders())) },
-			Lends:     func() bool { return slices.Contains(lenders(), i.Settings.Peers) },
+			Instance: i.Settings.Peers, Incarnation: run,
+			Instances:      func() int { return max(1, len(lenders())) },
+			ReportExpected: func() bool { return slices.Contains(lenders(), i.Settings.Peers) },
 		},
-		Ledger: &limiter.Ledger{Tolerance: i.Settings.Limits, Run: run, Expected: lenders},
+		Ledger: &limiter.Ledger{Tolerance: i.Settings.Limits, Incarnation: run, ExpectedInstances: lenders},
 		Links:  n.client, Clock: i.Clock, Limit: i.limit, Active: i.tellsApart, Limits: i.limits, Log: i.Journal.Kind("limits").Log,
-		Keeper: func() (string, bool) { return i.keepsAccounts(n) },
-		Failed: func(address string) { n.teller.Introducer.Failed(i.Clock(), address) },
-	}).Open()
+		CurrentAccountant: func() (string, bool) { return i.keepsAccounts(n) },
+		NoteFailed:        func(address string) { n.teller.Discoverer.RecordFailure(i.Clock(), address) },
+	}).Init()
 }
 
 // noteCustomers logs which customers a version adds, takes away or changes. The first version
@@ -63,13 +63,13 @@
 	}
 	old := before.Customers
 	for c := range now.Customers.All {
-		o := old.Customer(c.Name)
+		o := old.ByName(c.Name)
 		if o == nil || o.Limit != c.Limit || len(o.Keys) != len(c.Keys) {
 			i.belief.Log("event", "customer", "customer", c.Name, "version", now.Version, "per-second", c.Limit.PerSecond, "burst", c.Limit.Burst, "keys", len(c.Keys), "new", o == nil)
 		}
 	}
 	for c := range old.All {
-		if now.Customers.Customer(c.Name) == nil {
+		if now.Customers.ByName(c.Name) == nil {
 			i.belief.Log("event", "customer-gone", "customer", c.Name, "version", now.Version)
 		}
 	}
@@ -100,7 +100,7 @@
 	if c == nil {
 		return identifier.Limit{}
 	}
-	x := c.Customers.Customer(customer)
+	x := c.Customers.ByName(customer)
 	if x == nil {
 		return identifier.Limit{}
 	}
@@ -111,7 +111,7 @@
 // the instances that may live, larger ones more likely. Nothing has to be agreed on: whoever
 // takes another for the accountant has its part of the limits there.
 func (i *Instance) keepsAccounts(n *neighbours) (address string, self bool) {
-	first := n.carrier.First(accountsKey, n.teller.Introducer.All(i.Clock()))
+	first := n.carrier.PreferredInstance(accountsKey, n.teller.Discoverer.AllAvailable(i.Clock()))
 	if first.Name == i.Settings.Name {
 		return "", true
 	}
@@ -130,11 +130,11 @@
 			}
 		}
 		i.mutex.Unlock()
-		if list := n.carrier.Lenders(members); len(list) > 0 {
+		if list := n.carrier.MemberHolders(members); len(list) > 0 {
 			return list
 		}
 		var all []string
-		for _, p := range n.teller.Introducer.Remembered() {
+		for _, p := range n.teller.Discoverer.AllKnown() {
 			all = append(all, p.Address)
 		}
 		return all
--- a/internal/launcher/limits_test.go
+++ b/internal/launcher/limits_test.go
@@ -140,7 +140,7 @@
 func TestCustomersPage(t *testing.T) {
 	playMany(t, 20, 10, func(f *fleet, all []*instance) {
 		f.send(all, 0, 60, 3*time.Second)
-		var lists [][]accountant.State
+		var lists [][]accountant.CustomerState
 		for _, i := range all {
 			list, err := accountant.DecodeStates([]byte(f.page(i, accountant.PathCustomers)))
 			must.NoError(t, err)
@@ -150,7 +150,7 @@
 		must.Len(t, 20, merged)
 		hot := merged[0]
 		must.Eq(t, "c0", hot.Customer)
-		must.True(t, hot.Kept)
+		must.True(t, hot.IsAccountant)
 		must.Eq(t, 1, hot.Keys)
 		must.Positive(t, hot.Refused)
 		must.Positive(t, hot.Connections)
--- a/internal/launcher/metrics.go
+++ b/internal/launcher/metrics.go
@@ -31,7 +31,7 @@
 
 var (
 	// ruleNames name the kinds of routes in metrics.
-	ruleNames = map[tracker.Rule]string{tracker.RulePrimary: "primary", tracker.RuleBounded: "bounded", tracker.RuleOwnWrites: "own-writes"}
+	ruleNames = map[tracker.Rule]string{tracker.RulePrimary: "primary", tracker.RuleBounded: "bounded", tracker.RuleReadYourWrites: "own-writes"}
 
 	// latencyBuckets go from a read beside the instance, 10 ms, to a statement's longest
 	// timeout, 3 s.
@@ -107,7 +107,7 @@
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	for _, b := range i.backends {
-		open, _, w, _ := b.Pool.Load()
+		open, _, w, _ := b.Pool.Stats()
 		held += int64(open)
 		waiting += int64(w)
 	}
--- a/internal/launcher/neighbours.go
+++ b/internal/launcher/neighbours.go
@@ -6,21 +6,21 @@
 
 	"github.com/go-kit/log"
 	"github.com/oriolegw/oriolegw/internal/accountant"
-	"github.com/oriolegw/oriolegw/internal/carrier"
+	"github.com/oriolegw/oriolegw/internal/discoverer"
 	"github.com/oriolegw/oriolegw/internal/elector"
-	"github.com/oriolegw/oriolegw/internal/introducer"
+	"github.com/oriolegw/oriolegw/internal/exchanger"
+	"github.com/oriolegw/oriolegw/internal/forwarder"
 	"github.com/oriolegw/oriolegw/internal/lender"
 	"github.com/oriolegw/oriolegw/internal/linker"
 	"github.com/oriolegw/oriolegw/internal/ranker"
-	"github.com/oriolegw/oriolegw/internal/teller"
 )
 
 // neighbours is what connects an instance with the others.
 type neighbours struct {
 	client  *linker.Client
 	server  *linker.Server
-	teller  *teller.Teller
-	carrier *carrier.Carrier
+	teller  *exchanger.Exchanger
+	carrier *forwarder.Forwarder
 	// accountant keeps customers to their limits.
 	accountant *accountant.Accountant
 	// lenders are the instances that lend connections beside members.
@@ -35,20 +35,20 @@
 	})
 	secrets := i.fleetKey()
 	n := &neighbours{client: &linker.Client{Network: i.Network, Secrets: secrets, Versions: linker.CurrentVersions}}
-	n.teller = &teller.Teller{
-		Introducer: &introducer.Introducer{
-			Self:  introducer.Peer{Name: i.Settings.Name, Address: i.Settings.Peers, Zone: i.Settings.Zone, Millicores: int(i.Settings.Cores * 1000)},
-			Seeds: i.Settings.Seeds, Near: i.near,
+	n.teller = &exchanger.Exchanger{
+		Discoverer: &discoverer.Discoverer{
+			Self:  discoverer.Peer{Name: i.Settings.Name, Address: i.Settings.Peers, Zone: i.Settings.Zone, Millicores: int(i.Settings.Cores * 1000)},
+			Seeds: i.Settings.Seeds, SameRegion: i.near,
 		},
-		Links: n.client, Clock: i.Clock, Known: i.watch.Known, Reads: i.watch.Reads, Store: i.Platform.Store, Log: kind.Log,
+		Links: n.client, Clock: i.Clock, StoreState: i.watch.State, IsReader: i.watch.IsReader, Store: i.Platform.Store, Log: kind.Log,
 	}
-	n.carrier = &carrier.Carrier{
-		Introducer: n.teller.Introducer, Links: n.client, Codec: i.Platform.MemberCodec, Clock: i.Clock,
-		Pool: i.poolOf, Connections: i.connections, Customers: i.customers, Zones: len(i.Settings.Regions), Leaving: i.leaving.Load, Log: kind.Log,
+	n.carrier = &forwarder.Forwarder{
+		Discoverer: n.teller.Discoverer, Links: n.client, Codec: i.Platform.MemberCodec, Clock: i.Clock,
+		Pool: i.poolOf, Connections: i.connections, Customers: i.customers, Zones: len(i.Settings.Regions), Draining: i.leaving.Load, Log: kind.Log,
 	}
 	n.accountant = i.openAccountant(n)
-	n.teller.Lend, n.teller.Account = n.carrier.Lend, n.accountant.Answer
-	n.teller.Proofs, n.teller.Prove = i.proofs, i.heardProof
+	n.teller.Lend, n.teller.Account = n.carrier.ServeLoans, n.accountant.HandleReport
+	n.teller.Proofs, n.teller.AddProof = i.proofs, i.heardProof
 	n.server = &linker.Server{
 		Address: i.Settings.Peers, Network: i.Network, Secrets: secrets, Versions: linker.CurrentVersions,
 		Log:      logger,
@@ -62,11 +62,11 @@
 // rendezvous hashing: each group has its own order, so duties spread. The last holder goes
 // last, since it has just died or been cut off.
 func (n *neighbours) turn(group, last string) int {
-	self := n.teller.Introducer.Self
-	list := append(n.teller.Introducer.Peers(n.teller.Clock()), self)
-	list = ranker.Rank(elector.DutyPrefix+group, list, func(p introducer.Peer) string { return p.Name })
+	self := n.teller.Discoverer.Self
+	list := append(n.teller.Discoverer.Peers(n.teller.Clock()), self)
+	list = ranker.Rank(elector.OwnershipPrefix+group, list, func(p discoverer.Peer) string { return p.Name })
 	at := func(name string) int {
-		return slices.IndexFunc(list, func(p introducer.Peer) bool { return p.Name == name })
+		return slices.IndexFunc(list, func(p discoverer.Peer) bool { return p.Name == name })
 	}
 	turn, holder := at(self.Name), -1
 	if i := strings.LastIndex(last, lifeSeparator); i > 0 {
@@ -96,26 +96,26 @@
 }
 
 // proofs returns what primaries have proved to this instance a short time ago.
-func (i *Instance) proofs() []teller.GroupProof {
+func (i *Instance) proofs() []exchanger.GroupProof {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	var list []teller.GroupProof
+	var list []exchanger.GroupProof
 	now := i.Clock()
 	for name, b := range i.backends {
-		if p, ok := b.Group.FromPrimary(); ok && now-p.At < toldFor {
-			list = append(list, teller.GroupProof{Group: name, Proof: p})
+		if p, ok := b.Group.NewestPrimaryProof(); ok && now-p.At < toldFor {
+			list = append(list, exchanger.GroupProof{Group: name, FreshnessProof: p})
 		}
 	}
 	return list
 }
 
 // heardProof takes in what a primary has proved to another instance.
-func (i *Instance) heardProof(p teller.GroupProof) {
+func (i *Instance) heardProof(p exchanger.GroupProof) {
 	i.mutex.Lock()
 	b := i.backends[p.Group]
 	i.mutex.Unlock()
 	if b != nil {
-		b.hear(p.Proof)
+		b.hear(p.FreshnessProof)
 	}
 }
 
@@ -142,12 +142,12 @@
 	if i.peers == nil {
 		return 0
 	}
-	return i.peers.carrier.Lent()
+	return i.peers.carrier.LentCount()
 }
 
 // fleetKey is what instances prove to each other. The platform gives them no secret, so it
 // only keeps instances of two fleets from taking each other for peers by mistake: whoever
 // can reach the port can learn the store's address as well.
 func (i *Instance) fleetKey() []linker.Secret {
-	return []linker.Secret{{Number: 1, Value: []byte(i.Settings.Store)}}
+	return []linker.Secret{{KeyNumber: 1, Value: []byte(i.Settings.Store)}}
 }
--- a/internal/launcher/signals.go
+++ b/internal/launcher/signals.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/oriolegw/oriolegw/internal/loader"
-	"github.com/oriolegw/oriolegw/internal/pauser"
+	"github.com/oriolegw/oriolegw/internal/sleeper"
 )
 
 // This file does what the process is told by signals: to read its settings again, and to end.
@@ -43,7 +43,7 @@
 	told := time.Now()
 	grace := i.Settings.Shutdown
 	wait := func(until time.Duration) {
-		for time.Since(told) < until && pauser.Pause(ctx, endPoll) == nil {
+		for time.Since(told) < until && sleeper.Sleep(ctx, endPoll) == nil {
 			if time.Since(told) > rotationTime && i.server.Sessions() == 0 && i.lent() == 0 {
 				return
 			}
--- a/internal/launcher/soak_test.go
+++ b/internal/launcher/soak_test.go
@@ -122,13 +122,13 @@
 		return func() { s.store.SetFaults(func(f *storer.Faults) { f.Down = false }) }
 	}},
 	{"store slow", func(s *soak) func() {
-		s.store.SetFaults(func(f *storer.Faults) { f.Slow = 250 * time.Millisecond })
-		return func() { s.store.SetFaults(func(f *storer.Faults) { f.Slow = 0 }) }
+		s.store.SetFaults(func(f *storer.Faults) { f.Latency = 250 * time.Millisecond })
+		return func() { s.store.SetFaults(func(f *storer.Faults) { f.Latency = 0 }) }
 	}},
 	{"store's answers lost, history and leases gone", func(s *soak) func() {
-		s.store.SetFaults(func(f *storer.Faults) { f.LoseAnswers = 2 })
-		s.store.Forget()
-		s.store.Lapse()
+		s.store.SetFaults(func(f *storer.Faults) { f.LoseResponses = 2 })
+		s.store.Compact()
+		s.store.ExpireLeases()
 		return func() {}
 	}},
 	{"configuration changes", func(s *soak) func() {
--- a/internal/lender/conn.go
+++ b/internal/lender/conn.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "dial member")
 	}
-	c := &Conn{Member: m.ID, Born: m.Born, net: raw, codec: codec, replies: codec.Replies(raw), prepared: map[Prepared]string{}}
+	c := &Conn{Member: m.ID, Born: m.StartTime, net: raw, codec: codec, replies: codec.Replies(raw), prepared: map[Prepared]string{}}
 	if deadline, ok := ctx.Deadline(); ok {
 		_ = raw.SetDeadline(deadline)
 	}
@@ -126,10 +126,10 @@
 	c.Close()
 }
 
-// Fit returns the commands that establish a session's values and, if needed, its prepared
+// SessionCommands returns the commands that establish a session's values and, if needed, its prepared
 // statement, and the statement's name on the connection. Inside a transaction, if open is set,
 // state is only added: Fit was called before it began.
-func (c *Conn) Fit(values Values, need *Prepared, open bool) ([]messenger.Command, string) {
+func (c *Conn) SessionCommands(values Values, need *Prepared, open bool) ([]messenger.Command, string) {
 	var commands []messenger.Command
 	if !open && c.needsReset(values, need) {
 		c.values = nil
@@ -169,15 +169,15 @@
 	return need != nil && c.prepared[*need] == "" && len(c.prepared) >= maxPreparedStatements
 }
 
-// Forget drops the record of the connection's state after the member reported an unknown prepared
-// statement; the next Fit establishes it again.
-func (c *Conn) Forget() {
+// ForgetState drops the record of the connection's state after the member reported an unknown prepared
+// statement; the next SessionCommands establishes it again.
+func (c *Conn) ForgetState() {
 	c.values = Values{"": ""}
 	clear(c.prepared)
 }
 
 // Exchange sends commands in one write and reads their replies until the deadline. After a
-// timeout, Finish can read the rest; after any other error the connection is unusable. sent is
+// timeout, ReadRemaining can read the rest; after any other error the connection is unusable. sent is
 // false if no byte can have been sent.
 func (c *Conn) Exchange(commands []messenger.Command, deadline time.Time) (replies []messenger.Reply, sent bool, err error) {
 	c.buffer = c.buffer[:0]
@@ -194,8 +194,8 @@
 	return replies, true, err
 }
 
-// Finish reads the replies that are outstanding after a timeout.
-func (c *Conn) Finish(deadline time.Time) error {
+// ReadRemaining reads the replies that are outstanding after a timeout.
+func (c *Conn) ReadRemaining(deadline time.Time) error {
 	_, err := c.read(deadline)
 	return err
 }
--- a/internal/lender/evict.go
+++ b/internal/lender/evict.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/oriolegw/oriolegw/internal/fairer"
 	"github.com/oriolegw/oriolegw/internal/identifier"
+	"github.com/oriolegw/oriolegw/internal/scheduler"
 )
 
 // Idle connections of groups with customers, where each connection serves one customer: a member
@@ -145,7 +145,7 @@
 	if p.customers == nil {
 		return
 	}
-	maps.DeleteFunc(p.flows, func(customer string, _ *fairer.Flow) bool { return !p.known(customer) })
+	maps.DeleteFunc(p.flows, func(customer string, _ *scheduler.Flow) bool { return !p.known(customer) })
 	for _, m := range p.members {
 		for i := len(m.idle) - 1; i >= 0; i-- {
 			if !p.known(m.idle[i].Customer) {
@@ -159,14 +159,14 @@
 func (p *Pool) limited(customer string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	c := p.customers.Customer(customer)
+	c := p.customers.ByName(customer)
 	return c != nil && c.Limit.Limited()
 }
 
 // known reports whether connections may be opened for a customer: a configured one, or an
 // anonymous one.
 func (p *Pool) known(customer string) bool {
-	return customer == "" || customer == identifier.Anonymous || p.customers.Customer(customer) != nil
+	return customer == "" || customer == identifier.Anonymous || p.customers.ByName(customer) != nil
 }
 
 // addCount changes a count and deletes it when it reaches 0.
--- a/internal/lender/evict_test.go
+++ b/internal/lender/evict_test.go
@@ -30,12 +30,12 @@
 
 // runCustomerStatement runs a statement of a customer with a session value.
 func runCustomerStatement(ctx context.Context, p *lender.Pool, customer, value, text string) (string, error) {
-	c, err := p.Borrow(ctx, lender.Request{Choose: primary, Customer: customer, Until: time.Now().Add(5 * time.Second)})
+	c, err := p.Borrow(ctx, lender.Request{EligibleMembers: primary, Customer: customer, Deadline: time.Now().Add(5 * time.Second)})
 	if err != nil {
 		return "", err
 	}
 	defer p.Return(c)
-	commands, _ := c.Fit(lender.Values{"who": value}, nil, false)
+	commands, _ := c.SessionCommands(lender.Values{"who": value}, nil, false)
 	commands = append(commands, messenger.Command{ID: "x", Kind: messenger.KindRead, Text: text})
 	replies, _, err := c.Exchange(commands, time.Now().Add(time.Second))
 	if err != nil {
@@ -100,7 +100,7 @@
 				n = 8 + random.IntN(32)
 			}
 			if i == 100 {
-				_, _, _, before = p.Load()
+				_, _, _, before = p.Stats()
 			}
 			if i >= 100 {
 				statements++
@@ -108,7 +108,7 @@
 			_, err := runCustomerStatement(t.Context(), p, name(n), "v", "FETCH k")
 			must.NoError(t, err)
 		}
-		_, _, _, opened := p.Load()
+		_, _, _, opened := p.Stats()
 		must.Less(t, 0.35, float64(opened-before)/float64(statements))
 	})
 }
@@ -118,13 +118,13 @@
 	runPools(t, 16, 1, func(t *testing.T, s *testGroup) {
 		p := s.pools[0]
 		p.Configure(16, directory(3))
-		_, before, _, _ := p.Load()
+		_, before, _, _ := p.Stats()
 		_, err := runCustomerStatement(t.Context(), p, name(2), "v", "FETCH k")
 		must.NoError(t, err)
-		_, idle, _, _ := p.Load()
+		_, idle, _, _ := p.Stats()
 		must.Eq(t, before+1, idle)
 		p.Configure(16, directory(2))
-		_, idle, _, _ = p.Load()
+		_, idle, _, _ = p.Stats()
 		must.Eq(t, before, idle)
 	})
 }
@@ -165,7 +165,7 @@
 				for time.Now().Before(until) {
 					time.Sleep(time.Duration(500+random.IntN(500)) * time.Millisecond)
 					begin := time.Now()
-					c, err := p.Borrow(t.Context(), lender.Request{Choose: primary, Customer: name(n + 1), Until: begin.Add(5 * time.Second)})
+					c, err := p.Borrow(t.Context(), lender.Request{EligibleMembers: primary, Customer: name(n + 1), Deadline: begin.Add(5 * time.Second)})
 					must.NoError(t, err)
 					took := time.Since(begin)
 					p.Return(c)
--- a/internal/lender/idle.go
+++ b/internal/lender/idle.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/oriolegw/oriolegw/internal/messenger"
-	"github.com/oriolegw/oriolegw/internal/pacer"
+	"github.com/oriolegw/oriolegw/internal/throttler"
 )
 
 const (
@@ -38,8 +38,8 @@
 	fullMemberPeriod = 5 * time.Second
 )
 
-// Tend closes spare idle connections and opens the first connection to each member.
-func (p *Pool) Tend(now time.Time) {
+// Maintain closes spare idle connections and opens the first connection to each member.
+func (p *Pool) Maintain(now time.Time) {
 	ids := p.Group.IDs()
 	own := slices.DeleteFunc(slices.Clone(ids), p.heldElsewhere)
 	p.mutex.Lock()
@@ -96,14 +96,14 @@
 		c.Close()
 	}
 	m.idle = nil
-	m.born, m.pace, m.lastFull = born, pacer.Pacer{}, time.Time{}
+	m.born, m.pace, m.lastFull = born, throttler.Throttler{}, time.Time{}
 	m.backoff, m.retryAt, m.lastUsed, m.capacityCheckedAt = 0, time.Time{}, time.Time{}, time.Time{}
 	m.noResponse, m.timeouts = false, 0
 }
 
-// Scarce reports whether a member refused a connection recently because it had too many, or
+// ConnectionsScarce reports whether a member refused a connection recently because it had too many, or
 // another instance holds its connections.
-func (p *Pool) Scarce(member string) bool {
+func (p *Pool) ConnectionsScarce(member string) bool {
 	if p.heldElsewhere(member) {
 		return true
 	}
--- a/internal/lender/idle_test.go
+++ b/internal/lender/idle_test.go
@@ -55,11 +55,11 @@
 // exchange has passed, which would open a connection for each caller.
 func TestExpiredDeadlineKeepsIdleConnection(t *testing.T) {
 	address, taken := startEchoMember(t)
-	g := &tracker.Group{Name: "g", Zone: "a", Near: func(string) bool { return true }}
-	g.Members([]tracker.Member{{ID: "g-1", Group: "g", Address: address, Zone: "a", Slots: 3}})
+	g := &tracker.Group{Name: "g", Zone: "a", SameRegion: func(string) bool { return true }}
+	g.SetMembers([]tracker.Member{{ID: "g-1", Group: "g", Address: address, Zone: "a", Slots: 3}})
 	p := &lender.Pool{
-		Group: g, Network: networker.TCP{}, Codec: platform.Lines{}, Who: "test",
-		Clock: func() tracker.Stamp { return time.Hour },
+		Group: g, Network: networker.TCP{}, Codec: platform.Lines{}, ClientName: "test",
+		Clock: func() tracker.Timestamp { return time.Hour },
 	}
 	// Run is not called: it would close connections that idle for too long.
 	c, err := lender.Connect(t.Context(), networker.TCP{}, platform.Lines{}, tracker.Member{ID: "g-1", Group: "g", Address: address}, "test")
@@ -71,7 +71,7 @@
 	p.Return(c)
 	time.Sleep(time.Until(deadline) + time.Millisecond)
 
-	again, err := p.Borrow(t.Context(), lender.Request{Choose: primary, Until: time.Now().Add(time.Second)})
+	again, err := p.Borrow(t.Context(), lender.Request{EligibleMembers: primary, Deadline: time.Now().Add(time.Second)})
 	must.NoError(t, err)
 	must.Eq(t, c, again)
 	must.Eq(t, 0, len(taken))
--- a/internal/lender/lend.go
+++ b/internal/lender/lend.go
@@ -10,7 +10,7 @@
 func (p *Pool) takeIdle(ids []string, r *Request) *Conn {
 	for _, id := range ids {
 		m := p.members[id]
-		if m == nil || !r.Question && m.pace.Wait(time.Now()) > 0 || !p.hasCapacityFor(m, r) {
+		if m == nil || !r.StatusQuery && m.pace.Delay(time.Now()) > 0 || !p.hasCapacityFor(m, r) {
 			continue
 		}
 		for i := len(m.idle) - 1; i >= 0; i-- {
@@ -30,14 +30,14 @@
 }
 
 // usableFor reports whether a request may use the connection. A status query may use any.
-func (c *Conn) usableFor(r *Request) bool { return r.Question || c.Customer == r.Customer }
+func (c *Conn) usableFor(r *Request) bool { return r.StatusQuery || c.Customer == r.Customer }
 
 // discardBroken closes an idle connection that the member or the network has closed.
 func (p *Pool) discardBroken(m *memberPool, c *Conn) {
 	m.open--
 	c.Close()
-	if p.NoteLost != nil {
-		p.NoteLost(c.Member, time.Since(c.idleSince))
+	if p.NoteBroken != nil {
+		p.NoteBroken(c.Member, time.Since(c.idleSince))
 	}
 }
 
@@ -76,9 +76,9 @@
 		p.serveWaiting()
 		return
 	}
-	capacity := m.pace.Wait(time.Now()) == 0
+	capacity := m.pace.Delay(time.Now()) == 0
 	for i, w := range p.waiting {
-		if (capacity || w.Question) && c.usableFor(&w.Request) && slices.Contains(p.choose(&w.Request), c.Member) {
+		if (capacity || w.StatusQuery) && c.usableFor(&w.Request) && slices.Contains(p.choose(&w.Request), c.Member) {
 			p.waiting = slices.Delete(p.waiting, i, i+1)
 			m.markLent(c, &w.Request, p.NoteLent)
 			w.local <- c
@@ -94,21 +94,21 @@
 	c.lentAt = time.Now()
 	m.lastUsed = c.lentAt
 	addCount(&m.lentByCustomer, c.Customer, 1)
-	c.forTransaction, c.forStatement = r.Long, !r.Long && !r.Question
+	c.forTransaction, c.forStatement = r.Transaction, !r.Transaction && !r.StatusQuery
 	switch {
 	case c.forTransaction:
 		addCount(&m.longLoansByCustomer, c.Customer, 1)
 	case c.forStatement:
 		m.shortLoans++
 	}
-	if !r.Question {
+	if !r.StatusQuery {
 		if noteLent != nil {
 			noteLent(c.fresh)
 		}
 		c.fresh = false
 		c.lastUsed = c.lentAt
 		m.usage.add(c.lentAt, c.Customer)
-		m.pace.Sent(c.lentAt)
+		m.pace.RecordSend(c.lentAt)
 	}
 }
 
@@ -131,7 +131,7 @@
 		ids := p.choose(&w.Request)
 		if c := p.takeIdle(ids, &w.Request); c != nil {
 			p.waiting = slices.Delete(p.waiting, i, i+1)
-			p.fairQueue.Reach(w.virtualStart)
+			p.fairQueue.AdvanceTo(w.virtualStart)
 			w.local <- c
 			continue
 		}
--- a/internal/lender/lender_test.go
+++ b/internal/lender/lender_test.go
@@ -52,14 +52,14 @@
 		var running sync.WaitGroup
 		begin := time.Now()
 		for i := range n {
-			g := &tracker.Group{Name: "g", Zone: "a", Near: func(zone string) bool { return zone == "a" }}
-			g.Members(s.group.Registered())
+			g := &tracker.Group{Name: "g", Zone: "a", SameRegion: func(zone string) bool { return zone == "a" }}
+			g.SetMembers(s.group.Registered())
 			p := &lender.Pool{
 				Group: g, Network: s.net.Host(fmt.Sprintf("10.8.0.%d", i+1), "a"), Codec: platform.Lines{},
-				Who: "test", Clock: func() tracker.Stamp { return time.Since(begin) + time.Hour },
+				ClientName: "test", Clock: func() tracker.Timestamp { return time.Since(begin) + time.Hour },
 			}
 			if sharers > 0 {
-				p.Sharers = func(string, string) int { return sharers }
+				p.HolderCount = func(string, string) int { return sharers }
 			}
 			p.Configure(connections, nil)
 			s.pools = append(s.pools, p)
@@ -81,20 +81,20 @@
 
 // runStatement borrows a connection to the primary, runs a statement on it and returns it.
 func runStatement(ctx context.Context, p *lender.Pool, priority int, timeout time.Duration) error {
-	c, err := p.Borrow(ctx, lender.Request{Choose: primary, Priority: priority, Until: time.Now().Add(timeout)})
+	c, err := p.Borrow(ctx, lender.Request{EligibleMembers: primary, Priority: priority, Deadline: time.Now().Add(timeout)})
 	if err != nil {
 		return err
 	}
-	p.Group.Sent(c.Member)
+	p.Group.RecordSend(c.Member)
 	sent := time.Now()
 	replies, _, err := c.Exchange([]messenger.Command{{ID: "x", Kind: messenger.KindRead, Text: "FETCH k"}}, sent.Add(time.Second))
 	if err == nil {
-		p.Group.Answered(p.Clock(), c.Member, time.Since(sent), replies[0].Position)
+		p.Group.RecordResponse(p.Clock(), c.Member, time.Since(sent), replies[0].Position)
 		if replies[0].Code == messenger.CodeBusy {
-			p.NoRoom(c.Member)
+			p.NoteOverloaded(c.Member)
 			err = errOverloaded
 		} else {
-			p.Room(c.Member)
+			p.NoteServed(c.Member)
 		}
 	}
 	p.Return(c)
@@ -141,7 +141,7 @@
 			waiting.Go(func() { _ = runStatement(t.Context(), s.pools[0], 1, time.Second) })
 		}
 		synctest.Wait()
-		must.ErrorIs(t, runStatement(t.Context(), s.pools[0], 1, 50*time.Millisecond), lender.ErrFull)
+		must.ErrorIs(t, runStatement(t.Context(), s.pools[0], 1, 50*time.Millisecond), lender.ErrNoConnection)
 		must.Eq(t, 0, time.Since(begin))
 		waiting.Wait()
 	})
@@ -154,14 +154,14 @@
 		var busy sync.WaitGroup
 		busy.Go(func() { runCallers(t, s.pools[0], 20, time.Second, 3*time.Second) })
 		time.Sleep(time.Second)
-		open, _, _, _ := s.pools[0].Load()
+		open, _, _, _ := s.pools[0].Stats()
 		must.Greater(t, 4, open) // an equal share of the primary's connections
 		must.NoError(t, runStatement(t.Context(), s.pools[1], 1, 100*time.Millisecond))
 		must.NoError(t, runStatement(t.Context(), s.pools[2], 1, 100*time.Millisecond))
 		busy.Wait()
 		time.Sleep(time.Second)
 		for _, p := range s.pools {
-			open, idle, _, _ := p.Load()
+			open, idle, _, _ := p.Stats()
 			must.LessEq(t, 3, open)
 			must.Eq(t, open, idle)
 		}
@@ -172,9 +172,9 @@
 func TestShortLoansOpenNoConnections(t *testing.T) {
 	runPools(t, 20, 1, func(t *testing.T, s *testGroup) {
 		must.NoError(t, runStatement(t.Context(), s.pools[0], 1, time.Second))
-		_, _, _, before := s.pools[0].Load()
+		_, _, _, before := s.pools[0].Stats()
 		runCallers(t, s.pools[0], 2, time.Second, 2*time.Second)
-		_, _, _, after := s.pools[0].Load()
+		_, _, _, after := s.pools[0].Stats()
 		must.Eq(t, before, after)
 	})
 }
@@ -249,9 +249,9 @@
 // Guards against openings without backoff to a member that is full.
 func TestBackoffAtFullMember(t *testing.T) {
 	runPools(t, 2, 3, func(t *testing.T, s *testGroup) {
-		_, _, _, before := s.pools[0].Load()
+		_, _, _, before := s.pools[0].Stats()
 		runCallers(t, s.pools[0], 20, 200*time.Millisecond, 5*time.Second)
-		_, _, _, after := s.pools[0].Load()
+		_, _, _, after := s.pools[0].Stats()
 		must.Less(t, 40, after-before)
 	})
 }
@@ -273,12 +273,12 @@
 // Guards against closing idle connections of rare callers while the member has capacity.
 func TestIdleConnectionKeptBelowCapacity(t *testing.T) {
 	runPools(t, 20, 3, func(t *testing.T, s *testGroup) {
-		_, _, _, before := s.pools[0].Load()
+		_, _, _, before := s.pools[0].Stats()
 		for range 4 {
 			time.Sleep(5 * time.Second)
 			must.NoError(t, runStatement(t.Context(), s.pools[0], 1, time.Second))
 		}
-		_, _, _, after := s.pools[0].Load()
+		_, _, _, after := s.pools[0].Stats()
 		must.Eq(t, before, after)
 	})
 }
@@ -288,7 +288,7 @@
 	runPools(t, 4, 3, func(t *testing.T, s *testGroup) {
 		time.Sleep(2 * time.Second)
 		for _, p := range s.pools {
-			open, _, _, _ := p.Load()
+			open, _, _, _ := p.Stats()
 			must.Less(t, 3, open) // one to each of three members when there is capacity
 		}
 	})
@@ -313,7 +313,7 @@
 			must.NoError(t, runStatement(t.Context(), p, 1, time.Second))
 		}
 		borrow := func() *lender.Conn {
-			c, err := p.Borrow(t.Context(), lender.Request{Choose: primary, Until: time.Now().Add(time.Second)})
+			c, err := p.Borrow(t.Context(), lender.Request{EligibleMembers: primary, Deadline: time.Now().Add(time.Second)})
 			must.NoError(t, err)
 			return c
 		}
@@ -322,10 +322,10 @@
 		s.net.Cut("10.8.0.1", "10.9.1.1")
 		s.group.Restart("g-1")
 		s.net.HealAll()
-		p.Group.Members(s.group.Registered())
-		p.Changed()
+		p.Group.SetMembers(s.group.Registered())
+		p.MembersChanged()
 		p.Return(lent)
-		open, idle, _, _ := p.Load()
+		open, idle, _, _ := p.Stats()
 		must.Eq(t, 2, idle) // to the replicas
 		must.Eq(t, 2, open)
 		must.NoError(t, runStatement(t.Context(), p, 1, time.Second))
@@ -339,11 +339,11 @@
 		runSharedPools(t, &liner.Group{Connections: connections}, 1, sharers, func(t *testing.T, s *testGroup) {
 			p := s.pools[0]
 			time.Sleep(time.Second)
-			_, _, _, before := p.Load()
+			_, _, _, before := p.Stats()
 			for range 20 {
 				var lent []*lender.Conn
 				for range 3 {
-					c, err := p.Borrow(t.Context(), lender.Request{Choose: primary, Until: time.Now().Add(time.Second)})
+					c, err := p.Borrow(t.Context(), lender.Request{EligibleMembers: primary, Deadline: time.Now().Add(time.Second)})
 					must.NoError(t, err)
 					lent = append(lent, c)
 				}
@@ -352,10 +352,10 @@
 				}
 				time.Sleep(500 * time.Millisecond)
 			}
-			_, _, _, after := p.Load()
+			_, _, _, after := p.Stats()
 			opened = after - before
 			time.Sleep(200 * time.Millisecond)
-			_, idle, _, _ = p.Load()
+			_, idle, _, _ = p.Stats()
 		})
 		return opened, idle
 	}
@@ -372,7 +372,7 @@
 		time.Sleep(time.Second)
 		before := len(s.group.Ran("g-1"))
 		for range 20 {
-			c, err := p.Borrow(t.Context(), lender.Request{Choose: primary, Until: time.Now().Add(time.Second)})
+			c, err := p.Borrow(t.Context(), lender.Request{EligibleMembers: primary, Deadline: time.Now().Add(time.Second)})
 			must.NoError(t, err)
 			p.Return(c)
 			time.Sleep(time.Second)
--- a/internal/lender/open.go
+++ b/internal/lender/open.go
@@ -53,7 +53,7 @@
 	}
 	// While statements queue at the member, another connection serves none sooner, and its opening
 	// occupies a slot.
-	if m.pace.Wait(time.Now()) > 0 || p.Group.Queued(id) {
+	if m.pace.Delay(time.Now()) > 0 || p.Group.IsQueueing(id) {
 		return false
 	}
 	if first && m.open+m.opening > 0 {
@@ -77,14 +77,14 @@
 func (p *Pool) open(ctx context.Context, member tracker.Member, customer string) {
 	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
-	c, err := Connect(ctx, p.Network, p.Codec, member, cmp.Or(customer, p.Who))
+	c, err := Connect(ctx, p.Network, p.Codec, member, cmp.Or(customer, p.ClientName))
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	m := p.member(member.ID)
 	m.opening--
 	addCount(&m.openingByCustomer, customer, -1)
-	if p.Note != nil {
-		p.Note(member.ID, err)
+	if p.NoteOpened != nil {
+		p.NoteOpened(member.ID, err)
 	}
 	if err == nil {
 		m.backoff, m.noResponse, m.timeouts = 0, false, 0
@@ -99,7 +99,7 @@
 		m.lastFull, maxPause = time.Now(), maxFullBackoff
 		p.evictIdle(m)
 	} else {
-		p.Group.Unanswered(p.Clock(), member.ID, false)
+		p.Group.RecordFailure(p.Clock(), member.ID, false)
 		m.noResponse = !errors.Is(err, syscall.ECONNREFUSED) && refused == nil
 	}
 	m.backoff = min(max(2*m.backoff, minBackoff), maxPause)
--- a/internal/lender/overload.go
+++ b/internal/lender/overload.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// NoRoom records that a member refused a statement because of overload: new work is paced or goes
+// NoteOverloaded records that a member refused a statement because of overload: new work is paced or goes
 // to other members.
-func (p *Pool) NoRoom(member string) {
+func (p *Pool) NoteOverloaded(member string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
 	m := p.member(member)
 	m.timeouts = 0
-	if m.pace.Free() && p.NoteRoom != nil {
-		p.NoteRoom(member, false)
+	if m.pace.Unlimited() && p.NotePacing != nil {
+		p.NotePacing(member, false)
 	}
-	m.pace.Refused(now)
+	m.pace.RecordRejection(now)
 	p.scheduleResume(m, now)
 }
 
-// scheduleResume serves the waiting requests when the member's pacer allows new work.
+// scheduleResume serves the waiting requests when the member's throttler allows new work.
 func (p *Pool) scheduleResume(m *memberPool, now time.Time) {
-	if wait := m.pace.Wait(now); wait > 0 && len(p.waiting) > 0 && m.resumeTimer == nil {
+	if wait := m.pace.Delay(now); wait > 0 && len(p.waiting) > 0 && m.resumeTimer == nil {
 		m.resumeTimer = time.AfterFunc(wait, func() { p.resume(m) })
 	}
 }
@@ -36,15 +36,15 @@
 	p.scheduleResume(m, time.Now())
 }
 
-// Room records that a member ran a statement.
-func (p *Pool) Room(member string) {
+// NoteServed records that a member ran a statement.
+func (p *Pool) NoteServed(member string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	m := p.member(member)
 	m.timeouts = 0
-	paced := !m.pace.Free()
-	m.pace.Served()
-	if paced && m.pace.Free() && p.NoteRoom != nil {
-		p.NoteRoom(member, true)
+	paced := !m.pace.Unlimited()
+	m.pace.RecordSuccess()
+	if paced && m.pace.Unlimited() && p.NotePacing != nil {
+		p.NotePacing(member, true)
 	}
 }
--- a/internal/lender/pool.go
+++ b/internal/lender/pool.go
@@ -7,17 +7,17 @@
 	"time"
 
 	"github.com/go-faster/errors"
-	"github.com/oriolegw/oriolegw/internal/fairer"
 	"github.com/oriolegw/oriolegw/internal/identifier"
 	"github.com/oriolegw/oriolegw/internal/messenger"
 	"github.com/oriolegw/oriolegw/internal/networker"
-	"github.com/oriolegw/oriolegw/internal/pacer"
+	"github.com/oriolegw/oriolegw/internal/scheduler"
+	"github.com/oriolegw/oriolegw/internal/throttler"
 	"github.com/oriolegw/oriolegw/internal/tracker"
 )
 
 const (
-	// TendInterval is the interval between calls of Tend.
-	TendInterval = 50 * time.Millisecond
+	// MaintenanceInterval is the interval between calls of Maintain.
+	MaintenanceInterval = 50 * time.Millisecond
 	// maxInstanceFraction is the fraction of a member's connections that one instance may hold, so
 	// that an instance with high load can't take all of them.
 	maxInstanceFraction = 0.5
@@ -27,19 +27,19 @@
 
 // Errors of Borrow.
 var (
-	// ErrFull means that no connection becomes available in time.
-	ErrFull = errors.New("no connection available in time")
-	// ErrNobody means that no member is eligible.
-	ErrNobody = errors.New("no eligible member")
-	// ErrLocal is returned by Pool.Central if the instance must use its own connections.
-	ErrLocal = errors.New("the instance's own connections must be used")
+	// ErrNoConnection means that no connection becomes available in time.
+	ErrNoConnection = errors.New("no connection available in time")
+	// ErrNoMember means that no member is eligible.
+	ErrNoMember = errors.New("no eligible member")
+	// ErrUseLocal is returned by Pool.BorrowFromHolder if the instance must use its own connections.
+	ErrUseLocal = errors.New("the instance's own connections must be used")
 )
 
 // LimitError rejects an operation of a customer that is over its rate limit.
 type LimitError struct {
 	Customer string
-	// Again is the delay after which the caller may retry.
-	Again time.Duration
+	// RetryAfter is the delay after which the caller may retry.
+	RetryAfter time.Duration
 }
 
 // Error implements error.
@@ -48,25 +48,25 @@
 type (
 	// Request asks for a connection.
 	Request struct {
-		// Choose returns the eligible members, best first. It is called again when the state of
+		// EligibleMembers returns the eligible members, best first. It is called again when the state of
 		// the members has changed while the request waits.
-		Choose func() []string
+		EligibleMembers func() []string
 		// Customer is the customer that the connection must have been opened for, "" without
 		// customers.
 		Customer string
 		// Priority orders waiting requests; 0 goes first.
 		Priority int
-		// Until is the deadline of the wait.
-		Until time.Time
-		// Question is set for a status query of the instance itself. It costs the member little
+		// Deadline is the deadline of the wait.
+		Deadline time.Time
+		// StatusQuery is set for a status query of the instance itself. It costs the member little
 		// and is sent to overloaded members, too.
-		Question bool
-		// Long is set for a transaction, which keeps its connection until the caller ends it.
-		Long bool
-		// Counts is set for a new operation that counts against the customer's rate limit.
-		Counts bool
-		// Own requires a connection that this instance holds itself.
-		Own bool
+		StatusQuery bool
+		// Transaction is set for a transaction, which keeps its connection until the caller ends it.
+		Transaction bool
+		// RateLimited is set for a new operation that counts against the customer's rate limit.
+		RateLimited bool
+		// LocalOnly requires a connection that this instance holds itself.
+		LocalOnly bool
 	}
 
 	// Pool lends the connections of one group. Set the exported fields, then call Run; Borrow and
@@ -75,34 +75,34 @@
 		Group   *tracker.Group
 		Network networker.Network
 		Codec   messenger.MemberCodec
-		// Who is the name of this instance in connection starts.
-		Who string
+		// ClientName is the name of this instance in connection starts.
+		ClientName string
 		// Clock returns the current time for Group.
-		Clock func() tracker.Stamp
-		// Sharers, when set, returns how many instances hold connections to a member.
-		Sharers func(group, member string) int
-		// Carry, when set, borrows a connection through another instance.
-		Carry func(ctx context.Context, group string, members []string, r Request) (*Conn, error)
-		// Central, when set, borrows from the instance that holds the connections to the group's
+		Clock func() tracker.Timestamp
+		// HolderCount, when set, returns how many instances hold connections to a member.
+		HolderCount func(group, member string) int
+		// BorrowRemote, when set, borrows a connection through another instance.
+		BorrowRemote func(ctx context.Context, group string, members []string, r Request) (*Conn, error)
+		// BorrowFromHolder, when set, borrows from the instance that holds the connections to the group's
 		// members for others. Elsewhere reports whether another instance holds those to a member.
-		Central   func(ctx context.Context, group string, r Request) (*Conn, error)
-		Elsewhere func(group, member string) bool
+		BorrowFromHolder func(ctx context.Context, group string, r Request) (*Conn, error)
+		HeldElsewhere    func(group, member string) bool
 		// Admit, when set, decides whether a new operation of a customer may run on one of this
-		// instance's connections; Undo takes back an admitted operation that has not run.
-		Admit func(ctx context.Context, customer string) error
-		Undo  func(customer string)
+		// instance's connections; UndoAdmit takes back an admitted operation that has not run.
+		Admit     func(ctx context.Context, customer string) error
+		UndoAdmit func(customer string)
 		// NoteLent, when set, is called for each connection lent to a caller, with whether it was
 		// newly opened.
 		NoteLent func(opened bool)
-		// Note, when set, is called with the result of each opening.
-		Note func(member string, err error)
-		// Tended is set if the owner calls Tend instead of Run, for many pools at once.
-		Tended bool
-		// NoteLost, when set, is called for each idle connection found broken, with its idle time.
-		NoteLost func(member string, idle time.Duration)
-		// NoteRoom, when set, is called with false when new work to a member starts to be paced
+		// NoteOpened, when set, is called with the result of each opening.
+		NoteOpened func(member string, err error)
+		// MaintainedByOwner is set if the owner calls Maintain instead of Run, for many pools at once.
+		MaintainedByOwner bool
+		// NoteBroken, when set, is called for each idle connection found broken, with its idle time.
+		NoteBroken func(member string, idle time.Duration)
+		// NotePacing, when set, is called with false when new work to a member starts to be paced
 		// because the member is overloaded, and with true when pacing ends.
-		NoteRoom func(member string, hasCapacity bool)
+		NotePacing func(member string, hasCapacity bool)
 
 		mutex sync.Mutex
 		// memberConnections is how many connections a member accepts from all instances,
@@ -116,8 +116,8 @@
 		ctx         context.Context
 		closed      bool
 		// fairQueue orders waiting work of customers, flows are their positions in it.
-		fairQueue fairer.Turns
-		flows     map[string]*fairer.Flow
+		fairQueue scheduler.VirtualClock
+		flows     map[string]*scheduler.Flow
 		// background counts running openings and status queries.
 		background sync.WaitGroup
 		// openedTotal counts openings, for metrics.
@@ -146,7 +146,7 @@
 		// lastFull is when the member last refused a connection because it has too many.
 		lastFull time.Time
 		// pace limits the rate of new work while the member is overloaded.
-		pace pacer.Pacer
+		pace throttler.Throttler
 		// resumeTimer is set while waiting requests are paced.
 		resumeTimer *time.Timer
 		// lastUsed is when a connection was last lent, or when the member became known.
@@ -184,8 +184,8 @@
 	p.ctx = ctx
 	p.mutex.Unlock()
 	var ticks <-chan time.Time
-	if !p.Tended {
-		t := time.NewTicker(TendInterval)
+	if !p.MaintainedByOwner {
+		t := time.NewTicker(MaintenanceInterval)
 		defer t.Stop()
 		ticks = t.C
 	}
@@ -196,7 +196,7 @@
 			p.background.Wait()
 			return ctx.Err()
 		case now := <-ticks:
-			p.Tend(now)
+			p.Maintain(now)
 		}
 	}
 }
@@ -211,20 +211,20 @@
 	p.dropUnknownCustomers()
 }
 
-// Changed has waiting requests choose again after the members or the primary changed.
-func (p *Pool) Changed() {
+// MembersChanged has waiting requests choose again after the members or the primary changed.
+func (p *Pool) MembersChanged() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for id, m := range p.members {
-		if x, ok := p.Group.Member(id); ok && x.Born > m.born {
-			p.resetMember(m, x.Born)
+		if x, ok := p.Group.Member(id); ok && x.StartTime > m.born {
+			p.resetMember(m, x.StartTime)
 		}
 	}
 	p.serveWaiting()
 }
 
-// Load returns the numbers of open and idle connections, waiting requests and openings so far.
-func (p *Pool) Load() (open, idle, waiting, opened int) {
+// Stats returns the numbers of open and idle connections, waiting requests and openings so far.
+func (p *Pool) Stats() (open, idle, waiting, opened int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, m := range p.members {
@@ -234,8 +234,8 @@
 	return open, idle, len(p.waiting), p.openedTotal
 }
 
-// Held adds the number of connections of each customer to byCustomer.
-func (p *Pool) Held(byCustomer map[string]int) {
+// CountByCustomer adds the number of connections of each customer to byCustomer.
+func (p *Pool) CountByCustomer(byCustomer map[string]int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, m := range p.members {
@@ -248,15 +248,15 @@
 	}
 }
 
-// Borrow lends a connection to the best eligible member. The error is ErrFull, ErrNobody, a
+// Borrow lends a connection to the best eligible member. The error is ErrNoConnection, ErrNoMember, a
 // LimitError, or that of the context.
 func (p *Pool) Borrow(ctx context.Context, r Request) (*Conn, error) {
-	if !r.Own && p.Central != nil {
-		if c, err := p.Central(ctx, p.Group.Name, r); !errors.Is(err, ErrLocal) {
+	if !r.LocalOnly && p.BorrowFromHolder != nil {
+		if c, err := p.BorrowFromHolder(ctx, p.Group.Name, r); !errors.Is(err, ErrUseLocal) {
 			return c, err
 		}
 	}
-	if !r.Counts || p.Admit == nil || !p.limited(r.Customer) {
+	if !r.RateLimited || p.Admit == nil || !p.limited(r.Customer) {
 		return p.borrow(ctx, r)
 	}
 	if err := p.Admit(ctx, r.Customer); err != nil {
@@ -264,7 +264,7 @@
 	}
 	c, err := p.borrow(ctx, r)
 	if err != nil {
-		p.Undo(r.Customer)
+		p.UndoAdmit(r.Customer)
 	}
 	return c, err
 }
@@ -281,7 +281,7 @@
 	i := p.enqueuePosition(w)
 	if p.wouldTimeOut(w, i) {
 		p.mutex.Unlock()
-		return nil, ErrFull
+		return nil, ErrNoConnection
 	}
 	if !p.mayReturnSoon(ids, r.Customer) {
 		p.openFor(ids, &r)
@@ -296,7 +296,7 @@
 	p.borrowRemote(ctx, w)
 	defer p.abandon(w)
 
-	t := time.NewTimer(time.Until(r.Until))
+	t := time.NewTimer(time.Until(r.Deadline))
 	defer t.Stop()
 	retry := time.NewTimer(openAfterWait)
 	defer retry.Stop()
@@ -312,9 +312,9 @@
 			retry.Reset(remoteRetryInterval)
 		case <-t.C:
 			if len(ids) == 0 {
-				return nil, ErrNobody
+				return nil, ErrNoMember
 			}
-			return nil, ErrFull
+			return nil, ErrNoConnection
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -323,15 +323,15 @@
 
 // heldElsewhere reports whether another instance holds the connections to a member.
 func (p *Pool) heldElsewhere(member string) bool {
-	return p.Elsewhere != nil && p.Elsewhere(p.Group.Name, member)
+	return p.HeldElsewhere != nil && p.HeldElsewhere(p.Group.Name, member)
 }
 
 // holders returns how many instances hold connections to a member, at least 1, or 0 if unknown.
 func (p *Pool) holders(member string) int {
-	if p.Sharers == nil {
+	if p.HolderCount == nil {
 		return 0
 	}
-	return max(1, p.Sharers(p.Group.Name, member))
+	return max(1, p.HolderCount(p.Group.Name, member))
 }
 
 // member returns the state of a member, which is created on first use.
@@ -343,7 +343,7 @@
 		}
 		m = &memberPool{id: id}
 		if x, ok := p.Group.Member(id); ok {
-			m.born = x.Born
+			m.born = x.StartTime
 		}
 		p.members[id] = m
 	}
--- a/internal/lender/queue.go
+++ b/internal/lender/queue.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/oriolegw/oriolegw/internal/fairer"
+	"github.com/oriolegw/oriolegw/internal/scheduler"
 )
 
 // enqueuePosition returns a request's position among the waiting ones: by the priority of the
@@ -23,17 +23,17 @@
 // schedule returns a customer's priority and the virtual start of a new request in the fair queue.
 func (p *Pool) schedule(customer string) (priority int, start float64) {
 	if p.flows == nil {
-		p.flows = map[string]*fairer.Flow{}
+		p.flows = map[string]*scheduler.Flow{}
 	}
 	f, ok := p.flows[customer]
 	if !ok {
-		f = &fairer.Flow{}
+		f = &scheduler.Flow{}
 		p.flows[customer] = f
 	}
-	if c := p.customers.Customer(customer); c != nil {
+	if c := p.customers.ByName(customer); c != nil {
 		priority = c.Priority
 	}
-	return priority, p.fairQueue.Queue(f, 1, 1)
+	return priority, p.fairQueue.Enqueue(f, 1, 1)
 }
 
 // wouldTimeOut reports whether a request's wait is expected to exceed its deadline, given the
@@ -47,16 +47,16 @@
 		return false
 	}
 	wait := p.averageLoan * time.Duration(ahead) / time.Duration(open)
-	return wait > w.Until.Sub(w.arrived)
+	return wait > w.Deadline.Sub(w.arrived)
 }
 
 // hasCapacityFor reports whether this instance's quota at a member allows a request. Excess work
 // waits here in fair order instead of in the member's FIFO queue.
 func (p *Pool) hasCapacityFor(m *memberPool, r *Request) bool {
-	if p.customers == nil || r.Question {
+	if p.customers == nil || r.StatusQuery {
 		return true
 	}
-	if r.Long {
+	if r.Transaction {
 		maxTransactions := int(transactionFraction * float64(p.memberConnections) / float64(max(1, p.holders(m.id))))
 		return m.longLoansByCustomer[r.Customer] < max(1, maxTransactions) || !p.othersWait(r.Customer)
 	}
--- a/internal/lender/remote.go
+++ b/internal/lender/remote.go
@@ -24,8 +24,8 @@
 )
 
 type (
-	// State is the session state on a connection: its values and prepared statements.
-	State struct {
+	// SessionState is the session state on a connection: its values and prepared statements.
+	SessionState struct {
 		Values   Values
 		Prepared map[Prepared]string
 	}
@@ -34,40 +34,40 @@
 	LoanEnd struct {
 		// Broken is set if the connection is unusable.
 		Broken bool
-		// NoRoom is set if the member refused a statement because of overload, Ran if it ran one.
-		NoRoom, Ran bool
-		State       State
+		// Overloaded is set if the member refused a statement because of overload, Ran if it ran one.
+		Overloaded, Ran bool
+		State           SessionState
 	}
 )
 
-// Carried wraps a connection that another instance lends. giveBack is called once, when it is
+// NewRemoteConn wraps a connection that another instance lends. giveBack is called once, when it is
 // returned.
-func Carried(n net.Conn, codec messenger.MemberCodec, member string, born int64, s State, giveBack func(LoanEnd)) *Conn {
+func NewRemoteConn(n net.Conn, codec messenger.MemberCodec, member string, born int64, s SessionState, giveBack func(LoanEnd)) *Conn {
 	return &Conn{
 		Member: member, Born: born, net: n, codec: codec, replies: codec.Replies(n),
 		values: s.Values, prepared: s.Prepared, giveBack: giveBack,
 	}
 }
 
-// Raw returns the network connection to the member, for relaying bytes of another instance.
-func (c *Conn) Raw() net.Conn { return c.net }
+// NetConn returns the network connection to the member, for relaying bytes of another instance.
+func (c *Conn) NetConn() net.Conn { return c.net }
 
-// State returns a copy of the session state on the connection.
-func (c *Conn) State() State {
-	return State{Values: maps.Clone(c.values), Prepared: maps.Clone(c.prepared)}
+// SessionState returns a copy of the session state on the connection.
+func (c *Conn) State() SessionState {
+	return SessionState{Values: maps.Clone(c.values), Prepared: maps.Clone(c.prepared)}
 }
 
 // SetState sets the session state that another instance's session has left.
-func (c *Conn) SetState(s State) { c.values, c.prepared = s.Values, s.Prepared }
+func (c *Conn) SetState(s SessionState) { c.values, c.prepared = s.Values, s.Prepared }
 
 // returnLoan returns a connection to the instance that has lent it.
 func (c *Conn) returnLoan() {
 	broken := c.broken || c.unreadReplies > 0
-	c.giveBack(LoanEnd{Broken: broken, NoRoom: c.refusedBusy, Ran: c.ran, State: State{Values: c.values, Prepared: c.prepared}})
+	c.giveBack(LoanEnd{Broken: broken, Overloaded: c.refusedBusy, Ran: c.ran, State: SessionState{Values: c.values, Prepared: c.prepared}})
 }
 
-// Silent records that a member did not reply to what was sent on a connection.
-func (p *Pool) Silent(c *Conn) {
+// NoteTimeout records that a member did not reply to what was sent on a connection.
+func (p *Pool) NoteTimeout(c *Conn) {
 	if c.giveBack != nil {
 		return
 	}
@@ -106,8 +106,8 @@
 	return len(ids) > 0
 }
 
-// Reached returns the members that seem to be reachable from this instance, in the given order.
-func (p *Pool) Reached(ids []string) []string {
+// Reachable returns the members that seem to be reachable from this instance, in the given order.
+func (p *Pool) Reachable(ids []string) []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.reachable(ids)
@@ -115,13 +115,13 @@
 
 // choose returns the eligible members of a request; the caller holds the mutex.
 func (p *Pool) choose(r *Request) []string {
-	if r.Own {
-		return p.reachable(r.Choose())
+	if r.LocalOnly {
+		return p.reachable(r.EligibleMembers())
 	}
-	return r.Choose()
+	return r.EligibleMembers()
 }
 
-// reachable is Reached with the mutex held.
+// reachable is Reachable with the mutex held.
 func (p *Pool) reachable(ids []string) []string {
 	now := time.Now()
 	var reachable []string
@@ -139,7 +139,7 @@
 func (p *Pool) borrowRemote(ctx context.Context, w *waiter) {
 	p.mutex.Lock()
 	ids := p.choose(&w.Request)
-	due := p.Carry != nil && !w.Own && !w.remotePending && p.allUnreachable(ids)
+	due := p.BorrowRemote != nil && !w.LocalOnly && !w.remotePending && p.allUnreachable(ids)
 	if due {
 		w.remotePending = true
 		p.background.Add(1)
@@ -150,7 +150,7 @@
 	}
 	go func() {
 		defer p.background.Done()
-		c, err := p.Carry(ctx, p.Group.Name, ids, w.Request)
+		c, err := p.BorrowRemote(ctx, p.Group.Name, ids, w.Request)
 		p.mutex.Lock()
 		late := w.abandoned
 		switch {
@@ -184,15 +184,15 @@
 	}
 }
 
-// Ran records whether the member ran what was sent on a connection or refused it because of
+// NoteResult records whether the member ran what was sent on a connection or refused it because of
 // overload.
-func (p *Pool) Ran(c *Conn, served bool) {
+func (p *Pool) NoteResult(c *Conn, served bool) {
 	switch {
 	case c.giveBack != nil:
 		c.refusedBusy, c.ran = c.refusedBusy || !served, c.ran || served
 	case served:
-		p.Room(c.Member)
+		p.NoteServed(c.Member)
 	default:
-		p.NoRoom(c.Member)
+		p.NoteOverloaded(c.Member)
 	}
 }
--- a/internal/limiter/customer.go
+++ b/internal/limiter/customer.go
@@ -60,7 +60,7 @@
 func (m *Meter) phase(customer string) float64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(m.Instance + "/" + customer)) // never fails
-	return rand.New(rand.NewPCG(h.Sum64(), m.Run)).Float64()
+	return rand.New(rand.NewPCG(h.Sum64(), m.Incarnation)).Float64()
 }
 
 // enterIsolation starts admission at the fallback rate. All instances become isolated at the same
--- a/internal/limiter/fleet.go
+++ b/internal/limiter/fleet.go
@@ -35,13 +35,13 @@
 
 // fleetStatus determines which expected instances report to this accountant.
 func (l *Ledger) fleetStatus(now Stamp) fleetStatus {
-	if l.Expected == nil {
+	if l.ExpectedInstances == nil {
 		return fleetStatus{}
 	}
 	for _, r := range l.reporters {
 		r.expected = false
 	}
-	expected := l.Expected()
+	expected := l.ExpectedInstances()
 	fleet := fleetStatus{now: now, expected: len(expected), hasPredecessor: l.hasPredecessor}
 	for _, name := range expected {
 		if now-l.openedAt < discoveryPeriod {
--- a/internal/limiter/ledger.go
+++ b/internal/limiter/ledger.go
@@ -14,12 +14,12 @@
 	// its methods are safe for concurrent use.
 	Ledger struct {
 		Tolerance Tolerance
-		// Run identifies the incarnation of the accounts; it increases each time they are opened.
-		Run uint64
-		// Expected, when set, lists the instances that run operations. The fallback rates of those
+		// Incarnation identifies the incarnation of the accounts; it increases each time they are opened.
+		Incarnation uint64
+		// ExpectedInstances, when set, lists the instances that run operations. The fallback rates of those
 		// that don't report here are reserved: an instance may be isolated or report to another
 		// accountant. So several accountants share the limits without knowing of each other.
-		Expected func() []string
+		ExpectedInstances func() []string
 
 		// openedAt is when the accounts were opened, initialInstances which instances ran
 		// operations then.
@@ -37,7 +37,7 @@
 	reporter struct {
 		incarnation, sequence uint64
 		lastReport            Stamp
-		// expected is set for an instance that Expected lists.
+		// expected is set for an instance that ExpectedInstances lists.
 		expected bool
 		// reservedFrom is when the previous accountant starts to reserve the instance's fallback
 		// rates.
@@ -87,9 +87,9 @@
 	}
 )
 
-// Begin opens new accounts when this instance becomes the accountant. It keeps the old ones if
+// Open opens new accounts when this instance becomes the accountant. It keeps the old ones if
 // they have received reports within the window.
-func (l *Ledger) Begin(now Stamp, limits map[string]identifier.Limit) {
+func (l *Ledger) Open(now Stamp, limits map[string]identifier.Limit) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, r := range l.reporters {
@@ -109,12 +109,12 @@
 func (l *Ledger) open(now Stamp) {
 	l.accounts, l.reporters, l.initialInstances, l.openedAt = map[string]*account{}, map[string]*reporter{}, map[string]bool{}, now
 	l.hasPredecessor = false
-	l.Run++
+	l.Incarnation++
 }
 
-// Take processes a report and returns the reply. limitOf returns a customer's limit; the reply
+// HandleReport processes a report and returns the reply. limitOf returns a customer's limit; the reply
 // omits customers without one.
-func (l *Ledger) Take(now Stamp, r Report, limitOf func(customer string) identifier.Limit) Answer {
+func (l *Ledger) HandleReport(now Stamp, r Report, limitOf func(customer string) identifier.Limit) Reply {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.accounts == nil {
@@ -127,17 +127,17 @@
 	}
 	sinceLast := now - from.lastReport
 	from.lastReport = now
-	duplicate := from.incarnation == r.Run && r.Number <= from.sequence
-	if ok && from.incarnation != r.Run {
+	duplicate := from.incarnation == r.Incarnation && r.Sequence <= from.sequence
+	if ok && from.incarnation != r.Incarnation {
 		l.instanceRestarted(now, r.Instance)
 	}
 	if !duplicate {
-		from.incarnation, from.sequence = r.Run, r.Number
+		from.incarnation, from.sequence = r.Incarnation, r.Sequence
 	}
-	from.hasLeft = r.Leaves
+	from.hasLeft = r.Final
 	fleet := l.fleetStatus(now)
-	answer := Answer{Run: l.Run}
-	if !from.synced && !r.New {
+	answer := Reply{Incarnation: l.Incarnation}
+	if !from.synced && !r.NewAccountant {
 		// The instance will resend with its past usage once it sees the new incarnation.
 		return answer
 	}
@@ -145,30 +145,30 @@
 	if firstSync {
 		sinceLast = now // nothing was reported here before
 	}
-	if firstSync && r.Unheard > 0 {
-		from.reservedFrom = now + silenceTimeout - min(silenceTimeout, r.Unheard)
+	if firstSync && r.SincePredecessorAck > 0 {
+		from.reservedFrom = now + silenceTimeout - min(silenceTimeout, r.SincePredecessorAck)
 		l.hasPredecessor = true
 	}
-	for _, s := range r.Spendings {
+	for _, s := range r.Usages {
 		limit := limitOf(s.Customer)
 		if !limit.Limited() {
 			continue
 		}
 		a := l.account(now, s.Customer, limit, fleet)
-		if firstSync && s.Told {
-			a.predecessorRates[from] = s.Part
+		if firstSync && s.HasFallbackRate {
+			a.predecessorRates[from] = s.FallbackRate
 		}
 		if duplicate {
 			s.Used = nil
 		}
-		if r.New && !duplicate {
-			a.addPastUsage(now, s.Before, sinceLast)
+		if r.NewAccountant && !duplicate {
+			a.addPastUsage(now, s.PastUsed, sinceLast)
 		}
 		a.consumeReported(now, s.Used, sinceLast-silenceTimeout)
-		answer.Allowances = append(answer.Allowances, a.grant(now, r.Instance, from, s, l.Tolerance, fleet, len(l.reporters)))
+		answer.Grants = append(answer.Grants, a.grant(now, r.Instance, from, s, l.Tolerance, fleet, len(l.reporters)))
 	}
-	from.synced = from.synced || r.New
-	if r.Leaves {
+	from.synced = from.synced || r.NewAccountant
+	if r.Final {
 		l.instanceLeft(r.Instance)
 	}
 	return answer
@@ -289,7 +289,7 @@
 }
 
 // grant processes one customer's usage report and leases tokens to the instance.
-func (a *account) grant(now Stamp, instance string, from *reporter, s Spending, t Tolerance, fleet fleetStatus, reporters int) Allowance {
+func (a *account) grant(now Stamp, instance string, from *reporter, s Usage, t Tolerance, fleet fleetStatus, reporters int) Grant {
 	p, ok := a.shares[instance]
 	if !ok {
 		p = &instanceShare{reporter: from}
@@ -301,22 +301,22 @@
 		a.tokens += float64(p.assumedUsed)
 		p.assumedUsed = 0
 	}
-	p.leased, p.demandAt, p.demand = s.Held, now, s.Demand
+	p.leased, p.demandAt, p.demand = s.UnusedTokens, now, s.Demand
 	available := a.available(now, t, fleet)
 	demandShare := 1.0
 	if total := a.totalDemand(now); total > 0 {
 		demandShare = p.demand / total
 	}
-	x := Allowance{Customer: s.Customer, Tight: available < lowBalanceFraction*t.burst(a.limit)+unreportedPerInstance*float64(reporters)}
+	x := Grant{Customer: s.Customer, LeaseRequired: available < lowBalanceFraction*t.burst(a.limit)+unreportedPerInstance*float64(reporters)}
 	p.fallbackRate = a.fallbackRate(p, fleet, demandShare)
-	x.Part = p.fallbackRate
+	x.FallbackRate = p.fallbackRate
 	// Waiting operations may take the whole balance, expected ones the instance's share of it.
 	// Fractions of expected operations are not leased: one token on each of many instances would
 	// exhaust a small customer's limit.
-	wanted := float64(s.Waiting) + math.Floor(s.Demand*leaseHorizon.Seconds()) - float64(s.Held)
-	x.Tokens = max(0, int(min(available, max(demandShare*available, float64(s.Waiting)), wanted)))
-	if x.Tokens < s.Waiting {
-		x.Again = clampRetryAfter((float64(s.Waiting-x.Tokens) - (available - float64(x.Tokens))) / t.rate(a.limit))
+	wanted := float64(s.Waiters) + math.Floor(s.Demand*leaseHorizon.Seconds()) - float64(s.UnusedTokens)
+	x.Tokens = max(0, int(min(available, max(demandShare*available, float64(s.Waiters)), wanted)))
+	if x.Tokens < s.Waiters {
+		x.RetryAfter = clampRetryAfter((float64(s.Waiters-x.Tokens) - (available - float64(x.Tokens))) / t.rate(a.limit))
 	}
 	p.leased, p.leasedUntil = p.leased+x.Tokens, now+leaseDuration+leaseGrace
 	if p.leased == 0 && s.Demand < minDemand {
--- a/internal/limiter/ledger_test.go
+++ b/internal/limiter/ledger_test.go
@@ -19,26 +19,26 @@
 
 func newTestLedger(limit identifier.Limit, instances ...string) *testLedger {
 	d := &testLedger{limit: limit, now: time.Hour}
-	d.ledger = &limiter.Ledger{Run: 1, Tolerance: tolerance, Expected: func() []string { return instances }}
+	d.ledger = &limiter.Ledger{Incarnation: 1, Tolerance: tolerance, ExpectedInstances: func() []string { return instances }}
 	return d
 }
 
 // report processes one customer's usage in an instance's first incarnation.
-func (d *testLedger) report(instance string, s limiter.Spending) limiter.Allowance {
-	return d.handle(limiter.Report{Instance: instance, Run: 1, New: true, Spendings: []limiter.Spending{s}})
+func (d *testLedger) report(instance string, s limiter.Usage) limiter.Grant {
+	return d.handle(limiter.Report{Instance: instance, Incarnation: 1, NewAccountant: true, Usages: []limiter.Usage{s}})
 }
 
-func (d *testLedger) handle(r limiter.Report) limiter.Allowance {
+func (d *testLedger) handle(r limiter.Report) limiter.Grant {
 	d.number++
-	r.Number = d.number
-	for i := range r.Spendings {
-		r.Spendings[i].Customer = "c"
+	r.Sequence = d.number
+	for i := range r.Usages {
+		r.Usages[i].Customer = "c"
 	}
-	x := d.ledger.Take(d.now, r, func(string) identifier.Limit { return d.limit })
-	if len(x.Allowances) == 0 {
-		return limiter.Allowance{}
+	x := d.ledger.HandleReport(d.now, r, func(string) identifier.Limit { return d.limit })
+	if len(x.Grants) == 0 {
+		return limiter.Grant{}
 	}
-	return x.Allowances[0]
+	return x.Grants[0]
 }
 
 func (d *testLedger) balance() limiter.Balance { return d.ledger.Balances(d.now)[0] }
@@ -47,38 +47,38 @@
 // reports.
 func TestLeasesOfRestartedInstanceCountAsUsed(t *testing.T) {
 	d := newTestLedger(limits[1], "a")
-	leased := d.report("a", limiter.Spending{Waiting: 10, Demand: 10}).Tokens
+	leased := d.report("a", limiter.Usage{Waiters: 10, Demand: 10}).Tokens
 	must.Positive(t, leased)
 	d.now += 100 * time.Millisecond
-	d.handle(limiter.Report{Instance: "a", Run: 2, New: true, Spendings: []limiter.Spending{{Demand: 1}}})
+	d.handle(limiter.Report{Instance: "a", Incarnation: 2, NewAccountant: true, Usages: []limiter.Usage{{Demand: 1}}})
 	must.Eq(t, float64(leased), d.balance().Used)
 }
 
 // Guards against counting operations twice: as an expired lease, and in a late report.
 func TestExpiredLeasesCountOnceAfterLateReport(t *testing.T) {
 	d := newTestLedger(limits[1], "a")
-	leased := d.report("a", limiter.Spending{Waiting: 10, Demand: 10}).Tokens
+	leased := d.report("a", limiter.Usage{Waiters: 10, Demand: 10}).Tokens
 	d.now += 3 * time.Second
 	must.Eq(t, float64(leased), d.balance().Used)
-	d.report("a", limiter.Spending{Used: []int{leased, 0, 0, 0, 0, 0}})
+	d.report("a", limiter.Usage{Used: []int{leased, 0, 0, 0, 0, 0}})
 	must.Eq(t, float64(leased), d.balance().Used)
 }
 
 // Guards against leases for an instance that has not reported its past usage to a new accountant.
 func TestNoLeaseBeforePastUsageIsReported(t *testing.T) {
 	d := newTestLedger(limits[1], "a")
-	d.report("a", limiter.Spending{Waiting: 10, Demand: 10})
-	d.ledger = &limiter.Ledger{Run: 5, Tolerance: tolerance, Expected: d.ledger.Expected}
-	unaware := d.handle(limiter.Report{Instance: "a", Run: 1, Spendings: []limiter.Spending{{Waiting: 10, Demand: 10}}})
-	must.Eq(t, limiter.Allowance{}, unaware)
-	must.Positive(t, d.report("a", limiter.Spending{Waiting: 10, Demand: 10}).Tokens)
+	d.report("a", limiter.Usage{Waiters: 10, Demand: 10})
+	d.ledger = &limiter.Ledger{Incarnation: 5, Tolerance: tolerance, ExpectedInstances: d.ledger.ExpectedInstances}
+	unaware := d.handle(limiter.Report{Instance: "a", Incarnation: 1, Usages: []limiter.Usage{{Waiters: 10, Demand: 10}}})
+	must.Eq(t, limiter.Grant{}, unaware)
+	must.Positive(t, d.report("a", limiter.Usage{Waiters: 10, Demand: 10}).Tokens)
 }
 
 // Guards against ignoring past usage because the instance has reported a moment before, unaware
 // that the accounts are new.
 func TestPastUsageCountsAfterUnawareReport(t *testing.T) {
 	d := newTestLedger(limits[1], "a")
-	d.handle(limiter.Report{Instance: "a", Run: 1, Spendings: []limiter.Spending{{Waiting: 1}}})
-	d.report("a", limiter.Spending{Before: []int{7, 3}})
+	d.handle(limiter.Report{Instance: "a", Incarnation: 1, Usages: []limiter.Usage{{Waiters: 1}}})
+	d.report("a", limiter.Usage{PastUsed: []int{7, 3}})
 	must.Eq(t, 10.0, d.balance().Used)
 }
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -72,9 +72,9 @@
 	// isolationTimeout is the time without a reply after which an instance admits operations at
 	// its fallback rate.
 	isolationTimeout = 800 * time.Millisecond
-	// AskTime is how long an operation may wait for a lease: two round trips between regions, and
+	// LeaseWaitTimeout is how long an operation may wait for a lease: two round trips between regions, and
 	// scheduling delays.
-	AskTime = 100 * time.Millisecond
+	LeaseWaitTimeout = 100 * time.Millisecond
 	// leaseRequiredDuration is how long an instance treats an account as low on tokens after the
 	// accountant reported it so.
 	leaseRequiredDuration = 3 * time.Second
@@ -93,7 +93,7 @@
 
 type (
 	// Stamp is a point in time, as in package tracker.
-	Stamp = tracker.Stamp
+	Stamp = tracker.Timestamp
 
 	// Tolerance is how far a customer may exceed its limit in a window because of distributed
 	// counting.
@@ -102,62 +102,62 @@
 		Overage, Slack float64
 	}
 
-	// Spending is an instance's usage report for one customer.
-	Spending struct {
+	// Usage is an instance's usage report for one customer.
+	Usage struct {
 		Customer string
 		// Used counts the operations run since the last acknowledged report, in slots of slotTime,
 		// newest last. Before counts those of acknowledged reports, for an accountant that is new
 		// to the instance.
-		Used, Before []int
-		// Held is the number of unused leased tokens.
-		Held int
-		// Waiting is the number of operations that wait for a lease.
-		Waiting int
+		Used, PastUsed []int
+		// UnusedTokens is the number of unused leased tokens.
+		UnusedTokens int
+		// Waiters is the number of operations that wait for a lease.
+		Waiters int
 		// Demand is the recent number of requested operations per second.
 		Demand float64
-		// Part is the fallback rate that the previous accountant assigned, in operations per
-		// second; Told is set if it assigned one.
-		Part float64
-		Told bool
+		// FallbackRate is the fallback rate that the previous accountant assigned, in operations per
+		// second; HasFallbackRate is set if it assigned one.
+		FallbackRate    float64
+		HasFallbackRate bool
 	}
 
 	// Report is one instance's usage report.
 	Report struct {
-		// Instance is the instance's address, Run identifies its process incarnation.
-		Instance string
-		Run      uint64
-		// Number increases with each report; duplicates are ignored.
-		Number uint64
-		// New is set if the accountant is new to the instance.
-		New bool
-		// Leaves is set on the last report to an accountant.
-		Leaves bool
-		// Unheard, if New is set, is the time since the previous accountant last received a
+		// Instance is the instance's address, Incarnation identifies its process incarnation.
+		Instance    string
+		Incarnation uint64
+		// Sequence increases with each report; duplicates are ignored.
+		Sequence uint64
+		// NewAccountant is set if the accountant is new to the instance.
+		NewAccountant bool
+		// Final is set on the last report to an accountant.
+		Final bool
+		// SincePredecessorAck, if NewAccountant is set, is the time since the previous accountant last received a
 		// report, or 0 without one. That accountant reserves the instance's fallback rates once it
 		// has missed reports for long enough.
-		Unheard   time.Duration
-		Spendings []Spending
+		SincePredecessorAck time.Duration
+		Usages              []Usage
 	}
 
-	// Answer is the accountant's reply to a report.
-	Answer struct {
-		// Run identifies the accountant's incarnation: a new one has no accounts.
-		Run        uint64
-		Allowances []Allowance
+	// Reply is the accountant's reply to a report.
+	Reply struct {
+		// Incarnation identifies the accountant's incarnation: a new one has no accounts.
+		Incarnation uint64
+		Grants      []Grant
 	}
 
-	// Allowance is the reply for one customer.
-	Allowance struct {
+	// Grant is the reply for one customer.
+	Grant struct {
 		Customer string
 		// Tokens is the number of operations leased in addition to the unused ones. All leases of
 		// the customer are valid for leaseDuration after the report was sent.
 		Tokens int
-		// Tight is set if every operation requires a lease.
-		Tight bool
-		// Part is the instance's fallback rate in operations per second.
-		Part float64
-		// Again is when more tokens may be available, if fewer were leased than requested.
-		Again time.Duration
+		// LeaseRequired is set if every operation requires a lease.
+		LeaseRequired bool
+		// FallbackRate is the instance's fallback rate in operations per second.
+		FallbackRate float64
+		// RetryAfter is when more tokens may be available, if fewer were leased than requested.
+		RetryAfter time.Duration
 	}
 )
 
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -65,7 +65,7 @@
 		incarnation uint64
 		sent        limiter.Stamp
 		report      *limiter.Report
-		answer      limiter.Answer
+		answer      limiter.Reply
 	}
 )
 
@@ -81,7 +81,7 @@
 
 // newLedger returns the ledger of a new accountant.
 func (f *fleet) newLedger() *limiter.Ledger {
-	return &limiter.Ledger{Run: f.random.Uint64(), Tolerance: tolerance, Expected: func() (names []string) {
+	return &limiter.Ledger{Incarnation: f.random.Uint64(), Tolerance: tolerance, ExpectedInstances: func() (names []string) {
 		for n := range f.nodes {
 			names = append(names, fmt.Sprint("i", n))
 		}
@@ -93,7 +93,7 @@
 func (f *fleet) restart(n int) {
 	x := f.nodes[n]
 	*x = node{incarnation: x.incarnation + 1, isolated: x.isolated}
-	x.meter = &limiter.Meter{Instance: fmt.Sprint("i", n), Run: x.incarnation, Instances: func() int { return len(f.nodes) }, Lends: func() bool { return true }}
+	x.meter = &limiter.Meter{Instance: fmt.Sprint("i", n), Incarnation: x.incarnation, Instances: func() int { return len(f.nodes) }, ReportExpected: func() bool { return true }}
 	if n == f.accountant {
 		f.accounts = f.newLedger()
 	}
@@ -110,7 +110,7 @@
 			}
 			for want := perSecond(n) * step.Seconds(); want > 0; want-- {
 				if f.random.Float64() < want {
-					f.request(n, f.now, limiter.First)
+					f.request(n, f.now, limiter.FirstAttempt)
 				}
 			}
 			f.retryWaiting(n)
@@ -120,9 +120,9 @@
 }
 
 // request decides on an operation that was requested at a time.
-func (f *fleet) request(n int, since limiter.Stamp, turn limiter.Turn) {
+func (f *fleet) request(n int, since limiter.Stamp, attempt limiter.Attempt) {
 	x := f.nodes[n]
-	switch v, retryAfter := x.meter.Decide(f.now, "c", f.limit, turn); v {
+	switch v, retryAfter := x.meter.Decide(f.now, "c", f.limit, attempt); v {
 	case limiter.Admit:
 		f.ran[len(f.ran)-1]++
 	case limiter.Refuse:
@@ -130,9 +130,9 @@
 			panic("refused without a retry delay")
 		}
 		f.refused[len(f.refused)-1]++
-	case limiter.Ask:
+	case limiter.RequestLease:
 		x.waitingSince = append(x.waitingSince, since)
-		x.meter.Wait(f.now, "c", 1)
+		x.meter.AddWaiters(f.now, "c", 1)
 	}
 }
 
@@ -142,12 +142,12 @@
 	waiting := x.waitingSince
 	x.waitingSince = nil
 	for _, since := range waiting {
-		x.meter.Wait(f.now, "c", -1)
-		turn := limiter.Waiting
-		if f.now-since > limiter.AskTime {
-			turn = limiter.Last
+		x.meter.AddWaiters(f.now, "c", -1)
+		attempt := limiter.AfterReply
+		if f.now-since > limiter.LeaseWaitTimeout {
+			attempt = limiter.LastAttempt
 		}
-		f.request(n, since, turn)
+		f.request(n, since, attempt)
 	}
 }
 
@@ -163,7 +163,7 @@
 	if !due || !soon && f.now-x.sentAt < limiter.ReportInterval {
 		return
 	}
-	r := x.meter.Report(f.now)
+	r := x.meter.NextReport(f.now)
 	x.waiting, x.sentAt = true, f.now
 	f.send(message{node: n, incarnation: x.incarnation, sent: f.now, report: &r})
 }
@@ -186,11 +186,11 @@
 			f.inFlight = append(f.inFlight, m)
 		case m.incarnation != x.incarnation || f.accountsFor(x) == nil:
 		case m.report != nil && (x.isolated || !f.nodes[f.accountant].paused):
-			answer := f.accountsFor(x).Take(f.now, *m.report, func(string) identifier.Limit { return f.limit })
+			answer := f.accountsFor(x).HandleReport(f.now, *m.report, func(string) identifier.Limit { return f.limit })
 			f.send(message{node: m.node, incarnation: m.incarnation, sent: m.sent, answer: answer})
 		case m.report == nil && !x.paused && x.waiting && m.sent == x.sentAt:
 			x.waiting = false
-			x.meter.Answer(m.sent, m.answer)
+			x.meter.HandleReply(m.sent, m.answer)
 		}
 	}
 }
@@ -461,7 +461,7 @@
 	f.isolate(from, to)
 	f.isolatedAccounts = f.newLedger()
 	for _, x := range f.nodes[from:to] {
-		_ = x.meter.Restart(f.now)
+		_ = x.meter.SwitchAccountant(f.now)
 	}
 }
 
@@ -469,7 +469,7 @@
 func (f *fleet) mergePartitions() {
 	for _, x := range f.nodes {
 		if x.isolated {
-			_ = x.meter.Restart(f.now)
+			_ = x.meter.SwitchAccountant(f.now)
 		}
 	}
 	f.isolatedAccounts = nil
@@ -494,7 +494,7 @@
 func (f *fleet) replaceAccountant(n int) {
 	f.accountant, f.accounts = n, f.newLedger()
 	for _, x := range f.nodes {
-		_ = x.meter.Restart(f.now)
+		_ = x.meter.SwitchAccountant(f.now)
 	}
 }
 
--- a/internal/limiter/meter.go
+++ b/internal/limiter/meter.go
@@ -11,40 +11,40 @@
 // Verdicts on an operation.
 const (
 	// Admit allows the operation.
-	Admit Verdict = iota
+	Admit Decision = iota
 	// Refuse rejects it as over the limit.
 	Refuse
-	// Ask requires a report to the accountant before the next decision.
-	Ask
+	// RequestLease requires a report to the accountant before the next decision.
+	RequestLease
 )
 
-// Turns of an operation.
+// Attempts of an operation.
 const (
-	// First is the decision when the operation is requested.
-	First Turn = iota
-	// Waiting is a decision after a reply of the accountant.
-	Waiting
-	// Last is the decision when the operation's wait has timed out.
-	Last
+	// FirstAttempt is the decision when the operation is requested.
+	FirstAttempt Attempt = iota
+	// AfterReply is a decision after a reply of the accountant.
+	AfterReply
+	// LastAttempt is the decision when the operation's wait has timed out.
+	LastAttempt
 )
 
 type (
-	// Turn is the stage of an operation's admission.
-	Turn uint8
+	// Attempt is the stage of an operation's admission.
+	Attempt uint8
 
-	// Verdict is the decision on an operation.
-	Verdict uint8
+	// Decision is the decision on an operation.
+	Decision uint8
 
 	// Meter counts the operations that one instance runs and decides which to admit. Set the
 	// exported fields before use; its methods are safe for concurrent use.
 	Meter struct {
-		// Instance is this instance's address, Run identifies its process incarnation.
-		Instance string
-		Run      uint64
+		// Instance is this instance's address, Incarnation identifies its process incarnation.
+		Instance    string
+		Incarnation uint64
 		// Instances returns how many instances run operations, at least 1.
 		Instances func() int
-		// Lends reports whether the accountant expects reports from this instance.
-		Lends func() bool
+		// ReportExpected reports whether the accountant expects reports from this instance.
+		ReportExpected func() bool
 
 		mutex     sync.Mutex
 		customers map[string]*customer
@@ -63,17 +63,17 @@
 	}
 )
 
-// Decide decides on an operation of a customer. After Ask, the caller calls Wait, waits for the
-// reply to a report, and calls Decide again. again is the delay after which a refused caller may
-// retry.
-func (m *Meter) Decide(now Stamp, name string, limit identifier.Limit, turn Turn) (v Verdict, retryAfter time.Duration) {
+// Decide decides on an operation of a customer. After RequestLease, the caller calls
+// AddWaiters, waits for the reply to a report, and calls Decide again. retryAfter is the delay
+// after which a refused caller may retry.
+func (m *Meter) Decide(now Stamp, name string, limit identifier.Limit, attempt Attempt) (v Decision, retryAfter time.Duration) {
 	if !limit.Limited() {
 		return Admit, 0
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	c := m.customer(now, name, limit)
-	if turn == First {
+	if attempt == FirstAttempt {
 		c.countDemand(now)
 	}
 	isolated := m.isolated(now)
@@ -81,7 +81,7 @@
 		c.enterIsolation(m.unackedSince + isolationTimeout)
 	}
 	c.isolated = isolated
-	c.refill(now, limit, m.Instances(), m.Lends())
+	c.refill(now, limit, m.Instances(), m.ReportExpected())
 	switch {
 	case c.tokens > 0 && now < c.leasedUntil:
 		c.tokens--
@@ -90,13 +90,13 @@
 		// many instances would need a round trip for most operations of small customers.
 		c.fallbackTokens--
 	case isolated:
-		return Refuse, clampRetryAfter((1 - c.fallbackTokens) / max(c.currentFallbackRate(limit, m.Instances(), m.Lends()), minDemand))
+		return Refuse, clampRetryAfter((1 - c.fallbackTokens) / max(c.currentFallbackRate(limit, m.Instances(), m.ReportExpected()), minDemand))
 	case now < c.refuseUntil:
 		return Refuse, max(c.retryAt-now, minRetryAfter)
-	case turn == Last:
+	case attempt == LastAttempt:
 		return Refuse, minRetryAfter
 	default:
-		return Ask, 0
+		return RequestLease, 0
 	}
 	c.unreported.add(now, 1)
 	return Admit, 0
@@ -111,9 +111,9 @@
 	}
 }
 
-// Wait changes the number of operations that wait for a lease: by is 1 when one starts to wait and
+// AddWaiters changes the number of operations that wait for a lease: by is 1 when one starts to wait and
 // -1 when it stops.
-func (m *Meter) Wait(now Stamp, name string, by int) {
+func (m *Meter) AddWaiters(now Stamp, name string, by int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if c, ok := m.customers[name]; ok {
@@ -137,11 +137,11 @@
 		}
 		due = due || c.unreported.sum(now) > 0
 	}
-	return due || now-m.lastAcked > idleReportInterval && (len(m.customers) > 0 || m.Lends()), false
+	return due || now-m.lastAcked > idleReportInterval && (len(m.customers) > 0 || m.ReportExpected()), false
 }
 
-// Report returns the next report for the accountant. An unacknowledged report is repeated.
-func (m *Meter) Report(now Stamp) Report {
+// NextReport returns the next report for the accountant. An unacknowledged report is repeated.
+func (m *Meter) NextReport(now Stamp) Report {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.unackedSince <= m.lastAcked {
@@ -151,20 +151,20 @@
 		return m.resend(now)
 	}
 	m.sequence++
-	r := Report{Instance: m.Instance, Run: m.Run, Number: m.sequence, New: m.accountantIncarnation == 0, Unheard: m.sincePredecessorAck(now)}
+	r := Report{Instance: m.Instance, Incarnation: m.Incarnation, Sequence: m.sequence, NewAccountant: m.accountantIncarnation == 0, SincePredecessorAck: m.sincePredecessorAck(now)}
 	for name, c := range m.customers {
 		inactive := c.inactive(now)
-		if !inactive && c.unreported.sum(now) == 0 && c.waiters == 0 && !(r.New && (c.grantedAt != 0 || c.reported.sum(now) > 0)) {
+		if !inactive && c.unreported.sum(now) == 0 && c.waiters == 0 && !(r.NewAccountant && (c.grantedAt != 0 || c.reported.sum(now) > 0)) {
 			continue
 		}
-		s := Spending{Customer: name, Used: c.unreported.list(now), Waiting: c.waiters, Demand: c.currentDemand(now)}
+		s := Usage{Customer: name, Used: c.unreported.list(now), Waiters: c.waiters, Demand: c.currentDemand(now)}
 		if now < c.leasedUntil && !inactive {
-			s.Held = c.tokens
+			s.UnusedTokens = c.tokens
 		}
-		if r.New {
-			s.Before, s.Part, s.Told = c.reported.list(now), c.fallbackRate, c.grantedAt != 0
+		if r.NewAccountant {
+			s.PastUsed, s.FallbackRate, s.HasFallbackRate = c.reported.list(now), c.fallbackRate, c.grantedAt != 0
 		}
-		r.Spendings = append(r.Spendings, s)
+		r.Usages = append(r.Usages, s)
 		c.inFlight, c.unreported = c.unreported, window{}
 		if inactive {
 			delete(m.customers, name)
@@ -186,37 +186,37 @@
 // resend returns the unacknowledged report with its slots and ages updated to now.
 func (m *Meter) resend(now Stamp) Report {
 	r := *m.pending
-	r.Unheard = m.sincePredecessorAck(now)
-	r.Spendings = slices.Clone(r.Spendings)
-	for i := range r.Spendings {
-		s := &r.Spendings[i]
+	r.SincePredecessorAck = m.sincePredecessorAck(now)
+	r.Usages = slices.Clone(r.Usages)
+	for i := range r.Usages {
+		s := &r.Usages[i]
 		if c, ok := m.customers[s.Customer]; ok {
 			s.Used = c.inFlight.list(now)
-			if r.New {
-				s.Before = c.reported.list(now)
+			if r.NewAccountant {
+				s.PastUsed = c.reported.list(now)
 			}
 		}
 	}
 	return r
 }
 
-// Answer processes the reply to the report sent at sent. Leases count from then, so they expire
+// HandleReply processes the reply to the report sent at sent. Leases count from then, so they expire
 // here before they expire at the accountant.
-func (m *Meter) Answer(sent Stamp, x Answer) {
+func (m *Meter) HandleReply(sent Stamp, x Reply) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	// A new incarnation is known once it has acknowledged the past usage.
-	pastReported := m.pending != nil && m.pending.New
+	pastReported := m.pending != nil && m.pending.NewAccountant
 	if m.pending != nil {
 		m.markReported(sent)
 	}
 	m.pending, m.lastAcked = nil, max(sent, m.unackedSince)
-	if pastReported || m.accountantIncarnation == x.Run {
-		m.accountantIncarnation = x.Run
+	if pastReported || m.accountantIncarnation == x.Incarnation {
+		m.accountantIncarnation = x.Incarnation
 	} else {
 		m.accountantIncarnation = 0
 	}
-	for _, a := range x.Allowances {
+	for _, a := range x.Grants {
 		c, ok := m.customers[a.Customer]
 		if !ok {
 			continue
@@ -225,35 +225,35 @@
 			c.tokens = 0
 		}
 		c.tokens, c.leasedUntil = c.tokens+a.Tokens, sent+leaseDuration
-		c.grantedAt, c.fallbackRate = sent, a.Part
+		c.grantedAt, c.fallbackRate = sent, a.FallbackRate
 		c.leaseRequiredUntil = 0
-		if a.Tight {
+		if a.LeaseRequired {
 			c.leaseRequiredUntil = sent + leaseRequiredDuration
 		} else {
 			c.fallbackTokens = max(c.fallbackTokens, 1)
 		}
 		c.refuseUntil = 0
-		if a.Again > 0 {
-			c.refuseUntil, c.retryAt = sent+min(a.Again, refusalDuration), sent+a.Again
+		if a.RetryAfter > 0 {
+			c.refuseUntil, c.retryAt = sent+min(a.RetryAfter, refusalDuration), sent+a.RetryAfter
 		}
 	}
 }
 
-// Restart switches to another accountant, which has none of this instance's usage. It returns the
+// SwitchAccountant switches to another accountant, which has none of this instance's usage. It returns the
 // final report for the previous one.
-func (m *Meter) Restart(now Stamp) Report {
+func (m *Meter) SwitchAccountant(now Stamp) Report {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.accountantIncarnation, m.predecessorAcked = 0, m.lastAcked
 	m.sequence++
-	last := Report{Instance: m.Instance, Run: m.Run, Number: m.sequence, Leaves: true}
+	last := Report{Instance: m.Instance, Incarnation: m.Incarnation, Sequence: m.sequence, Final: true}
 	for _, c := range m.customers {
 		c.tokens = 0
 	}
 	if m.pending == nil {
 		return last
 	}
-	for _, s := range m.pending.Spendings {
+	for _, s := range m.pending.Usages {
 		if c, ok := m.customers[s.Customer]; ok {
 			c.unreported.merge(now, &c.inFlight)
 			c.inFlight = window{}
@@ -265,7 +265,7 @@
 
 // markReported moves the operations of the acknowledged report to the reported ones.
 func (m *Meter) markReported(now Stamp) {
-	for _, s := range m.pending.Spendings {
+	for _, s := range m.pending.Usages {
 		if c, ok := m.customers[s.Customer]; ok {
 			c.reported.merge(now, &c.inFlight)
 			c.inFlight = window{}
--- a/internal/linker/authenticator.go
+++ b/internal/linker/authenticator.go
@@ -14,8 +14,8 @@
 	// Secret is a key shared by all instances of a fleet. Instances without a common secret
 	// refuse each other.
 	Secret struct {
-		Number uint8
-		Value  []byte
+		KeyNumber uint8
+		Value     []byte
 	}
 
 	// Versions is the range of wire versions that an instance supports.
@@ -44,8 +44,8 @@
 
 // Errors of the handshake. Retries with the same settings fail again.
 var (
-	// ErrForeign means that the peer has none of this fleet's keys.
-	ErrForeign = errors.New("peer belongs to another fleet")
+	// ErrForeignFleet means that the peer has none of this fleet's keys.
+	ErrForeignFleet = errors.New("peer belongs to another fleet")
 	// ErrWireVersion means that there is no common wire version.
 	ErrWireVersion = errors.New("no common wire version with peer")
 )
@@ -73,23 +73,23 @@
 func chooseSecret(own []Secret, theirs []uint32) (Secret, error) {
 	best := -1
 	for i, s := range own {
-		if slices.Contains(theirs, uint32(s.Number)) && (best < 0 || s.Number > own[best].Number) {
+		if slices.Contains(theirs, uint32(s.KeyNumber)) && (best < 0 || s.KeyNumber > own[best].KeyNumber) {
 			best = i
 		}
 	}
 	if best < 0 {
-		return Secret{}, errors.Wrap(ErrForeign, "no key number in common")
+		return Secret{}, errors.Wrap(ErrForeignFleet, "no key number in common")
 	}
 	return own[best], nil
 }
 
 func findSecret(own []Secret, number uint32) (Secret, error) {
 	for _, s := range own {
-		if uint32(s.Number) == number {
+		if uint32(s.KeyNumber) == number {
 			return s, nil
 		}
 	}
-	return Secret{}, errors.Wrapf(ErrForeign, "key number %d", number)
+	return Secret{}, errors.Wrapf(ErrForeignFleet, "key number %d", number)
 }
 
 // prove returns an HMAC of the transcript. It covers both nonces against replay, the role
@@ -109,10 +109,10 @@
 
 func (s Secret) verify(by role, h transcript, proof []byte) error {
 	if len(h.clientNonce) != nonceBytes || len(h.serverNonce) != nonceBytes {
-		return errors.Wrap(ErrForeign, "wrong nonce length")
+		return errors.Wrap(ErrForeignFleet, "wrong nonce length")
 	}
 	if !hmac.Equal(s.prove(by, h), proof) {
-		return errors.Wrapf(ErrForeign, "proof for key number %d does not match", s.Number)
+		return errors.Wrapf(ErrForeignFleet, "proof for key number %d does not match", s.KeyNumber)
 	}
 	return nil
 }
--- a/internal/linker/client.go
+++ b/internal/linker/client.go
@@ -34,8 +34,8 @@
 		lock     chan struct{}
 		conn     *drpcconn.Conn
 		lastUsed time.Time
-		// Introduced is set once the caller's identity was sent on this connection.
-		Introduced bool
+		// SenderSent is set once the caller's identity was sent on this connection.
+		SenderSent bool
 		// bytes counts the traffic in both directions.
 		bytes atomic.Int64
 	}
@@ -116,7 +116,7 @@
 	}
 	l := c.links[address]
 	if l == nil {
-		// Marked as used, so that Tidy doesn't remove the link before its first call, whose
+		// Marked as used, so that CloseIdle doesn't remove the link before its first call, whose
 		// connection would then never be closed.
 		l = &Link{lock: make(chan struct{}, 1), lastUsed: time.Now()}
 		c.links[address] = l
@@ -133,8 +133,8 @@
 	}
 }
 
-// Tidy closes connections without a call for linkIdleTimeout.
-func (c *Client) Tidy(now time.Time) {
+// CloseIdle closes connections without a call for linkIdleTimeout.
+func (c *Client) CloseIdle(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for a, l := range c.links {
@@ -170,8 +170,8 @@
 	return c.attach(l, address, conn)
 }
 
-// Open dials a connection to a peer that the caller owns and closes.
-func (c *Client) Open(ctx context.Context, address string) (drpc.Conn, error) {
+// Dial dials a connection to a peer that the caller owns and closes.
+func (c *Client) Dial(ctx context.Context, address string) (drpc.Conn, error) {
 	return c.dial(ctx, address, &atomic.Int64{})
 }
 
@@ -194,7 +194,7 @@
 // Bytes returns the traffic of the link so far, both directions.
 func (l *Link) Bytes() int64 { return l.bytes.Load() }
 
-// attach sets a link's connection. A link that Close or Tidy has removed in the meantime gets
+// attach sets a link's connection. A link that Close or CloseIdle has removed in the meantime gets
 // none, since nothing would close it.
 func (c *Client) attach(l *Link, address string, conn *drpcconn.Conn) error {
 	c.mutex.Lock()
@@ -203,7 +203,7 @@
 		_ = conn.Close()
 		return ErrClosed
 	}
-	l.conn, l.Introduced = conn, false
+	l.conn, l.SenderSent = conn, false
 	return nil
 }
 
@@ -211,7 +211,7 @@
 	h := transcript{client: c.Versions, clientNonce: newNonce()}
 	request := &wire.HelloRequest{Oldest: c.Versions.Oldest, Newest: c.Versions.Newest, Nonce: h.clientNonce}
 	for _, s := range c.Secrets {
-		request.Keys = append(request.Keys, uint32(s.Number))
+		request.Keys = append(request.Keys, uint32(s.KeyNumber))
 	}
 	reply, err := p.Hello(ctx, request)
 	if err != nil {
@@ -236,7 +236,7 @@
 func decodeError(err error) error {
 	switch drpcerr.Code(err) {
 	case codeForeign:
-		return errors.Wrap(ErrForeign, err.Error())
+		return errors.Wrap(ErrForeignFleet, err.Error())
 	case codeWireVersion:
 		return errors.Wrap(ErrWireVersion, err.Error())
 	}
--- a/internal/linker/client_test.go
+++ b/internal/linker/client_test.go
@@ -29,7 +29,7 @@
 // the peer's slot.
 func TestConnectionMadeWhileClosing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, keys := wirer.New(1), []Secret{{Number: 1, Value: []byte("one secret")}}
+		n, keys := wirer.New(1), []Secret{{KeyNumber: 1, Value: []byte("one secret")}}
 		ctx, cancel := context.WithCancel(t.Context())
 		s := &Server{
 			Address: "10.0.0.1:7100", Network: n.Host("10.0.0.1", "a"), Secrets: keys, Versions: CurrentVersions,
@@ -48,11 +48,11 @@
 	})
 }
 
-// Tidy must not remove a link between its creation and its first call, since its connection
+// CloseIdle must not remove a link between its creation and its first call, since its connection
 // would leak.
 func TestNewLinkIsNotClosedAsIdle(t *testing.T) {
 	c := &Client{}
 	l := c.link("peer")
-	c.Tidy(time.Now())
+	c.CloseIdle(time.Now())
 	must.True(t, l == c.link("peer"))
 }
--- a/internal/linker/server.go
+++ b/internal/linker/server.go
@@ -49,7 +49,7 @@
 		Count func(name string)
 
 		// Register registers the services for a new connection; every call except the
-		// handshake's must check Session.Ready.
+		// handshake's must check Session.CheckAuthenticated.
 		Register func(m *drpcmux.Mux, s *Session) error
 	}
 
@@ -159,7 +159,7 @@
 		return nil, drpcerr.WithCode(err, codeForeign)
 	}
 	return &wire.HelloReply{
-		Oldest: s.Versions.Oldest, Newest: s.Versions.Newest, Key: uint32(p.secret.Number),
+		Oldest: s.Versions.Oldest, Newest: s.Versions.Newest, Key: uint32(p.secret.KeyNumber),
 		Nonce: p.transcript.serverNonce, Proof: p.secret.prove(roleServer, p.transcript),
 	}, nil
 }
@@ -186,9 +186,9 @@
 	}
 }
 
-// Ready returns an error unless the peer is authenticated. Every call except the handshake's
+// CheckAuthenticated returns an error unless the peer is authenticated. Every call except the handshake's
 // checks it first.
-func (p *Session) Ready() error {
+func (p *Session) CheckAuthenticated() error {
 	if p.isAuthenticated() {
 		return nil
 	}
--- a/internal/lister/lister.go
+++ b/internal/lister/lister.go
@@ -56,8 +56,8 @@
 		Instances(ctx context.Context) ([]Instance, error)
 	}
 
-	// Page is an HTTP client for the list. Set the fields, then call Open.
-	Page struct {
+	// Client is an HTTP client for the list. Set the fields, then call Open.
+	Client struct {
 		Address string
 		Network networker.Network
 
@@ -80,21 +80,21 @@
 }
 
 // Open initializes the client without making a call.
-func (p *Page) Open() *Page {
-	p.client = &http.Client{Transport: &http.Transport{
+func (c *Client) Open() *Client {
+	c.client = &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return p.Network.Dial(ctx, p.Address)
+			return c.Network.Dial(ctx, c.Address)
 		},
 		MaxIdleConnsPerHost: 1,
 	}}
-	return p
+	return c
 }
 
 // Close closes the idle connection.
-func (p *Page) Close() { p.client.CloseIdleConnections() }
+func (c *Client) Close() { c.client.CloseIdleConnections() }
 
 // Instances implements List.
-func (p *Page) Instances(ctx context.Context) ([]Instance, error) {
+func (p *Client) Instances(ctx context.Context) ([]Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Address+Path, nil)
--- a/internal/lister/lister_test.go
+++ b/internal/lister/lister_test.go
@@ -37,7 +37,7 @@
 		before, after := lister.Top(key, "a", 3, all), lister.Top(key, "a", 3, all[1:])
 		for _, i := range before {
 			share[i.Name]++
-			must.True(t, i.Name == all[0].Name || lister.Holds(after, i.Name))
+			must.True(t, i.Name == all[0].Name || lister.Contains(after, i.Name))
 		}
 	}
 	for _, i := range all {
@@ -55,7 +55,7 @@
 		ended := make(chan error, 1)
 		go func() { ended <- k.Run(ctx) }()
 		synctest.Wait()
-		p := (&lister.Page{Address: k.Address, Network: n.Host("10.0.0.2", "a")}).Open()
+		p := (&lister.Client{Address: k.Address, Network: n.Host("10.0.0.2", "a")}).Open()
 		defer func() {
 			p.Close()
 			cancel()
@@ -96,14 +96,14 @@
 		want   []string
 	}{
 		{"list only", nil, 0, []string{"entry-0", "entry-1", "entry-2"}},
-		{"one call failed", []controller.Event{lister.Called{Name: "entry-2"}}, 0, []string{"entry-0", "entry-1", "entry-2"}},
-		{"two calls failed", []controller.Event{lister.Called{Name: "entry-2"}, lister.Called{Name: "entry-2"}}, 0, []string{"entry-0", "entry-1"}},
-		{"unresponsive instance stays removed", []controller.Event{lister.Called{Name: "entry-2"}, lister.Called{Name: "entry-2"}, controller.Tick{}, controller.Tick{}}, time.Minute, []string{"entry-0", "entry-1"}},
-		{"unresponsive instance answers again", []controller.Event{lister.Called{Name: "entry-2"}, lister.Called{Name: "entry-2"}, lister.Called{Name: "entry-2", OK: true}}, 0, []string{"entry-0", "entry-1", "entry-2"}},
-		{"unresponsive instance calls", []controller.Event{lister.Called{Name: "entry-2"}, lister.Called{Name: "entry-2"}, lister.Met{Instance: all[2]}}, 0, []string{"entry-0", "entry-1", "entry-2"}},
-		{"unlisted instance calls", []controller.Event{lister.Met{Instance: fresh}}, 0, []string{"entry-0", "entry-1", "entry-2", "fresh"}},
-		{"unlisted instance expires", []controller.Event{lister.Met{Instance: fresh}, controller.Tick{}, controller.Tick{}}, 2 * time.Minute, []string{"entry-0", "entry-1", "entry-2"}},
-		{"instance announces its shutdown", []controller.Event{lister.Met{Instance: going}}, 0, []string{"entry-0", "entry-1"}},
+		{"one call failed", []controller.Event{lister.PeerCalled{Name: "entry-2"}}, 0, []string{"entry-0", "entry-1", "entry-2"}},
+		{"two calls failed", []controller.Event{lister.PeerCalled{Name: "entry-2"}, lister.PeerCalled{Name: "entry-2"}}, 0, []string{"entry-0", "entry-1"}},
+		{"unresponsive instance stays removed", []controller.Event{lister.PeerCalled{Name: "entry-2"}, lister.PeerCalled{Name: "entry-2"}, controller.Tick{}, controller.Tick{}}, time.Minute, []string{"entry-0", "entry-1"}},
+		{"unresponsive instance answers again", []controller.Event{lister.PeerCalled{Name: "entry-2"}, lister.PeerCalled{Name: "entry-2"}, lister.PeerCalled{Name: "entry-2", OK: true}}, 0, []string{"entry-0", "entry-1", "entry-2"}},
+		{"unresponsive instance calls", []controller.Event{lister.PeerCalled{Name: "entry-2"}, lister.PeerCalled{Name: "entry-2"}, lister.PeerSeen{Instance: all[2]}}, 0, []string{"entry-0", "entry-1", "entry-2"}},
+		{"unlisted instance calls", []controller.Event{lister.PeerSeen{Instance: fresh}}, 0, []string{"entry-0", "entry-1", "entry-2", "fresh"}},
+		{"unlisted instance expires", []controller.Event{lister.PeerSeen{Instance: fresh}, controller.Tick{}, controller.Tick{}}, 2 * time.Minute, []string{"entry-0", "entry-1", "entry-2"}},
+		{"instance announces its shutdown", []controller.Event{lister.PeerSeen{Instance: going}}, 0, []string{"entry-0", "entry-1"}},
 		{"list shows a leaving instance", []controller.Event{lister.Listed{Instances: []lister.Instance{all[0], all[1], going}}}, 0, []string{"entry-0", "entry-1"}},
 		{"list is unavailable", []controller.Event{lister.Listed{Err: context.DeadlineExceeded}}, 0, []string{"entry-0", "entry-1", "entry-2"}},
 	} {
@@ -117,7 +117,7 @@
 					if !ok {
 						continue
 					}
-					if v, ok := m.Event.(lister.Changed); ok {
+					if v, ok := m.Event.(lister.ViewChanged); ok {
 						got = nil
 						for _, i := range v.Instances {
 							got = append(got, i.Name)
--- a/internal/lister/ranker.go
+++ b/internal/lister/ranker.go
@@ -24,7 +24,7 @@
 	return r[:min(n, len(r))]
 }
 
-// Holds reports whether the list contains an instance with the name.
-func Holds(list []Instance, name string) bool {
+// Contains reports whether the list contains an instance with the name.
+func Contains(list []Instance, name string) bool {
 	return slices.ContainsFunc(list, func(i Instance) bool { return i.Name == name })
 }
--- a/internal/lister/slice.go
+++ b/internal/lister/slice.go
@@ -73,18 +73,18 @@
 		Err       error
 	}
 
-	// Met reports that a peer called, or was listed by another peer.
-	Met struct{ Instance Instance }
+	// PeerSeen reports that a peer called, or was listed by another peer.
+	PeerSeen struct{ Instance Instance }
 
-	// Called reports the result of a call to a peer.
-	Called struct {
+	// PeerCalled reports the result of a call to a peer.
+	PeerCalled struct {
 		Name string
 		OK   bool
 	}
 
-	// Changed reports a new view of the live entry instances, including this one, sorted by
+	// ViewChanged reports a new view of the live entry instances, including this one, sorted by
 	// name.
-	Changed struct{ Instances []Instance }
+	ViewChanged struct{ Instances []Instance }
 
 	// Probe requests a call to an unresponsive instance. It returns to the view only when it
 	// answers or calls. Returning after a timeout would move its work back and forth while
@@ -102,13 +102,13 @@
 func (Listed) EventName() string { return "instances-listed" }
 
 // EventName implements controller.Event.
-func (Met) EventName() string { return "peer-met" }
+func (PeerSeen) EventName() string { return "peer-met" }
 
 // EventName implements controller.Event.
-func (Called) EventName() string { return "peer-called" }
+func (PeerCalled) EventName() string { return "peer-called" }
 
 // EventName implements controller.Event.
-func (Changed) EventName() string { return "instances-changed" }
+func (ViewChanged) EventName() string { return "instances-changed" }
 
 // EventName implements controller.Event.
 func (Probe) EventName() string { return "peer-to-probe" }
@@ -133,9 +133,9 @@
 			}
 		}
 		return s.updateView(now)
-	case Met:
+	case PeerSeen:
 		return s.handleMet(now, e.Instance)
-	case Called:
+	case PeerCalled:
 		return s.handleCalled(now, e)
 	}
 	return nil
@@ -161,7 +161,7 @@
 
 // readInterval returns the time until this instance reads the list again.
 func (s *Slice) readInterval() time.Duration {
-	if s.listed == nil || Holds(Top(watchKey, s.Self.Zone, watchers, s.view), s.Self.Name) {
+	if s.listed == nil || Contains(Top(watchKey, s.Self.Zone, watchers, s.view), s.Self.Name) {
 		return watcherReadInterval
 	}
 	return s.addJitter(max(minReadInterval, time.Duration(len(s.view))*readIntervalPerInstance))
@@ -186,7 +186,7 @@
 	return s.updateView(now)
 }
 
-func (s *Slice) handleCalled(now time.Time, e Called) []controller.Action {
+func (s *Slice) handleCalled(now time.Time, e PeerCalled) []controller.Action {
 	l := s.unresponsive[e.Name]
 	if e.OK {
 		if l == nil {
@@ -206,7 +206,7 @@
 	return s.updateView(now)
 }
 
-// updateView recomputes the view and emits Changed if it differs.
+// updateView recomputes the view and emits ViewChanged if it differs.
 func (s *Slice) updateView(now time.Time) []controller.Action {
 	seen := map[string]Instance{s.Self.Name: s.Self}
 	s.nextExpiry = time.Time{}
@@ -236,7 +236,7 @@
 		return nil
 	}
 	s.view = view
-	return []controller.Action{controller.Emit{Event: Changed{Instances: view}}}
+	return []controller.Action{controller.Emit{Event: ViewChanged{Instances: view}}}
 }
 
 // probe emits Probe for each unresponsive instance whose backoff has passed.
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -152,9 +152,9 @@
 // Step implements controller.Slice.
 func (s *Slice) Step(now time.Time, e controller.Event) []controller.Action {
 	switch e := e.(type) {
-	case configurer.InForce:
+	case configurer.Activated:
 		s.apply(now, e.Document)
-	case lister.Changed:
+	case lister.ViewChanged:
 		s.members = e.Instances
 		s.assign(now)
 	case Used:
@@ -186,7 +186,7 @@
 		g.service, s.groups[v.Name] = v, g
 		s.order = append(s.order, g)
 		for n := range g.asked {
-			if !v.Holds(n) {
+			if !v.HasMember(n) {
 				delete(g.asked, n)
 			}
 		}
@@ -199,7 +199,7 @@
 func (s *Slice) assign(now time.Time) {
 	var mine [Shards]bool
 	for i := range mine {
-		mine[i] = s.members == nil || lister.Holds(Of(uint32(i), s.Zone, s.members), s.Instance)
+		mine[i] = s.members == nil || lister.Contains(Of(uint32(i), s.Zone, s.members), s.Instance)
 	}
 	for n, g := range s.groups {
 		g.observed = mine[Shard(n)]
--- a/internal/pooler/conn.go
+++ b/internal/pooler/conn.go
@@ -19,7 +19,7 @@
 	Conn struct {
 		net.Conn
 		Frontend *pgproto3.Frontend
-		Place    Place
+		Endpoint Endpoint
 		// Statements are the names of the statements prepared in the session.
 		Statements map[string]bool
 		// Settings are the statements that configured the session for its last client; empty
@@ -35,8 +35,8 @@
 		Tainted bool
 		// Broken connections are closed on return.
 		Broken bool
-		// Long is set while the connection is checked out by a transaction.
-		Long bool
+		// InTransaction is set while the connection is checked out by a transaction.
+		InTransaction bool
 
 		socket *socket
 		opened time.Time
@@ -85,7 +85,7 @@
 
 // openConn opens a connection to a place. If it returns a socket with an error, the target may
 // still have started a session.
-func openConn(ctx context.Context, n networker.Network, application string, place Place) (*Conn, *socket, error) {
+func openConn(ctx context.Context, n networker.Network, application string, place Endpoint) (*Conn, *socket, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	parameters := map[string]string{"application_name": application}
@@ -103,23 +103,23 @@
 	}
 	k.captured.pid = h.PID
 	c := &Conn{
-		Conn: h.Conn, Frontend: h.Frontend, Place: place, Statements: map[string]bool{},
+		Conn: h.Conn, Frontend: h.Frontend, Endpoint: place, Statements: map[string]bool{},
 		PID: h.PID, Secret: h.SecretKey, socket: k.captured,
 	}
-	c.Learn(h.ParameterStatuses["oriole.position"])
+	c.UpdatePosition(h.ParameterStatuses["oriole.position"])
 	return c, k.captured, nil
 }
 
-// Learn updates the position from a value reported by the target.
-func (c *Conn) Learn(text string) {
+// UpdatePosition updates the position from a value reported by the target.
+func (c *Conn) UpdatePosition(text string) {
 	if p, err := orderer.Parse(text); err == nil {
 		c.Position = p
 	}
 }
 
-// Ask runs a statement and returns its rows. The connection is broken after any error other
+// Query runs a statement and returns its rows. The connection is broken after any error other
 // than a *pgconn.PgError.
-func (c *Conn) Ask(ctx context.Context, sql string) ([][][]byte, error) {
+func (c *Conn) Query(ctx context.Context, sql string) ([][][]byte, error) {
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Now()) })
 	rows, refused, err := c.query(sql)
 	if !stop() && err == nil {
@@ -127,7 +127,7 @@
 	}
 	if err != nil {
 		c.Broken = true
-		return nil, errors.Wrapf(err, "ask %s", c.Place.Address)
+		return nil, errors.Wrapf(err, "ask %s", c.Endpoint.Address)
 	}
 	if refused != nil {
 		return nil, refused
@@ -156,7 +156,7 @@
 			refused = pgconn.ErrorResponseToPgError(m)
 		case *pgproto3.ParameterStatus:
 			if m.Name == "oriole.position" {
-				c.Learn(m.Value)
+				c.UpdatePosition(m.Value)
 			}
 		case *pgproto3.ReadyForQuery:
 			return rows, refused, nil
--- a/internal/pooler/control.go
+++ b/internal/pooler/control.go
@@ -17,11 +17,11 @@
 // when no connection was free.
 const probeReserve = 200 * time.Millisecond
 
-// Ask runs a control statement at an address and returns its rows. The urgency decides whether
+// QueryControl runs a control statement at an address and returns its rows. The urgency decides whether
 // it may open a connection or evict an idle one. ErrBusy means that no connection was free in
 // time although the target responds to a probe; without the probe, a dead target whose
 // connections all hang would be reported as busy.
-func (p *Pool) Ask(ctx context.Context, address, sql string, u commander.Urgency) ([][][]byte, error) {
+func (p *Pool) QueryControl(ctx context.Context, address, sql string, u commander.Urgency) ([][][]byte, error) {
 	rows, err := p.queryWithReserve(ctx, address, sql, u)
 	if errors.Is(err, ErrBusy) {
 		if probeErr := p.probe(ctx, address); probeErr != nil {
@@ -68,7 +68,7 @@
 		ctx, cancel = context.WithTimeout(ctx, time.Until(deadline)/2)
 		defer cancel()
 	}
-	rows, err := c.Ask(ctx, sql)
+	rows, err := c.Query(ctx, sql)
 	var refused *pgconn.PgError
 	if errors.As(err, &refused) && refused.Severity == "FATAL" {
 		c.Broken = true
@@ -91,7 +91,7 @@
 		case o.conn != nil:
 			return o.conn, nil
 		case o.dial:
-			return p.dial(ctx, Place{Address: address})
+			return p.dial(ctx, Endpoint{Address: address})
 		case o.probe:
 			if err := p.probe(ctx, address); err != nil {
 				return nil, err
@@ -119,7 +119,7 @@
 		return checkout{conn: c}
 	default:
 	}
-	if c := p.takeIdle(func(c *Conn) bool { return c.Place.Address == a.address }); c != nil {
+	if c := p.takeIdle(func(c *Conn) bool { return c.Endpoint.Address == a.address }); c != nil {
 		return checkout{conn: c}
 	}
 	a.waiting = true
@@ -135,7 +135,7 @@
 		a.waiting = false
 		return checkout{dial: true}
 	}
-	p.evictOneIdle(func(c *Conn) bool { return u >= commander.Wanted || !slices.Contains(p.wanted, c.Place) })
+	p.evictOneIdle(func(c *Conn) bool { return u >= commander.Wanted || !slices.Contains(p.wanted, c.Endpoint) })
 	return checkout{wait: p.changed}
 }
 
@@ -175,7 +175,7 @@
 // positions would become stale.
 func (p *Pool) handToControl(c *Conn) bool {
 	for i, a := range p.controlWaiters {
-		if a.waiting && a.address == c.Place.Address {
+		if a.waiting && a.address == c.Endpoint.Address {
 			p.controlWaiters = slices.Delete(p.controlWaiters, i, i+1)
 			p.checkedOut[c] = struct{}{}
 			a.handoff <- c
--- a/internal/pooler/maintenance.go
+++ b/internal/pooler/maintenance.go
@@ -65,7 +65,7 @@
 			for _, f := range p.maintain(ctx) {
 				start(f)
 			}
-			if n := p.Lendable(); n != lendable {
+			if n := p.Capacity(); n != lendable {
 				lendable = n
 				p.resized()
 			}
@@ -126,8 +126,8 @@
 	p.idle = nil
 }
 
-// Want sets the places that requests are likely to need, the most likely first.
-func (p *Pool) Want(places []Place) {
+// SetWanted sets the places that requests are likely to need, the most likely first.
+func (p *Pool) SetWanted(places []Endpoint) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.initialize()
@@ -147,7 +147,7 @@
 	now := time.Now()
 	p.closeIdleIf(func(c *Conn) bool {
 		old := now.Sub(c.opened) >= maxAge+time.Duration(c.PID%64)*maxAgeStep
-		return old || (now.Sub(c.used) >= maxIdleTime && !slices.Contains(p.wanted, c.Place))
+		return old || (now.Sub(c.used) >= maxIdleTime && !slices.Contains(p.wanted, c.Endpoint))
 	})
 	out := p.warm(ctx)
 	for s := range p.closing {
@@ -178,7 +178,7 @@
 			continue
 		}
 		if p.held() >= p.share.Connections {
-			p.evictOneIdle(func(c *Conn) bool { return !slices.Contains(p.wanted[:i+1], c.Place) })
+			p.evictOneIdle(func(c *Conn) bool { return !slices.Contains(p.wanted[:i+1], c.Endpoint) })
 			return nil
 		}
 		p.dialing[w.Address]++
@@ -194,14 +194,14 @@
 	return nil
 }
 
-func (p *Pool) hasConnTo(w Place) bool {
+func (p *Pool) hasConnTo(w Endpoint) bool {
 	for _, c := range p.idle {
-		if c.Place == w {
+		if c.Endpoint == w {
 			return true
 		}
 	}
 	for c := range p.checkedOut {
-		if c.Place == w {
+		if c.Endpoint == w {
 			return true
 		}
 	}
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -29,8 +29,8 @@
 	// call Run; the other methods are safe for concurrent use.
 	Pool struct {
 		Network networker.Network
-		// Resized is called, without locks held, when Lendable may have changed.
-		Resized func()
+		// OnCapacityChange is called, without locks held, when Capacity may have changed.
+		OnCapacityChange func()
 		// Count increments the named metric.
 		Count func(name string)
 
@@ -42,7 +42,7 @@
 		dialing        map[string]int // by address
 		closing        map[*socket]struct{}
 		waiters        int
-		wanted         []Place
+		wanted         []Endpoint
 		controlWaiters []*controlWaiter
 		newlyClosing   []*socket // not yet awaited
 		closingSignal  chan struct{}
@@ -57,24 +57,24 @@
 		// Application names new connections. Targets terminate and refuse connections by this
 		// name.
 		Application string
-		// Number increases with each change.
-		Number uint64
+		// Version increases with each change.
+		Version uint64
 	}
 
-	// Use is the current use of a share.
-	Use struct {
+	// Usage is the current use of a share.
+	Usage struct {
 		Share Share
-		// Held counts all occupied slots; Used counts connections that are checked out,
+		// Held counts all occupied slots; InUse counts connections that are checked out,
 		// requested or closing.
-		Held, Used int
-		// Starved is set while a control statement waits for a target without any connection.
-		Starved bool
+		Held, InUse int
+		// ControlStarved is set while a control statement waits for a target without any connection.
+		ControlStarved bool
 		// Revoked is set when a target refuses the application's connections.
 		Revoked bool
 	}
 
-	// Place identifies a target and the role for which a connection was opened.
-	Place struct {
+	// Endpoint identifies a target and the role for which a connection was opened.
+	Endpoint struct {
 		Address string
 		// Term is the primary's term that the connection is bound to; 0 for replicas.
 		Term uint64
@@ -85,7 +85,7 @@
 var ErrBusy = commander.ErrBusy
 
 // Borrow checks out a connection to the place, or opens one if the share allows.
-func (p *Pool) Borrow(ctx context.Context, place Place) (*Conn, error) {
+func (p *Pool) Borrow(ctx context.Context, place Endpoint) (*Conn, error) {
 	p.addWaiters(1)
 	defer p.addWaiters(-1)
 	probed := false
@@ -135,11 +135,11 @@
 }
 
 // tryCheckout attempts to get a connection for a client request.
-func (p *Pool) tryCheckout(place Place, probed bool) checkout {
+func (p *Pool) tryCheckout(place Endpoint, probed bool) checkout {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.discardStale(place)
-	if c := p.takeIdle(func(c *Conn) bool { return c.Place == place }); c != nil {
+	if c := p.takeIdle(func(c *Conn) bool { return c.Endpoint == place }); c != nil {
 		return checkout{conn: c}
 	}
 	if p.orderWaiting() || !p.mayOpenAt(place.Address) {
@@ -170,12 +170,12 @@
 
 // discardStale closes idle connections to a primary that are bound to an older term or to none.
 // The primary refuses writes on them, and they would occupy slots.
-func (p *Pool) discardStale(place Place) {
+func (p *Pool) discardStale(place Endpoint) {
 	if place.Term == 0 {
 		return
 	}
 	p.closeIdleIf(func(c *Conn) bool {
-		return c.Place.Address == place.Address && c.Place.Term < place.Term
+		return c.Endpoint.Address == place.Address && c.Endpoint.Term < place.Term
 	})
 }
 
@@ -213,9 +213,9 @@
 	n = p.dialing[address]
 	allLong = n == 0
 	for c := range p.checkedOut {
-		if c.Place.Address == address {
+		if c.Endpoint.Address == address {
 			n++
-			allLong = allLong && c.Long
+			allLong = allLong && c.InTransaction
 		}
 	}
 	for s := range p.closing {
@@ -225,7 +225,7 @@
 		}
 	}
 	for _, c := range p.idle {
-		if c.Place.Address == address {
+		if c.Endpoint.Address == address {
 			n++
 		}
 	}
@@ -236,13 +236,13 @@
 // for this one. If a connection to the place will be returned soon, only connections idle for
 // minIdleBeforeEviction are closed; this avoids thrashing when requests alternate between
 // members.
-func (p *Pool) evictIdleFor(place Place) {
+func (p *Pool) evictIdleFor(place Endpoint) {
 	if p.countClosingSoon() >= p.waiters {
 		return // enough are closing already
 	}
 	canWait := p.hasShortUse(place)
 	for i, c := range p.idle {
-		if c.Place == place || (canWait && time.Since(c.used) < minIdleBeforeEviction) {
+		if c.Endpoint == place || (canWait && time.Since(c.used) < minIdleBeforeEviction) {
 			continue
 		}
 		p.idle = slices.Delete(p.idle, i, i+1)
@@ -253,9 +253,9 @@
 
 // hasShortUse reports whether a connection to the place is being dialed, or is checked out
 // outside a transaction.
-func (p *Pool) hasShortUse(place Place) bool {
+func (p *Pool) hasShortUse(place Endpoint) bool {
 	for c := range p.checkedOut {
-		if c.Place == place && !c.Long {
+		if c.Endpoint == place && !c.InTransaction {
 			return true
 		}
 	}
@@ -271,7 +271,7 @@
 	return n
 }
 
-func (p *Pool) dial(ctx context.Context, place Place) (*Conn, error) {
+func (p *Pool) dial(ctx context.Context, place Endpoint) (*Conn, error) {
 	p.count("connection.opened")
 	p.mutex.Lock()
 	application := p.share.Application
@@ -306,12 +306,12 @@
 	p.notifyChanged()
 }
 
-// Lengthen marks a connection as checked out by a transaction, whose duration the client
+// MarkInTransaction marks a connection as checked out by a transaction, whose duration the client
 // controls.
-func (p *Pool) Lengthen(c *Conn) {
+func (p *Pool) MarkInTransaction(c *Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	c.Long = true
+	c.InTransaction = true
 	p.notifyChanged()
 }
 
@@ -323,7 +323,7 @@
 		return
 	}
 	delete(p.checkedOut, c)
-	c.Long = false
+	c.InTransaction = false
 	if c.Broken || p.closed || p.held() >= p.share.Connections {
 		c.socket.clean = !c.Broken
 		p.startClosing(c.socket)
@@ -351,7 +351,7 @@
 func (p *Pool) SetShare(s Share) {
 	p.mutex.Lock()
 	p.initialize()
-	if s.Number >= p.share.Number {
+	if s.Version >= p.share.Version {
 		if p.share.Application != s.Application {
 			// The targets have terminated the connections of the old name.
 			p.closeIdleIf(func(*Conn) bool { return true })
@@ -383,23 +383,23 @@
 	}
 }
 
-// Use returns the current use of the share.
-func (p *Pool) Use() Use {
+// Usage returns the current use of the share.
+func (p *Pool) Usage() Usage {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return Use{Share: p.share, Held: p.held(), Used: len(p.checkedOut) + len(p.closing) + p.waiters, Starved: p.controlStarved(), Revoked: p.revoked}
+	return Usage{Share: p.share, Held: p.held(), InUse: len(p.checkedOut) + len(p.closing) + p.waiters, ControlStarved: p.controlStarved(), Revoked: p.revoked}
 }
 
-// Lendable returns how many connections can be checked out at once.
-func (p *Pool) Lendable() int {
+// Capacity returns how many connections can be checked out at once.
+func (p *Pool) Capacity() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return max(0, p.share.Connections-p.countStuck())
 }
 
 func (p *Pool) resized() {
-	if p.Resized != nil {
-		p.Resized()
+	if p.OnCapacityChange != nil {
+		p.OnCapacityChange()
 	}
 }
 
--- a/internal/pooler/pooler_test.go
+++ b/internal/pooler/pooler_test.go
@@ -21,8 +21,8 @@
 )
 
 var (
-	primary = pooler.Place{Address: primaryIP + ":5432", Term: 1}
-	replica = pooler.Place{Address: replicaIP + ":5432"}
+	primary = pooler.Endpoint{Address: primaryIP + ":5432", Term: 1}
+	replica = pooler.Endpoint{Address: replicaIP + ":5432"}
 )
 
 // fixture is a pool with a primary and a replica that take 10 ms to open a connection.
@@ -66,7 +66,7 @@
 	})
 }
 
-func (b *fixture) borrow(t *testing.T, p pooler.Place) *pooler.Conn {
+func (b *fixture) borrow(t *testing.T, p pooler.Endpoint) *pooler.Conn {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(b.ctx, time.Second)
 	defer cancel()
@@ -75,7 +75,7 @@
 	return c
 }
 
-func (b *fixture) mustNotBorrow(t *testing.T, p pooler.Place) {
+func (b *fixture) mustNotBorrow(t *testing.T, p pooler.Endpoint) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(b.ctx, time.Second)
 	defer cancel()
@@ -92,14 +92,14 @@
 		c.Broken = true
 		b.pool.Return(c)
 		time.Sleep(10 * time.Second)
-		must.Eq(t, 1, b.pool.Use().Held)
-		must.Eq(t, 1, b.pool.Lendable())
+		must.Eq(t, 1, b.pool.Usage().Held)
+		must.Eq(t, 1, b.pool.Capacity())
 		must.Eq(t, 1, b.replica.Status().Sessions)
 		b.net.HealAll()
 		time.Sleep(time.Second)
 		must.Eq(t, 0, b.replica.Status().Sessions)
-		must.Eq(t, 0, b.pool.Use().Held)
-		must.Eq(t, 2, b.pool.Lendable())
+		must.Eq(t, 0, b.pool.Usage().Held)
+		must.Eq(t, 2, b.pool.Capacity())
 	})
 }
 
@@ -115,11 +115,11 @@
 			b.mustNotBorrow(t, primary)
 		}
 		b.pool.Return(b.borrow(t, replica))
-		must.LessEq(t, 3, b.pool.Use().Held)
+		must.LessEq(t, 3, b.pool.Usage().Held)
 		b.primary.Faults.Thaw()
 		time.Sleep(2 * time.Second)
 		must.Eq(t, 0, b.primary.Status().Sessions)
-		must.Eq(t, 3, b.pool.Lendable())
+		must.Eq(t, 3, b.pool.Capacity())
 	})
 }
 
@@ -131,7 +131,7 @@
 		b.replica.Faults.Freeze()
 		c.Broken = true
 		b.pool.Return(c)
-		b.pool.Return(b.borrow(t, pooler.Place{Address: primary.Address}))
+		b.pool.Return(b.borrow(t, pooler.Endpoint{Address: primary.Address}))
 		b.pool.Return(b.borrow(t, primary))
 		b.replica.Faults.Thaw()
 	})
@@ -156,7 +156,7 @@
 	withFixture(t, 2, func(t *testing.T, b *fixture) {
 		inTransaction := b.borrow(t, primary)
 		b.mustNotBorrow(t, primary)
-		b.pool.Lengthen(inTransaction)
+		b.pool.MarkInTransaction(inTransaction)
 		b.pool.Return(b.borrow(t, primary))
 		b.pool.Return(inTransaction)
 	})
@@ -171,9 +171,9 @@
 		c.Broken = true
 		b.pool.Return(c)
 		time.Sleep(5 * time.Second)
-		must.Eq(t, 2, b.pool.Lendable())
+		must.Eq(t, 2, b.pool.Capacity())
 		must.LessEq(t, 1, b.primary.Status().Sessions, must.Sprint("the connection that terminated it may be idle"))
-		must.Eq(t, b.primary.Status().Sessions, b.pool.Use().Held)
+		must.Eq(t, b.primary.Status().Sessions, b.pool.Usage().Held)
 	})
 }
 
@@ -186,7 +186,7 @@
 		c.Broken = true
 		b.pool.Return(c)
 		time.Sleep(10 * time.Millisecond)
-		must.Eq(t, 0, b.pool.Use().Held)
+		must.Eq(t, 0, b.pool.Usage().Held)
 	})
 }
 
@@ -202,20 +202,20 @@
 		c.Broken = true
 		b.pool.Return(c)
 		b.mustNotBorrow(t, primary)
-		must.True(t, b.pool.Use().Revoked)
+		must.True(t, b.pool.Usage().Revoked)
 		must.Eq(t, 0, b.primary.Status().Sessions)
-		b.pool.SetShare(pooler.Share{Connections: 2, Application: "entry/2", Number: 1})
+		b.pool.SetShare(pooler.Share{Connections: 2, Application: "entry/2", Version: 1})
 		b.pool.Return(b.borrow(t, primary))
-		must.False(t, b.pool.Use().Revoked)
+		must.False(t, b.pool.Usage().Revoked)
 	})
 }
 
 // Share updates arrive out of order. The older one must not raise the limit.
 func TestOlderShareIsIgnored(t *testing.T) {
 	withFixture(t, 0, func(t *testing.T, b *fixture) {
-		b.pool.SetShare(pooler.Share{Connections: 1, Application: "entry/1", Number: 3})
-		b.pool.SetShare(pooler.Share{Connections: 2, Application: "entry/1", Number: 2})
-		must.Eq(t, 1, b.pool.Lendable())
+		b.pool.SetShare(pooler.Share{Connections: 1, Application: "entry/1", Version: 3})
+		b.pool.SetShare(pooler.Share{Connections: 2, Application: "entry/1", Version: 2})
+		must.Eq(t, 1, b.pool.Capacity())
 	})
 }
 
@@ -234,7 +234,7 @@
 // slot allowed for its address.
 func TestIdleControlConnectionIsReplacedAfterPromotion(t *testing.T) {
 	withFixture(t, 2, func(t *testing.T, b *fixture) {
-		_, err := b.pool.Ask(b.ctx, primary.Address, "SELECT * FROM oriole_status()", commander.Routine)
+		_, err := b.pool.QueryControl(b.ctx, primary.Address, "SELECT * FROM oriole_status()", commander.Routine)
 		must.NoError(t, err)
 		b.pool.Return(b.borrow(t, primary))
 	})
@@ -260,7 +260,7 @@
 // Wanted connections are opened in advance, so that the first requests don't wait for the dial.
 func TestWantedEndpointsAreOpenedAhead(t *testing.T) {
 	withFixture(t, 2, func(t *testing.T, b *fixture) {
-		b.pool.Want([]pooler.Place{primary, replica})
+		b.pool.SetWanted([]pooler.Endpoint{primary, replica})
 		time.Sleep(time.Second)
 		before := time.Now()
 		b.pool.Return(b.borrow(t, primary))
@@ -278,7 +278,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(b.ctx, time.Second)
 			defer cancel()
-			_, err := b.pool.Ask(ctx, primary.Address, "SELECT * FROM oriole_status()", commander.Routine)
+			_, err := b.pool.QueryControl(ctx, primary.Address, "SELECT * FROM oriole_status()", commander.Routine)
 			queried <- err
 		}()
 		time.Sleep(50 * time.Millisecond)
@@ -297,7 +297,7 @@
 		c := b.borrow(t, primary)
 		ctx, cancel := context.WithTimeout(b.ctx, time.Second)
 		defer cancel()
-		_, err := b.pool.Ask(ctx, replica.Address, "SELECT * FROM oriole_status()", commander.Routine)
+		_, err := b.pool.QueryControl(ctx, replica.Address, "SELECT * FROM oriole_status()", commander.Routine)
 		must.ErrorIs(t, err, pooler.ErrBusy)
 		b.pool.Return(c)
 	})
--- a/internal/promoter/attempt.go
+++ b/internal/promoter/attempt.go
@@ -138,7 +138,7 @@
 }
 
 // handleAnswer handles the result of an order of the attempt.
-func (g *group) handleAnswer(now time.Time, e Ordered) []controller.Action {
+func (g *group) handleAnswer(now time.Time, e OrderResult) []controller.Action {
 	i := g.view.Index(e.Order.Member)
 	if i < 0 {
 		return nil
@@ -158,7 +158,7 @@
 	return nil
 }
 
-func (g *group) handleProbe(now time.Time, i int, e Ordered) []controller.Action {
+func (g *group) handleProbe(now time.Time, i int, e OrderResult) []controller.Action {
 	a := g.attempt
 	if e.Err != nil {
 		if a.planned && i == a.oldPrimary {
@@ -171,7 +171,7 @@
 	}
 	unreached := a.evidence == detector.EvidenceSilent || a.evidence == detector.EvidenceUnreachable
 	if i == a.oldPrimary && unreached && e.Status.Role == commander.RolePrimary {
-		return g.abandon(now, AbandonAlive, retryDelay)
+		return g.abandon(now, AbandonPrimaryAlive, retryDelay)
 	}
 	a.responded[i] = true
 	if len(a.responded) < g.view.Service.Quorum() || (a.planned && !a.responded[a.oldPrimary]) {
@@ -179,27 +179,27 @@
 	}
 	a.term = max(g.view.Term(), g.newestStoredTerm) + 1
 	g.enterStep(now, stepIntent)
-	return []controller.Action{controller.Emit{Event: g.beganEvent()}, Intend{
+	return []controller.Action{controller.Emit{Event: g.beganEvent()}, RecordIntent{
 		Service: g.view.Service.Name, Attempt: a.id, Record: Record{Term: a.term, Owner: g.slice.Owner},
 	}}
 }
 
-func (g *group) beganEvent() Began {
+func (g *group) beganEvent() PromotionStarted {
 	a := g.attempt
-	b := Began{Service: g.view.Service.Name, Term: a.term, Planned: a.planned, Evidence: a.evidence}
+	b := PromotionStarted{Service: g.view.Service.Name, Term: a.term, Planned: a.planned, Evidence: a.evidence}
 	if a.oldPrimary >= 0 {
 		b.Member = g.view.Service.Members[a.oldPrimary].Name
 	}
 	return b
 }
 
-func (g *group) handleIntent(now time.Time, e Intended) []controller.Action {
+func (g *group) handleIntent(now time.Time, e IntentRecorded) []controller.Action {
 	if g.attempt.step != stepIntent {
 		return nil
 	}
 	if e.Outcome == IntentTaken {
 		g.newestStoredTerm = max(g.newestStoredTerm, e.Found.Term)
-		return g.abandon(now, AbandonTaken, takenIntentDelay)
+		return g.abandon(now, AbandonIntentTaken, takenIntentDelay)
 	}
 	return g.fenceOrDrain(now)
 }
@@ -210,11 +210,11 @@
 	}
 	g.enterStep(now, stepDrain)
 	o := g.newOrder(OrderDrain, g.attempt.oldPrimary)
-	o.Bound = drainTimeout
+	o.DrainTimeout = drainTimeout
 	return []controller.Action{o}
 }
 
-func (g *group) handleDrain(now time.Time, e Ordered) []controller.Action {
+func (g *group) handleDrain(now time.Time, e OrderResult) []controller.Action {
 	a := g.attempt
 	if e.Err != nil {
 		return g.abandon(now, AbandonNoAnswer, 0)
@@ -230,13 +230,13 @@
 	return out
 }
 
-func (g *group) handleCatchUp(now time.Time, i int, e Ordered) []controller.Action {
+func (g *group) handleCatchUp(now time.Time, i int, e OrderResult) []controller.Action {
 	a := g.attempt
 	if e.Err == nil && !g.leaving[e.Order.Member] && e.Status.Received.AtLeast(a.catchUpPosition) {
 		return g.startFencing(now)
 	}
 	o := g.newOrder(OrderStatus, i)
-	o.After = catchUpPollInterval
+	o.Delay = catchUpPollInterval
 	return []controller.Action{o}
 }
 
@@ -274,7 +274,7 @@
 	return out
 }
 
-func (g *group) handleFence(now time.Time, i int, e Ordered) []controller.Action {
+func (g *group) handleFence(now time.Time, i int, e OrderResult) []controller.Action {
 	a := g.attempt
 	switch {
 	case isRefused(e.Err):
@@ -303,7 +303,7 @@
 	return []controller.Action{g.newOrder(OrderPromote, a.chosen.member)}
 }
 
-func (g *group) handlePromote(now time.Time, i int, e Ordered) []controller.Action {
+func (g *group) handlePromote(now time.Time, i int, e OrderResult) []controller.Action {
 	a := g.attempt
 	switch {
 	case isRefused(e.Err):
@@ -322,8 +322,8 @@
 	g.unpublished = Record{Term: a.term, Owner: g.slice.Owner, Primary: member.Name}
 	g.nextPublishAt = time.Time{}
 	out := []controller.Action{controller.Emit{Event: Promoted{
-		Service: g.view.Service.Name, Member: member.Name, Term: a.term, Owner: g.slice.Owner, At: a.chosen.status.Received,
-		Planned: a.planned, Evidence: a.evidence, Took: now.Sub(a.startedAt),
+		Service: g.view.Service.Name, Member: member.Name, Term: a.term, Owner: g.slice.Owner, LogEnd: a.chosen.status.Received,
+		Planned: a.planned, Evidence: a.evidence, Duration: now.Sub(a.startedAt),
 	}}}
 	for j := range g.view.Members {
 		if j != i {
--- a/internal/promoter/performer.go
+++ b/internal/promoter/performer.go
@@ -42,7 +42,7 @@
 	switch a := a.(type) {
 	case Order:
 		return p.sendOrder(ctx, a), true
-	case Intend:
+	case RecordIntent:
 		return p.recordIntent(ctx, a), true
 	case Publish:
 		return p.publishRecord(ctx, a), true
@@ -50,16 +50,16 @@
 	return nil, false
 }
 
-func (p *Performer) sendOrder(ctx context.Context, a Order) Ordered {
-	if a.After > 0 {
-		t := time.NewTimer(a.After)
+func (p *Performer) sendOrder(ctx context.Context, a Order) OrderResult {
+	if a.Delay > 0 {
+		t := time.NewTimer(a.Delay)
 		defer t.Stop()
 		select {
 		case <-t.C:
 		case <-ctx.Done():
 		}
 	}
-	o := Ordered{Order: a, Started: time.Now()}
+	o := OrderResult{Order: a, Started: time.Now()}
 	switch a.Kind {
 	case OrderStatus:
 		ctx = commander.WithOrder(ctx)
@@ -67,7 +67,7 @@
 	case OrderFence:
 		o.Status, o.Err = p.Commander.Fence(ctx, a.Address, a.Term, a.Owner)
 	case OrderDrain:
-		o.Status, o.Err = p.Commander.Drain(ctx, a.Address, a.Term, a.Owner, a.Bound)
+		o.Status, o.Err = p.Commander.Drain(ctx, a.Address, a.Term, a.Owner, a.DrainTimeout)
 	case OrderPromote:
 		o.Status, o.Err = p.Commander.Promote(ctx, a.Address, a.Term, a.Owner)
 	case OrderFollow:
@@ -78,10 +78,10 @@
 
 // recordIntent records an intent by compare-and-swap. Each attempt reads first, so a write
 // whose response was lost is recognized by its owner.
-func (p *Performer) recordIntent(ctx context.Context, a Intend) Intended {
+func (p *Performer) recordIntent(ctx context.Context, a RecordIntent) IntentRecorded {
 	ctx, cancel := context.WithTimeout(ctx, recordIntentTimeout)
 	defer cancel()
-	out := Intended{Service: a.Service, Attempt: a.Attempt}
+	out := IntentRecorded{Service: a.Service, Attempt: a.Attempt}
 	for range maxSwapAttempts {
 		now, err := p.Store.Get(ctx, Key(a.Service))
 		if err != nil {
--- a/internal/promoter/promoter.go
+++ b/internal/promoter/promoter.go
@@ -54,14 +54,14 @@
 		Owner   string
 		// Primary is the address of the primary to follow.
 		Primary string
-		// Bound is how long a drain waits for open transactions to end.
-		Bound time.Duration
-		// After is the delay before the order is sent.
-		After time.Duration
+		// DrainTimeout is how long a drain waits for open transactions to end.
+		DrainTimeout time.Duration
+		// Delay is the delay before the order is sent.
+		Delay time.Duration
 	}
 
-	// Ordered is the result of an order.
-	Ordered struct {
+	// OrderResult is the result of an order.
+	OrderResult struct {
 		Order Order
 		// Started is when the order was sent.
 		Started time.Time
@@ -80,15 +80,15 @@
 	// IntentOutcome is how recording an intent ended.
 	IntentOutcome int
 
-	// Intend requests that the store record the start of a promotion.
-	Intend struct {
+	// RecordIntent requests that the store record the start of a promotion.
+	RecordIntent struct {
 		Service string
 		Attempt uint64
 		Record  Record
 	}
 
-	// Intended is the result of Intend; Found is the stored record for IntentTaken.
-	Intended struct {
+	// IntentRecorded is the result of RecordIntent; Found is the stored record for IntentTaken.
+	IntentRecorded struct {
 		Service string
 		Attempt uint64
 		Outcome IntentOutcome
@@ -108,8 +108,8 @@
 		Done    bool
 	}
 
-	// Began is emitted when a majority has responded to the probe of an attempt.
-	Began struct {
+	// PromotionStarted is emitted when a majority has responded to the probe of an attempt.
+	PromotionStarted struct {
 		Service string
 		// Member is the replaced primary, empty when the term has none.
 		Member string
@@ -125,13 +125,13 @@
 		Member  string
 		Term    uint64
 		Owner   string
-		// At is the end of the member's log at its promotion.
-		At orderer.Position
+		// LogEnd is the end of the member's log at its promotion.
+		LogEnd orderer.Position
 		// Planned is set unless the change follows a failure.
 		Planned  bool
 		Evidence detector.Evidence
-		// Took is the duration of the attempt.
-		Took time.Duration
+		// Duration is the duration of the attempt.
+		Duration time.Duration
 	}
 
 	// Abandoned is emitted when an attempt ends without effect.
@@ -147,34 +147,34 @@
 
 // The reasons for abandoning an attempt.
 const (
-	AbandonAlive      AbandonReason = "primary-answered"
-	AbandonNoMajority AbandonReason = "no-majority"
-	AbandonNewerTerm  AbandonReason = "newer-term"
-	AbandonTaken      AbandonReason = "intent-taken"
-	AbandonNoAnswer   AbandonReason = "no-answer-to-promote"
-	AbandonUnfounded  AbandonReason = "reason-ended"
+	AbandonPrimaryAlive AbandonReason = "primary-answered"
+	AbandonNoMajority   AbandonReason = "no-majority"
+	AbandonNewerTerm    AbandonReason = "newer-term"
+	AbandonIntentTaken  AbandonReason = "intent-taken"
+	AbandonNoAnswer     AbandonReason = "no-answer-to-promote"
+	AbandonReasonEnded  AbandonReason = "reason-ended"
 )
 
 // ActionName implements controller.Action.
 func (Order) ActionName() string { return "order-target" }
 
 // ActionName implements controller.Action.
-func (Intend) ActionName() string { return "record-intent" }
+func (RecordIntent) ActionName() string { return "record-intent" }
 
 // ActionName implements controller.Action.
 func (Publish) ActionName() string { return "publish-promotion" }
 
 // EventName implements controller.Event.
-func (Ordered) EventName() string { return "target-ordered" }
+func (OrderResult) EventName() string { return "target-ordered" }
 
 // EventName implements controller.Event.
-func (Intended) EventName() string { return "intent-recorded" }
+func (IntentRecorded) EventName() string { return "intent-recorded" }
 
 // EventName implements controller.Event.
 func (Published) EventName() string { return "promotion-published" }
 
 // EventName implements controller.Event.
-func (Began) EventName() string { return "promotion-began" }
+func (PromotionStarted) EventName() string { return "promotion-began" }
 
 // EventName implements controller.Event.
 func (Promoted) EventName() string { return "member-promoted" }
