--- a/internal/promoter/slice.go
+++ b/internal/promoter/slice.go
@@ -72,7 +72,7 @@
 	group struct {
 		slice         *Slice
 		view          *detector.View
-		agreedFailure *detector.Agreed
+		agreedFailure *detector.FailureAgreed
 		leaving       map[string]bool
 		// peers are the other instances that monitor the group, by name.
 		peers map[string]peer
@@ -96,13 +96,13 @@
 // Step implements controller.Slice.
 func (s *Slice) Step(now time.Time, e controller.Event) []controller.Action {
 	switch e := e.(type) {
-	case configurer.InForce:
+	case configurer.Activated:
 		s.applyConfiguration(e.Document)
 	case observer.Observed:
 		s.views.Observe(e)
-	case gossiper.Heard:
+	case gossiper.ReportReceived:
 		s.handleReport(now, e)
-	case detector.Agreed:
+	case detector.FailureAgreed:
 		if g := s.groups[e.Service]; g != nil {
 			g.handleAgreed(e)
 			return g.step(now)
@@ -112,11 +112,11 @@
 			g.leaving[e.Member] = e.Leaving
 			return g.step(now)
 		}
-	case Ordered:
+	case OrderResult:
 		if g := s.groups[e.Order.Service]; g != nil {
 			return g.handleOrdered(now, e)
 		}
-	case Intended:
+	case IntentRecorded:
 		if g := s.groups[e.Service]; g != nil && g.isCurrent(e.Attempt) {
 			return g.handleIntent(now, e)
 		}
@@ -152,7 +152,7 @@
 	}
 }
 
-func (s *Slice) handleReport(now time.Time, e gossiper.Heard) {
+func (s *Slice) handleReport(now time.Time, e gossiper.ReportReceived) {
 	for _, r := range e.Report.Groups {
 		g := s.groups[r.Service]
 		if g == nil || len(r.Members) == 0 {
@@ -202,7 +202,7 @@
 	return h.Sum64()
 }
 
-func (g *group) handleAgreed(e detector.Agreed) {
+func (g *group) handleAgreed(e detector.FailureAgreed) {
 	if e.On {
 		g.agreedFailure = &e
 	} else if g.agreedFailure != nil && g.agreedFailure.Term == e.Term && g.agreedFailure.Member == e.Member {
@@ -214,7 +214,7 @@
 // timeouts of a running one.
 func (g *group) step(now time.Time) []controller.Action {
 	if g.attempt != nil && !g.reasonHolds() {
-		return g.abandon(now, AbandonUnfounded, 0)
+		return g.abandon(now, AbandonReasonEnded, 0)
 	}
 	if g.attempt != nil {
 		return g.checkProgress(now)
@@ -323,7 +323,7 @@
 // reachable reports whether a member has responded recently.
 func (g *group) reachable(now time.Time, i int) bool {
 	k := g.view.Members[i]
-	return k.Failures == 0 && !k.Seen.IsZero() && now.Sub(k.Seen) < maxStatusAge
+	return k.Failures == 0 && !k.StatusAt.IsZero() && now.Sub(k.StatusAt) < maxStatusAge
 }
 
 func (g *group) needsRepair(i, p int) bool {
@@ -363,7 +363,7 @@
 }
 
 // handleOrdered handles the result of an order and emits it as an observation.
-func (g *group) handleOrdered(now time.Time, e Ordered) []controller.Action {
+func (g *group) handleOrdered(now time.Time, e OrderResult) []controller.Action {
 	if e.Order.Attempt == 0 && e.Order.Kind == OrderStatus {
 		g.statusPending[e.Order.Member] = false
 	}
--- a/internal/promoter/slice_test.go
+++ b/internal/promoter/slice_test.go
@@ -37,11 +37,11 @@
 	for _, n := range memberNames {
 		service.Members = append(service.Members, configurer.Member{Name: n, Address: n})
 	}
-	h.step(configurer.InForce{Version: 1, Document: &configurer.Document{Services: []configurer.Service{service}}})
+	h.step(configurer.Activated{Version: 1, Document: &configurer.Document{Services: []configurer.Service{service}}})
 	for _, n := range memberNames {
 		h.step(observer.Observed{Service: "s", Member: n, Started: h.now, Status: h.status(n, 1)})
 	}
-	h.step(detector.Agreed{Service: "s", Member: "m-1", Term: 1, On: true, Evidence: detector.EvidenceSilent})
+	h.step(detector.FailureAgreed{Service: "s", Member: "m-1", Term: 1, On: true, Evidence: detector.EvidenceSilent})
 	h.advance(time.Second)
 	return h
 }
@@ -87,7 +87,7 @@
 }
 
 func (h *harness) answer(o promoter.Order, s commander.Status, err error) {
-	h.step(promoter.Ordered{Order: o, Started: h.now, Status: s, Err: err})
+	h.step(promoter.OrderResult{Order: o, Started: h.now, Status: s, Err: err})
 }
 
 // answerProbeAndIntent answers the probe for both replicas, and the intent.
@@ -108,8 +108,8 @@
 // answerIntent answers the intent.
 func (h *harness) answerIntent(outcome promoter.IntentOutcome, found promoter.Record) {
 	for _, a := range h.actions {
-		if i, ok := a.(promoter.Intend); ok {
-			h.step(promoter.Intended{Service: "s", Attempt: i.Attempt, Outcome: outcome, Found: found})
+		if i, ok := a.(promoter.RecordIntent); ok {
+			h.step(promoter.IntentRecorded{Service: "s", Attempt: i.Attempt, Outcome: outcome, Found: found})
 		}
 	}
 }
@@ -151,7 +151,7 @@
 	h := newHarness(t)
 	requests := h.takeOrders(promoter.OrderStatus)
 	h.answer(requests["m-1"], h.status("m-1", 1), nil)
-	h.assertAbandoned(promoter.AbandonAlive)
+	h.assertAbandoned(promoter.AbandonPrimaryAlive)
 }
 
 // Without a majority of responses, no member is fenced.
@@ -165,11 +165,11 @@
 
 // Guards against a promotion that continues after its reason has ended.
 func TestReasonEndsDuringAttempt(t *testing.T) {
-	cleared := detector.Agreed{Service: "s", Member: "m-1", Term: 1}
+	cleared := detector.FailureAgreed{Service: "s", Member: "m-1", Term: 1}
 	t.Run("during the probe", func(t *testing.T) {
 		h := newHarness(t)
 		h.step(cleared)
-		h.assertAbandoned(promoter.AbandonUnfounded)
+		h.assertAbandoned(promoter.AbandonReasonEnded)
 		h.advance(4 * time.Second)
 		must.MapEmpty(t, h.takeOrders(promoter.OrderFence))
 	})
@@ -177,7 +177,7 @@
 		h := newHarness(t)
 		h.answerProbe("m-2", "m-3")
 		h.step(cleared)
-		h.assertAbandoned(promoter.AbandonUnfounded)
+		h.assertAbandoned(promoter.AbandonReasonEnded)
 		h.answerIntent(promoter.IntentHeld, promoter.Record{})
 		must.MapEmpty(t, h.takeOrders(promoter.OrderFence))
 	})
@@ -199,7 +199,7 @@
 		h.answerProbe(memberNames...)
 		h.step(drainer.TargetLeaving{Service: "s", Member: "m-1"})
 		h.advance(50 * time.Millisecond)
-		h.assertAbandoned(promoter.AbandonUnfounded)
+		h.assertAbandoned(promoter.AbandonReasonEnded)
 		must.MapEmpty(t, h.takeOrders(promoter.OrderDrain))
 	})
 }
@@ -208,7 +208,7 @@
 func TestIntentTaken(t *testing.T) {
 	h := newHarness(t)
 	h.answerProbeAndIntent(promoter.IntentTaken, promoter.Record{Term: 2, Owner: "other/1"})
-	h.assertAbandoned(promoter.AbandonTaken)
+	h.assertAbandoned(promoter.AbandonIntentTaken)
 	h.actions = nil
 	h.advance(900 * time.Millisecond)
 	h.answerProbeAndIntent(promoter.IntentHeld, promoter.Record{})
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -70,7 +70,7 @@
 // operator of a race; the read finds their own document.
 func TestAnswerLost(t *testing.T) {
 	try(t, func(s *stage, seen publisher.Published) {
-		s.store.SetFaults(func(f *storer.Faults) { f.LoseAnswers = 1 })
+		s.store.SetFaults(func(f *storer.Faults) { f.LoseResponses = 1 })
 		r := s.publish(seen, edit("20", "30"), publisher.Accepted)
 		must.Eq(t, seen.Version+1, r.Now.Version)
 		must.Eq(t, 2, s.store.Calls()["swap"]) // the first document, and this one
--- a/internal/relayer/answer.go
+++ b/internal/relayer/answer.go
@@ -216,7 +216,7 @@
 func (x *exchange) parameter(m *pgproto3.ParameterStatus) {
 	switch m.Name {
 	case "oriole.position":
-		x.conn.Learn(m.Value)
+		x.conn.UpdatePosition(m.Value)
 	case "oriole.commit":
 		if p, err := orderer.Parse(m.Value); err == nil {
 			x.commit = p
@@ -311,10 +311,10 @@
 		if g == nil {
 			return errNoWitness
 		}
-		if g.Term > x.conn.Place.Term {
+		if g.Term > x.conn.Endpoint.Term {
 			return errOutdated
 		}
-		if w, ok := g.Since(x.witnessed); ok && w.Position.Term <= x.conn.Place.Term {
+		if w, ok := g.Since(x.witnessed); ok && w.Position.Term <= x.conn.Endpoint.Term {
 			return nil
 		}
 		left := time.Until(limit)
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -294,7 +294,7 @@
 }
 
 func (s *Session) borrow(ctx context.Context, g *router.Group, c router.Choice, r *request, left time.Duration) (*pooler.Conn, error) {
-	place := pooler.Place{Address: g.Service.Members[c.Member].Address}
+	place := pooler.Endpoint{Address: g.Service.Members[c.Member].Address}
 	if !c.Replica {
 		place.Term = g.Members[c.Member].Status.Term
 	}
--- a/internal/relayer/cancel.go
+++ b/internal/relayer/cancel.go
@@ -56,7 +56,7 @@
 func cancelAt(ctx context.Context, n networker.Network, c *pooler.Conn) error {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
-	conn, err := n.Dial(ctx, c.Place.Address)
+	conn, err := n.Dial(ctx, c.Endpoint.Address)
 	if err != nil {
 		return nil // nothing was sent
 	}
--- a/internal/relayer/exchange.go
+++ b/internal/relayer/exchange.go
@@ -98,7 +98,7 @@
 func newExchange(s *Session, c *pooler.Conn, r *request, inTransaction bool) *exchange {
 	return &exchange{
 		session: s, conn: c, request: r, started: time.Now(), status: s.status,
-		facts: facts{replica: c.Place.Term == 0, pure: r.pure, mayCommit: r.mayCommit, inTransaction: inTransaction},
+		facts: facts{replica: c.Endpoint.Term == 0, pure: r.pure, mayCommit: r.mayCommit, inTransaction: inTransaction},
 	}
 }
 
--- a/internal/relayer/fuzz_test.go
+++ b/internal/relayer/fuzz_test.go
@@ -37,7 +37,7 @@
 	f.Add(stream(&pgproto3.Parse{Name: "s", Query: "SET oriole.kind = 'x'"}, &pgproto3.Bind{PreparedStatement: "s"}, &pgproto3.Describe{ObjectType: 'S', Name: "s"}, &pgproto3.Execute{}, &pgproto3.Close{ObjectType: 'S', Name: "s"}, &pgproto3.Flush{}, &pgproto3.Sync{}))
 	f.Add(stream(&pgproto3.Execute{Portal: "p"}, &pgproto3.Flush{}, &pgproto3.Parse{Query: "LISTEN x"}, &pgproto3.Sync{}, &pgproto3.FunctionCall{}, &pgproto3.CopyData{}))
 	f.Add(stream(&pgproto3.Query{String: "/* kind=a /* -- "}, &pgproto3.Query{String: "DEALLOCATE"}, &pgproto3.Query{String: ";"}))
-	g := &router.Group{Service: &configurer.Service{Name: "jobs", Hold: time.Nanosecond}, Primary: -1}
+	g := &router.Group{Service: &configurer.Service{Name: "jobs", FailoverWait: time.Nanosecond}, Primary: -1}
 	table := router.NewTable(1, &configurer.Document{}, map[string]*router.Group{"jobs": g})
 	seal := &sealer.Sealer{Keys: []sealer.Key{{Number: 1, Secret: make([]byte, 16)}}}
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/relayer/session.go
+++ b/internal/relayer/session.go
@@ -257,8 +257,8 @@
 
 // hold is how long a request that was not run waits for a way to run it.
 func hold(g *router.Group) time.Duration {
-	if g.Service.Hold > 0 {
-		return g.Service.Hold
+	if g.Service.FailoverWait > 0 {
+		return g.Service.FailoverWait
 	}
 	return defaultHold
 }
--- a/internal/relayer/watch.go
+++ b/internal/relayer/watch.go
@@ -89,13 +89,13 @@
 	}
 	l.Hold = hold(g)
 	for i, m := range g.Service.Members {
-		if m.Address == x.conn.Place.Address {
+		if m.Address == x.conn.Endpoint.Address {
 			l.Failing = g.Members[i].Failures > 0
-			l.Replaced = x.conn.Place.Term != 0 && g.Members[i].Status.Term > x.conn.Place.Term
+			l.Replaced = x.conn.Endpoint.Term != 0 && g.Members[i].Status.Term > x.conn.Endpoint.Term
 		}
 	}
-	if p := g.Primary; p >= 0 && x.conn.Place.Term != 0 {
-		l.Replaced = l.Replaced || g.Members[p].Status.Term > x.conn.Place.Term
+	if p := g.Primary; p >= 0 && x.conn.Endpoint.Term != 0 {
+		l.Replaced = l.Replaced || g.Members[p].Status.Term > x.conn.Endpoint.Term
 	}
 	return l
 }
@@ -107,7 +107,7 @@
 	if p := x.session.Prober; p != nil {
 		x.session.Count("probe")
 		var err error
-		state, err = p.Ask(ctx, x.conn.Place.Address, x.conn.PID)
+		state, err = p.Ask(ctx, x.conn.Endpoint.Address, x.conn.PID)
 		if err != nil && q.unanswered.IsZero() {
 			q.unanswered = time.Now()
 		}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -29,7 +29,7 @@
 	for i, zone := range []string{"a", "b", "c"} {
 		d.Services[0].Members = append(d.Services[0].Members, configurer.Member{Name: zone, Address: fmt.Sprint(i), Zone: zone})
 	}
-	s.Step(g.now, configurer.InForce{Version: 1, Document: d})
+	s.Step(g.now, configurer.Activated{Version: 1, Document: d})
 	return g
 }
 
--- a/internal/router/table.go
+++ b/internal/router/table.go
@@ -84,7 +84,7 @@
 // Step implements controller.Slice.
 func (s *Slice) Step(now time.Time, e controller.Event) []controller.Action {
 	switch e := e.(type) {
-	case configurer.InForce:
+	case configurer.Activated:
 		s.apply(now, e)
 		s.replace(NewTable(s.version, s.document, s.groups))
 	case observer.Observed:
@@ -131,7 +131,7 @@
 	return false
 }
 
-func (s *Slice) apply(now time.Time, e configurer.InForce) {
+func (s *Slice) apply(now time.Time, e configurer.Activated) {
 	s.version, s.document = e.Version, e.Document
 	old := s.groups
 	s.groups = map[string]*Group{}
--- a/internal/runner/callers.go
+++ b/internal/runner/callers.go
@@ -34,7 +34,7 @@
 	}
 	for k := range s.Groups {
 		if v := i.group(s.Groups[k].Service); v != nil {
-			u := v.pool.Use()
+			u := v.pool.Usage()
 			s.Groups[k].Connections, s.Groups[k].Share = u.Held, u.Share.Connections
 		}
 	}
--- a/internal/runner/configuration_test.go
+++ b/internal/runner/configuration_test.go
@@ -58,8 +58,8 @@
 	nothing := func(*stager.Fleet) {}
 	for name, c := range map[string]struct{ before, after func(*stager.Fleet) }{
 		"no fault":    {nothing, nothing},
-		"store slow":  {faults(func(f *storer.Faults) { f.Slow = time.Second }), nothing},
-		"answer lost": {faults(func(f *storer.Faults) { f.LoseAnswers = 1 }), nothing},
+		"store slow":  {faults(func(f *storer.Faults) { f.Latency = time.Second }), nothing},
+		"answer lost": {faults(func(f *storer.Faults) { f.LoseResponses = 1 }), nothing},
 		"store gone a second later": {nothing, func(s *stager.Fleet) {
 			time.Sleep(time.Second)
 			s.Store.SetFaults(func(f *storer.Faults) { f.Down = true })
--- a/internal/runner/peers.go
+++ b/internal/runner/peers.go
@@ -25,7 +25,7 @@
 	peers struct {
 		instance  *Instance
 		published atomic.Pointer[gossiper.Snapshot]
-		held      atomic.Pointer[configurer.Held]
+		held      atomic.Pointer[configurer.ActiveDocument]
 		client    *gossiper.Client
 		post      func(context.Context, controller.Event)
 	}
@@ -63,7 +63,7 @@
 func (p *peers) secrets() []linker.Secret {
 	var out []linker.Secret
 	for _, k := range p.instance.Settings.TokenKeys {
-		out = append(out, linker.Secret{Number: k.Number, Value: []byte(k.Secret)})
+		out = append(out, linker.Secret{KeyNumber: k.Number, Value: []byte(k.Secret)})
 	}
 	return out
 }
@@ -87,7 +87,7 @@
 	s, self := p.instance.Settings, p.self()
 	return []controller.Slice{
 		&lister.Slice{Self: self, Random: p.random("lister")},
-		&configurer.Slice{Instance: s.Name, Zone: s.Zone, Random: p.random("configurer"), Held: &p.held},
+		&configurer.Slice{Instance: s.Name, Zone: s.Zone, Random: p.random("configurer"), Active: &p.held},
 		&drainer.Slice{},
 		&observer.Slice{Instance: s.Name, Zone: s.Zone},
 		suspicions{},
@@ -122,9 +122,9 @@
 func (p *peers) answers() *gossiper.Server {
 	i := p.instance
 	return &gossiper.Server{
-		Exchange:      p.exchange,
-		Announced:     func(ctx context.Context, w *wire.Announcement) { p.post(ctx, gossiper.FromAnnouncement(w)) },
-		Configuration: p.configuration,
+		Exchange:       p.exchange,
+		OnAnnouncement: func(ctx context.Context, w *wire.Announcement) { p.post(ctx, gossiper.AnnouncementFromWire(w)) },
+		Configuration:  p.configuration,
 		Cancel: func(ctx context.Context, pid, secret uint32) error {
 			return i.sessions.cancels.CancelLocal(ctx, canceller.Key{PID: pid, Secret: secret})
 		},
@@ -132,7 +132,7 @@
 }
 
 func (p *peers) exchange(ctx context.Context, r *wire.ExchangeRequest) (*wire.Report, error) {
-	p.post(ctx, gossiper.FromRequest(r))
+	p.post(ctx, gossiper.ExchangeRequestFromWire(r))
 	s := p.published.Load()
 	if s == nil {
 		s = &gossiper.Snapshot{Self: p.self()}
@@ -141,7 +141,7 @@
 }
 
 func (p *peers) configuration(r *wire.FetchRequest) *wire.FetchReply {
-	return gossiper.ToFetchReply(p.held.Load(), p.published.Load(), r)
+	return gossiper.MakeFetchReply(p.held.Load(), p.published.Load(), r)
 }
 
 // ForwardCancel implements canceller.Forwarder. Tags are short, so several
@@ -186,7 +186,7 @@
 	if _, ok := a.(countUses); !ok {
 		return nil, false
 	}
-	p.client.Links.Tidy(time.Now())
+	p.client.Links.CloseIdle(time.Now())
 	return observer.Used{Services: p.instance.used()}, true
 }
 
@@ -194,7 +194,7 @@
 func (r *reports) Step(_ time.Time, e controller.Event) []controller.Action {
 	i := r.instance
 	switch e := e.(type) {
-	case configurer.InForce:
+	case configurer.Activated:
 		_ = i.Log.Log("part", "configuration", "msg", "Document is in force.", "version", e.Version)
 	case configurer.Rejected:
 		i.Metrics.Counter("configuration-rejected").Inc(1)
@@ -216,7 +216,7 @@
 		return
 	}
 	r.instance.Metrics.Counter("peer-failed.exchange").Inc(1)
-	final := errors.Is(e.Err, linker.ErrForeign) || errors.Is(e.Err, linker.ErrWireVersion)
+	final := errors.Is(e.Err, linker.ErrForeignFleet) || errors.Is(e.Err, linker.ErrWireVersion)
 	if !final || r.told[e.Peer.Name] {
 		return
 	}
--- a/internal/runner/pools.go
+++ b/internal/runner/pools.go
@@ -98,7 +98,7 @@
 		if configured {
 			v.gate.Configure(s.Service)
 		}
-		v.pool.Want(places(s, g.instance.Settings.Zone, router.HomeOf(g.instance.Settings.Name)))
+		v.pool.SetWanted(places(s, g.instance.Settings.Zone, router.HomeOf(g.instance.Settings.Name)))
 	}
 	if configured {
 		g.publish(t)
@@ -131,7 +131,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	p := &pooler.Pool{Network: i.Network, Count: i.count}
 	v := &group{pool: p, gate: &admitter.Gate{Pool: p, Random: rand.New(rand.NewPCG(g.random.Uint64(), 0))}, retries: &retrier.Budget{}, cancel: cancel}
-	p.Resized = v.gate.Resized
+	p.OnCapacityChange = v.gate.Resized
 	v.gate.Configure(s.Service)
 	g.running++
 	go func() { g.ended <- p.Run(ctx) }()
@@ -141,8 +141,8 @@
 // report tells the control loop how much of each share is used.
 func (g *groups) report(ctx context.Context) {
 	for name, v := range g.byName {
-		u := v.pool.Use()
-		g.control.Post(ctx, sharer.Load{Service: name, Use: u, Pressed: v.gate.Waiting() > 0 || u.Starved})
+		u := v.pool.Usage()
+		g.control.Post(ctx, sharer.Load{Service: name, Use: u, Pressed: v.gate.Waiting() > 0 || u.ControlStarved})
 	}
 }
 
@@ -164,7 +164,7 @@
 	if s.byName == nil {
 		s.byName = map[string]pooler.Share{}
 	}
-	if v.Number >= s.byName[service].Number {
+	if v.Version >= s.byName[service].Version {
 		s.byName[service] = v
 	}
 }
@@ -182,22 +182,22 @@
 // routing prefers them. While no primary is
 // known, only the own zone's member is kept: a share of two, idle at two replicas,
 // would otherwise never be used to ask the third member, which is the primary.
-func places(g *router.Group, zone string, home uint64) []pooler.Place {
-	var own, others []pooler.Place
+func places(g *router.Group, zone string, home uint64) []pooler.Endpoint {
+	var own, others []pooler.Endpoint
 	for k := range g.Service.Members {
 		i := router.Order(home, k, len(g.Service.Members))
 		m := g.Service.Members[i]
 		switch {
 		case i == g.Primary:
 		case m.Zone == zone:
-			own = append(own, pooler.Place{Address: m.Address})
+			own = append(own, pooler.Endpoint{Address: m.Address})
 		default:
-			others = append(others, pooler.Place{Address: m.Address})
+			others = append(others, pooler.Endpoint{Address: m.Address})
 		}
 	}
 	if g.Primary >= 0 {
-		primary := pooler.Place{Address: g.Service.Members[g.Primary].Address, Term: g.Members[g.Primary].Status.Term}
-		return append(append([]pooler.Place{primary}, own...), others...)
+		primary := pooler.Endpoint{Address: g.Service.Members[g.Primary].Address, Term: g.Members[g.Primary].Status.Term}
+		return append(append([]pooler.Endpoint{primary}, own...), others...)
 	}
 	return own
 }
@@ -231,7 +231,7 @@
 func (i *Instance) ask(ctx context.Context, address, sql string, u commander.Urgency) ([][][]byte, error) {
 	if m := i.groups.Load(); m != nil {
 		if v := m.byAddress[address]; v != nil {
-			return v.pool.Ask(ctx, address, sql, u)
+			return v.pool.QueryControl(ctx, address, sql, u)
 		}
 	}
 	return nil, commander.ErrBusy
--- a/internal/runner/pools_test.go
+++ b/internal/runner/pools_test.go
@@ -17,11 +17,11 @@
 	}
 	g.Members[1].Status = commander.Status{Role: commander.RolePrimary, Term: 7}
 	t.Run("primary, own replica, others", func(t *testing.T) {
-		must.Eq(t, []pooler.Place{{Address: "b", Term: 7}, {Address: "c"}, {Address: "a"}}, places(g, "c", 0))
+		must.Eq(t, []pooler.Endpoint{{Address: "b", Term: 7}, {Address: "c"}, {Address: "a"}}, places(g, "c", 0))
 	})
 	// The third member may be the primary: a share of two must be free to ask.
 	t.Run("no primary known", func(t *testing.T) {
 		g.Primary = -1
-		must.Eq(t, []pooler.Place{{Address: "c"}}, places(g, "c", 0))
+		must.Eq(t, []pooler.Endpoint{{Address: "c"}}, places(g, "c", 0))
 	})
 }
--- a/internal/runner/terms.go
+++ b/internal/runner/terms.go
@@ -68,17 +68,17 @@
 		} else {
 			a.log("Suspicion has ended.", "service", e.Service, "member", e.Member, "term", e.Term)
 		}
-	case detector.Agreed:
+	case detector.FailureAgreed:
 		if e.On {
 			a.log("Failure is agreed.", "service", e.Service, "member", e.Member, "term", e.Term, "evidence", e.Evidence)
 		} else {
 			a.log("Agreement has ended.", "service", e.Service, "member", e.Member, "term", e.Term)
 		}
-	case promoter.Began:
+	case promoter.PromotionStarted:
 		a.log("Promotion begins.", "service", e.Service, "replaces", e.Member, "term", e.Term, "planned", e.Planned, "evidence", e.Evidence)
 	case promoter.Promoted:
 		a.count("promoted")
-		a.log("Member was promoted.", "service", e.Service, "member", e.Member, "term", e.Term, "planned", e.Planned, "took", e.Took)
+		a.log("Member was promoted.", "service", e.Service, "member", e.Member, "term", e.Term, "planned", e.Planned, "took", e.Duration)
 	case promoter.Abandoned:
 		a.count("promotion-abandoned." + string(e.Reason))
 		a.log("Promotion was abandoned.", "service", e.Service, "term", e.Term, "reason", string(e.Reason))
--- a/internal/fairer/fairer_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -1,4 +1,4 @@
-package fairer_test
+package scheduler_test
 
 import (
 	"cmp"
@@ -6,17 +6,17 @@
 	"slices"
 	"testing"
 
-	"github.com/oriolegw/oriolegw/internal/fairer"
+	"github.com/oriolegw/oriolegw/internal/scheduler"
 	"github.com/shoenig/test/must"
 )
 
-func ExampleTurns_Queue() {
-	var t fairer.Turns
-	var hot, calm fairer.Flow
+func ExampleVirtualClock_Enqueue() {
+	var t scheduler.VirtualClock
+	var hot, calm scheduler.Flow
 	for range 3 {
-		fmt.Println("hot", t.Queue(&hot, 1, 1))
+		fmt.Println("hot", t.Enqueue(&hot, 1, 1))
 	}
-	fmt.Println("calm", t.Queue(&calm, 1, 1))
+	fmt.Println("calm", t.Enqueue(&calm, 1, 1))
 	// Output:
 	// hot 0
 	// hot 1
@@ -26,18 +26,18 @@
 
 // Guards against a flow with a large backlog delaying the others, and against ignored shares.
 func TestBacklogDoesNotDelayOtherFlows(t *testing.T) {
-	var turns fairer.Turns
+	var clock scheduler.VirtualClock
 	type item struct {
 		customer int
 		start    float64
 	}
-	flows := map[int]*fairer.Flow{}
+	flows := map[int]*scheduler.Flow{}
 	var queue []item
 	add := func(customer int, share float64) {
 		if flows[customer] == nil {
-			flows[customer] = &fairer.Flow{}
+			flows[customer] = &scheduler.Flow{}
 		}
-		queue = append(queue, item{customer, turns.Queue(flows[customer], 1, share)})
+		queue = append(queue, item{customer, clock.Enqueue(flows[customer], 1, share)})
 	}
 	for range 100 {
 		add(0, 1)
--- a/internal/sharer/budget_test.go
+++ b/internal/sharer/budget_test.go
@@ -260,9 +260,9 @@
 			m.SilenceOpen()
 		case 7:
 			down, slow, lose := random.IntN(2) == 0, time.Duration(random.IntN(4))*time.Second, random.IntN(4)
-			f.Store.SetFaults(func(x *storer.Faults) { x.Down, x.Slow, x.LoseAnswers = down, slow, lose })
+			f.Store.SetFaults(func(x *storer.Faults) { x.Down, x.Latency, x.LoseResponses = down, slow, lose })
 		case 8:
-			f.Store.Lapse()
+			f.Store.ExpireLeases()
 		}
 		time.Sleep(time.Duration(random.IntN(15)) * time.Second)
 		if random.IntN(3) == 0 {
--- a/internal/sharer/performer.go
+++ b/internal/sharer/performer.go
@@ -21,7 +21,7 @@
 	// Load is what a pool reports from time to time.
 	Load struct {
 		Service string
-		Use     pooler.Use
+		Use     pooler.Usage
 		// Pressed is set while requests wait for connections.
 		Pressed bool
 	}
@@ -157,7 +157,7 @@
 func (p *Performer) register(ctx context.Context, a register) registered {
 	if a.lease != 0 {
 		err := p.Store.KeepAlive(ctx, a.lease)
-		if !errors.Is(err, storer.ErrLeaseLost) {
+		if !errors.Is(err, storer.ErrLeaseExpired) {
 			return registered{lease: a.lease, err: err}
 		}
 	}
--- a/internal/sharer/sharer.go
+++ b/internal/sharer/sharer.go
@@ -117,7 +117,7 @@
 		s.services, s.missing = map[string]*service{}, map[string]time.Time{}
 	}
 	switch e := e.(type) {
-	case configurer.InForce:
+	case configurer.Activated:
 		s.configure(e.Document)
 	case Load:
 		s.note(now, e)
@@ -196,7 +196,7 @@
 	if now.Sub(v.peakFrom) >= idleFor {
 		v.peak, v.peakFrom = 0, now
 	}
-	v.peak = max(v.peak, l.Use.Used)
+	v.peak = max(v.peak, l.Use.InUse)
 	if l.Pressed && v.next.After(now.Add(hungryEvery)) {
 		v.next = now.Add(hungryEvery)
 	}
@@ -259,10 +259,10 @@
 // give sets the pool's share; each has a number, so that the pool can tell which
 // of two is the newer.
 func (s *Slice) give(name string, v *service, connections int) []controller.Action {
-	if v.share.Number > 0 && v.share.Connections == connections && v.share.Application == v.application {
+	if v.share.Version > 0 && v.share.Connections == connections && v.share.Application == v.application {
 		return nil
 	}
-	v.share = pooler.Share{Connections: connections, Application: v.application, Number: v.share.Number + 1}
+	v.share = pooler.Share{Connections: connections, Application: v.application, Version: v.share.Version + 1}
 	return []controller.Action{Limit{Service: name, Share: v.share}}
 }
 
--- a/internal/sharer/sharer_test.go
+++ b/internal/sharer/sharer_test.go
@@ -25,7 +25,7 @@
 
 func start() *play {
 	p := &play{slice: &Slice{Instance: "entry-1", Random: rand.New(rand.NewPCG(1, 1))}, now: epoch}
-	p.step(configurer.InForce{Version: 1, Document: &configurer.Document{Services: []configurer.Service{{
+	p.step(configurer.Activated{Version: 1, Document: &configurer.Document{Services: []configurer.Service{{
 		Name: group, Connections: 20, Members: []configurer.Member{{Name: "m1", Address: "a1"}, {Name: "m2", Address: "a2"}},
 	}}}})
 	return p
@@ -37,7 +37,7 @@
 
 // report has the pool tell how it uses the share that it was given last.
 func (p *play) report(held int) {
-	p.step(Load{Service: group, Use: pooler.Use{Share: p.slice.services[group].share, Held: held}})
+	p.step(Load{Service: group, Use: pooler.Usage{Share: p.slice.services[group].share, Held: held}})
 }
 
 // holds brings the slice to hold a number of connections at a revision.
@@ -91,7 +91,7 @@
 	p.report(2)
 	mustNotDo[writeLedger](t, p.holds(2, 7, crowd()...))
 	t.Run("a report from before the limit", func(t *testing.T) {
-		p.step(Load{Service: group, Use: pooler.Use{Share: pooler.Share{Connections: 2, Application: p.mine(), Number: 1}, Held: 0}})
+		p.step(Load{Service: group, Use: pooler.Usage{Share: pooler.Share{Connections: 2, Application: p.mine(), Version: 1}, Held: 0}})
 		mustNotDo[writeLedger](t, p.holds(2, 7, crowd()...))
 	})
 	p.report(1)
@@ -170,10 +170,10 @@
 func TestHalfEvictedNameIsGivenUp(t *testing.T) {
 	p := start()
 	p.holds(2, 7)
-	p.step(Load{Service: group, Use: pooler.Use{Share: p.slice.services[group].share, Held: 1, Revoked: true}})
+	p.step(Load{Service: group, Use: pooler.Usage{Share: p.slice.services[group].share, Held: 1, Revoked: true}})
 	a := p.holds(2, 7)
 	must.Eq(t, 0, mustDo[Limit](t, a).Share.Connections)
-	p.step(Load{Service: group, Use: pooler.Use{Share: p.slice.services[group].share, Held: 0, Revoked: true}})
+	p.step(Load{Service: group, Use: pooler.Usage{Share: p.slice.services[group].share, Held: 0, Revoked: true}})
 	must.Eq(t, 0, mustDo[writeLedger](t, p.holds(2, 7)).ledger.Total())
 }
 
--- a/internal/standin/failer/failer_test.go
+++ b/internal/standin/failer/failer_test.go
@@ -86,8 +86,8 @@
 // its divergent tail cut off.
 func TestFailover(t *testing.T) {
 	down := func(s *storer.Faults) { s.Down = true }
-	slow := func(s *storer.Faults) { s.Slow = 5 * time.Second }
-	lose := func(s *storer.Faults) { s.LoseAnswers = 2 }
+	slow := func(s *storer.Faults) { s.Latency = 5 * time.Second }
+	lose := func(s *storer.Faults) { s.LoseResponses = 2 }
 	tests := []struct {
 		name   string
 		before func(*stager.Fleet)
--- a/internal/standin/failer/pairs_test.go
+++ b/internal/standin/failer/pairs_test.go
@@ -102,11 +102,11 @@
 	}},
 	{"store-slow", func(f *stager.Fleet, r *rand.Rand) func() {
 		d := time.Duration(r.IntN(2000)) * time.Millisecond
-		f.Store.SetFaults(func(s *storer.Faults) { s.Slow = d })
-		return func() { f.Store.SetFaults(func(s *storer.Faults) { s.Slow = 0 }) }
+		f.Store.SetFaults(func(s *storer.Faults) { s.Latency = d })
+		return func() { f.Store.SetFaults(func(s *storer.Faults) { s.Latency = 0 }) }
 	}},
 	{"store-loses-answers", func(f *stager.Fleet, _ *rand.Rand) func() {
-		f.Store.SetFaults(func(s *storer.Faults) { s.LoseAnswers = 3 })
+		f.Store.SetFaults(func(s *storer.Faults) { s.LoseResponses = 3 })
 		return func() {}
 	}},
 	{"primary-leaves", func(f *stager.Fleet, _ *rand.Rand) func() {
--- a/internal/standin/failer/promoter_test.go
+++ b/internal/standin/failer/promoter_test.go
@@ -73,7 +73,7 @@
 		Before: store(func(s *storer.Faults) { s.Down = true }),
 		Fault:  failer.Crash,
 		Heal: func(f *stager.Fleet, p *stager.Target) {
-			f.Store.SetFaults(func(s *storer.Faults) { s.Down, s.LoseAnswers = false, 2 })
+			f.Store.SetFaults(func(s *storer.Faults) { s.Down, s.LoseResponses = false, 2 })
 			f.RestartTarget(p)
 		},
 		Check: recorded,
--- a/internal/standin/keeper/keeper.go
+++ b/internal/standin/keeper/keeper.go
@@ -62,7 +62,7 @@
 func refuse(w http.ResponseWriter, err error) {
 	e := storer.WireError{Code: 14, Message: err.Error()}
 	status := http.StatusServiceUnavailable
-	if errors.Is(err, storer.ErrLeaseLost) {
+	if errors.Is(err, storer.ErrLeaseExpired) {
 		e.Code, status = 5, http.StatusNotFound
 	}
 	w.WriteHeader(status)
@@ -88,7 +88,7 @@
 	if !take(w, r, &ask) {
 		return
 	}
-	var a storer.WireRangeAnswer
+	var a storer.WireRangeResponse
 	if len(ask.RangeEnd) == 0 {
 		p, err := k.Store.Get(r.Context(), string(ask.Key))
 		if err != nil {
@@ -122,7 +122,7 @@
 		return
 	}
 	p := storer.Pair{Key: string(ask.Compare[0].Key), Revision: ask.Compare[0].ModRevision}
-	var a storer.WireTxnAnswer
+	var a storer.WireTxnResponse
 	var err error
 	if put := ask.Success[0].Put; put != nil {
 		p.Value = put.Value
@@ -136,11 +136,11 @@
 		return
 	}
 	if !a.Succeeded {
-		found := &storer.WireRangeAnswer{}
+		found := &storer.WireRangeResponse{}
 		if p.Revision != 0 {
 			found.KVs = append(found.KVs, wire(p))
 		}
-		a.Responses = []storer.WireOpAnswer{{Range: found}}
+		a.Responses = []storer.WireOpResponse{{Range: found}}
 	}
 	reply(w, a)
 }
@@ -164,11 +164,11 @@
 		return
 	}
 	err := k.Store.KeepAlive(r.Context(), storer.Lease(ask.ID))
-	if err != nil && !errors.Is(err, storer.ErrLeaseLost) {
+	if err != nil && !errors.Is(err, storer.ErrLeaseExpired) {
 		refuse(w, err)
 		return
 	}
-	a := storer.WireKeepAliveAnswer{Result: storer.WireLease{ID: ask.ID, TTL: 1}}
+	a := storer.WireKeepAliveResponse{Result: storer.WireLease{ID: ask.ID, TTL: 1}}
 	if err != nil {
 		a.Result.TTL = 0
 	}
@@ -201,7 +201,7 @@
 		if p.Revision == 0 {
 			e.Type = storer.TypeDelete
 		}
-		_ = out.Encode(storer.WireWatchAnswer{Result: storer.WireWatchResult{Events: []storer.WireEvent{e}}})
+		_ = out.Encode(storer.WireWatchResponse{Result: storer.WireWatchResult{Events: []storer.WireEvent{e}}})
 		_ = flush.Flush()
 	})
 	if !started {
--- a/internal/standin/keeper/list.go
+++ b/internal/standin/keeper/list.go
@@ -88,10 +88,10 @@
 			f.Down = *ask.Down
 		}
 		if ask.SlowMS != nil {
-			f.Slow = time.Duration(*ask.SlowMS) * time.Millisecond
+			f.Latency = time.Duration(*ask.SlowMS) * time.Millisecond
 		}
 		if ask.LoseAnswers != nil {
-			f.LoseAnswers = *ask.LoseAnswers
+			f.LoseResponses = *ask.LoseAnswers
 		}
 	})
 	if ask.ListLagMS != nil {
@@ -100,7 +100,7 @@
 		k.mutex.Unlock()
 	}
 	if ask.Lapse {
-		k.Store.Lapse()
+		k.Store.ExpireLeases()
 	}
 	reply(w, struct{}{})
 }
--- a/internal/standin/liner/group.go
+++ b/internal/standin/liner/group.go
@@ -218,7 +218,7 @@
 	var list []tracker.Member
 	for _, m := range g.members {
 		if !m.gone {
-			list = append(list, tracker.Member{ID: m.ID, Group: g.Name, Address: m.IP + Port, Zone: m.Zone, Slots: 3, Leaving: m.leaving, Primary: m.primary, Revision: 1, Born: m.born})
+			list = append(list, tracker.Member{ID: m.ID, Group: g.Name, Address: m.IP + Port, Zone: m.Zone, Slots: 3, Leaving: m.leaving, Primary: m.primary, Revision: 1, StartTime: m.born})
 		}
 	}
 	return list
--- a/internal/standin/measurer/baseline.go
+++ b/internal/standin/measurer/baseline.go
@@ -57,7 +57,7 @@
 	time.Sleep(time.Second)
 	struck := time.Now()
 	if w.Name == "planned" { // the agent hands over at its next look
-		f.Store.Lapse()
+		f.Store.ExpireLeases()
 	} else {
 		w.Throw(f, f.Members[0])
 	}
--- a/internal/standin/mesher/mesher.go
+++ b/internal/standin/mesher/mesher.go
@@ -97,7 +97,7 @@
 
 		mesh      *Mesh
 		published atomic.Pointer[gossiper.Snapshot]
-		held      atomic.Pointer[configurer.Held]
+		held      atomic.Pointer[configurer.ActiveDocument]
 		backlog   []controller.Event
 	}
 
@@ -159,7 +159,7 @@
 	}
 	n.Slices = []controller.Slice{
 		&lister.Slice{Self: self, Random: random()},
-		&configurer.Slice{Instance: name, Zone: zone, Random: random(), Held: &n.held},
+		&configurer.Slice{Instance: name, Zone: zone, Random: random(), Active: &n.held},
 		&drainer.Slice{},
 		&observer.Slice{Instance: name, Zone: zone},
 		&gossiper.Slice{Self: self, Run: m.random.Uint32(), Random: random(), Published: &n.published, Seeds: seeds},
@@ -294,7 +294,7 @@
 func (r *recorder) Step(now time.Time, e controller.Event) []controller.Action {
 	n := r.node
 	switch e := e.(type) {
-	case configurer.InForce:
+	case configurer.Activated:
 		n.Versions = append(n.Versions, e.Version)
 	case observer.Observed:
 		if k := e.Service + "/" + e.Member; e.Err == nil && e.Started.After(n.Seen[k]) {
--- a/internal/standin/mesher/performer.go
+++ b/internal/standin/mesher/performer.go
@@ -31,18 +31,18 @@
 		m.Counts.StoreReads++
 		n.platform(func(down bool) controller.Event {
 			if down || m.StoreDown || m.version == 0 {
-				return configurer.Offered{Err: errCut, Source: configurer.SourceStore}
+				return configurer.ReadResult{Err: errCut, Source: configurer.SourceStore}
 			}
-			return configurer.Offer(m.version, m.text, configurer.SourceStore)
+			return configurer.DecodeResult(m.version, m.text, configurer.SourceStore)
 		})
 	case configurer.Watch:
 		m.Counts.StoreWatches++
 		m.watch(n, a.Since)
 	case configurer.Fetch:
-		n.fetch(a.Address, a.NewerThan, a.Base, func(o configurer.Offered, _ []lister.Instance) controller.Event { return o })
-	case gossiper.Greet:
-		n.fetch(a.Address, 0, nil, func(o configurer.Offered, peers []lister.Instance) controller.Event {
-			return gossiper.Greeted{Offered: o, Peers: peers}
+		n.fetch(a.Address, a.NewerThan, a.Base, func(o configurer.ReadResult, _ []lister.Instance) controller.Event { return o })
+	case gossiper.QuerySeed:
+		n.fetch(a.Address, 0, nil, func(o configurer.ReadResult, peers []lister.Instance) controller.Event {
+			return gossiper.SeedReplied{Result: o, Peers: peers}
 		})
 	case gossiper.Exchange:
 		n.exchange(a)
@@ -66,7 +66,7 @@
 func (m *Mesh) watch(n *Node, since int64) {
 	w := &watch{node: n, since: since}
 	m.waiting = append(m.waiting, w)
-	m.after(watchFor, func() { m.end(w, configurer.Offered{Source: configurer.SourceWatch}) })
+	m.after(watchFor, func() { m.end(w, configurer.ReadResult{Source: configurer.SourceWatch}) })
 	m.answer(w)
 }
 
@@ -76,14 +76,14 @@
 		switch {
 		case m.cut(w.node.Zone, platformZone): // nothing arrives; the watch runs out
 		case m.StoreDown:
-			m.end(w, configurer.Offered{Err: errCut, Source: configurer.SourceWatch})
+			m.end(w, configurer.ReadResult{Err: errCut, Source: configurer.SourceWatch})
 		case m.version > w.since:
-			m.end(w, configurer.Offer(m.version, m.text, configurer.SourceWatch))
+			m.end(w, configurer.DecodeResult(m.version, m.text, configurer.SourceWatch))
 		}
 	})
 }
 
-func (m *Mesh) end(w *watch, o configurer.Offered) {
+func (m *Mesh) end(w *watch, o configurer.ReadResult) {
 	if w.ended {
 		return
 	}
@@ -129,44 +129,44 @@
 		a.Request.Sender = nil
 	}
 	n.reach(a.Peer.Address, func(to *Node) {
-		to.Give(gossiper.FromRequest(&wire.ExchangeRequest{Version: a.Request.Version, Sender: sender}))
+		to.Give(gossiper.ExchangeRequestFromWire(&wire.ExchangeRequest{Version: a.Request.Version, Sender: sender}))
 		s := to.published.Load()
 		if s == nil {
 			s = &gossiper.Snapshot{Self: to.Self()}
 		}
 		r := s.Report(m.Now, a.Request)
 		bytes := m.carry(a.Request, r)
-		m.after(Latency, func() { n.Give(gossiper.Exchanged{Peer: a.Peer, Report: r, Asked: asked, Bytes: bytes}) })
-	}, func() { n.Give(gossiper.Exchanged{Peer: a.Peer, Asked: asked, Err: errCut}) })
+		m.after(Latency, func() { n.Give(gossiper.Exchanged{Peer: a.Peer, Report: r, RequestedAt: asked, Bytes: bytes}) })
+	}, func() { n.Give(gossiper.Exchanged{Peer: a.Peer, RequestedAt: asked, Err: errCut}) })
 }
 
 func (n *Node) announce(a gossiper.Announce) {
 	m := n.mesh
 	m.Counts.Announces++
-	m.carry(a.News)
+	m.carry(a.Message)
 	if m.Mute {
-		m.after(CallTimeout, func() { n.Give(lister.Called{Name: a.Peer.Name}) })
+		m.after(CallTimeout, func() { n.Give(lister.PeerCalled{Name: a.Peer.Name}) })
 		return
 	}
 	n.reach(a.Peer.Address, func(to *Node) {
-		to.Give(gossiper.FromAnnouncement(a.News))
-		m.after(Latency, func() { n.Give(lister.Called{Name: a.Peer.Name, OK: true}) })
-	}, func() { n.Give(lister.Called{Name: a.Peer.Name}) })
+		to.Give(gossiper.AnnouncementFromWire(a.Message))
+		m.after(Latency, func() { n.Give(lister.PeerCalled{Name: a.Peer.Name, OK: true}) })
+	}, func() { n.Give(lister.PeerCalled{Name: a.Peer.Name}) })
 }
 
-func (n *Node) fetch(address string, newerThan int64, base []byte, f func(configurer.Offered, []lister.Instance) controller.Event) {
+func (n *Node) fetch(address string, newerThan int64, base []byte, f func(configurer.ReadResult, []lister.Instance) controller.Event) {
 	m := n.mesh
 	m.Counts.Fetches++
 	n.reach(address, func(to *Node) {
-		w := gossiper.ToFetchReply(to.held.Load(), to.published.Load(), &wire.FetchRequest{NewerThan: newerThan})
+		w := gossiper.MakeFetchReply(to.held.Load(), to.published.Load(), &wire.FetchRequest{NewerThan: newerThan})
 		var peers []lister.Instance
 		if s := to.published.Load(); s != nil && newerThan == 0 {
 			peers = append(append(peers, to.Self()), s.Peers...)
 		}
 		m.Counts.FetchBytes += m.carry(w)
-		o := gossiper.FromFetchReply(w, base)
+		o := gossiper.DecodeFetchReply(w, base)
 		m.after(Latency, func() { n.Give(f(o, peers)) })
-	}, func() { n.Give(f(configurer.Offered{Err: errCut, Source: configurer.SourcePeer}, nil)) })
+	}, func() { n.Give(f(configurer.ReadResult{Err: errCut, Source: configurer.SourcePeer}, nil)) })
 }
 
 // ask answers for a target, whose log grows by an entry each millisecond.
--- a/internal/standin/mesher/slopes_test.go
+++ b/internal/standin/mesher/slopes_test.go
@@ -155,7 +155,7 @@
 	d := document(groups)
 	before := liveBytes()
 	now := time.Unix(1_000_000, 0)
-	s.Step(now, configurer.InForce{Version: 1, Document: d})
+	s.Step(now, configurer.Activated{Version: 1, Document: d})
 	observe := func() {
 		for _, v := range d.Services {
 			for k, m := range v.Members {
@@ -310,7 +310,7 @@
 	next.Services[groups/2].Connections++
 	changed := encode(next)
 	cpuDifference := userSeconds()
-	difference := configurer.Compare(text, changed)
+	difference := configurer.MakePatch(text, changed)
 	cpuDifference = userSeconds() - cpuDifference
 	fmt.Printf("%-34s groups=%-4d %12d B\n", "configuration-difference", groups, difference.Size())
 	fmt.Printf("%-34s groups=%-4d %12.3f ms\n", "configuration-difference-cpu", groups, 1e3*cpuDifference)
--- a/internal/standin/platformer/platformer.go
+++ b/internal/standin/platformer/platformer.go
@@ -80,9 +80,9 @@
 func fail(w http.ResponseWriter, err error) {
 	status := http.StatusServiceUnavailable
 	switch {
-	case errors.Is(err, storer.ErrHistoryLost):
+	case errors.Is(err, storer.ErrCompacted):
 		status = http.StatusGone
-	case errors.Is(err, storer.ErrLeaseLost):
+	case errors.Is(err, storer.ErrLeaseExpired):
 		status = http.StatusNotFound
 	}
 	reply(w, status, map[string]string{"error": err.Error()})
@@ -250,14 +250,14 @@
 	fields := map[string]any{
 		"service": m.Group, "address": m.Address, "zone": m.Zone, "capacity": m.Slots, "phase": phase, "db_role": role,
 	}
-	if m.Born != 0 {
-		fields["born"] = m.Born
+	if m.StartTime != 0 {
+		fields["born"] = m.StartTime
 	}
 	return encode(fields)
 }
 
 var typeWords = map[tracker.Rule]string{
-	tracker.RulePrimary: "primary", tracker.RuleBounded: "bounded_staleness", tracker.RuleOwnWrites: "read_your_writes",
+	tracker.RulePrimary: "primary", tracker.RuleBounded: "bounded_staleness", tracker.RuleReadYourWrites: "read_your_writes",
 }
 
 // Customer is a customer as an operator writes it, with its keys.
@@ -273,7 +273,7 @@
 	for _, r := range c.Routes {
 		routes = append(routes, map[string]any{
 			"database": r.Database, "service": r.Group, "type": typeWords[r.Rule], "priority": r.Priority,
-			"timeout_ms": r.Timeout.Milliseconds(), "target_latency_ms": r.Aim.Milliseconds(), "max_staleness_ms": r.Staleness.Milliseconds(),
+			"timeout_ms": r.Timeout.Milliseconds(), "target_latency_ms": r.LatencyObjective.Milliseconds(), "max_staleness_ms": r.Staleness.Milliseconds(),
 			"anonymous": r.Anonymous,
 		})
 	}
--- a/internal/standin/player/faults.go
+++ b/internal/standin/player/faults.go
@@ -134,15 +134,15 @@
 		if err != nil {
 			return "", err
 		}
-		change = func(f *storer.Faults) { f.Slow = d }
+		change = func(f *storer.Faults) { f.Latency = d }
 	case "lose-answers":
 		n := 0
 		if _, err := fmt.Sscan(argument, &n); err != nil {
 			return "", errors.Wrap(err, "number of answers")
 		}
-		change = func(f *storer.Faults) { f.LoseAnswers = n }
+		change = func(f *storer.Faults) { f.LoseResponses = n }
 	case "lapse":
-		p.fleet.Store.Lapse()
+		p.fleet.Store.ExpireLeases()
 		return "", nil
 	default:
 		return "", errors.Errorf("no store fault %q", a[0])
--- a/internal/standin/soaker/faults.go
+++ b/internal/standin/soaker/faults.go
@@ -83,8 +83,8 @@
 	},
 	{
 		Code: "F06", Title: "store answers are lost after their effect",
-		Throw: func(s *Soak, n int) { s.fleet.Store.SetFaults(func(f *storer.Faults) { f.LoseAnswers = 1 + n%3 }) },
-		End:   func(s *Soak, _ int) { s.fleet.Store.SetFaults(func(f *storer.Faults) { f.LoseAnswers = 0 }) },
+		Throw: func(s *Soak, n int) { s.fleet.Store.SetFaults(func(f *storer.Faults) { f.LoseResponses = 1 + n%3 }) },
+		End:   func(s *Soak, _ int) { s.fleet.Store.SetFaults(func(f *storer.Faults) { f.LoseResponses = 0 }) },
 	},
 	{
 		Code: "F07", Title: "an instance crashes and is replaced",
--- a/internal/standin/stager/stager.go
+++ b/internal/standin/stager/stager.go
@@ -251,8 +251,8 @@
 	f.starts++
 	e.Events = make(chan controller.Event, eventQueue)
 	e.Metrics = tally.NewTestScope("", nil)
-	store := (&storer.Gateway{Address: f.Platform.Address, Network: h}).Open()
-	list := (&lister.Page{Address: f.Platform.Address, Network: h}).Open()
+	store := (&storer.Client{Address: f.Platform.Address, Network: h}).Open()
+	list := (&lister.Client{Address: f.Platform.Address, Network: h}).Open()
 	i := &runner.Instance{
 		Settings: &loader.Settings{
 			Name: e.Name, Zone: e.Zone, Callers: e.IP + ":5432", Peers: e.IP + ":7100", Platform: f.Platform.Address, Authentication: loader.Trust,
--- a/internal/starter/starter.go
+++ b/internal/starter/starter.go
@@ -228,7 +228,7 @@
 	for _, m := range f.Members {
 		s.Members = append(s.Members, configurer.Member{Name: m.Name, Address: m.Address, Zone: m.Zone})
 	}
-	store := (&storer.Gateway{Address: f.Platform.Address, Network: networker.TCP{}}).Open()
+	store := (&storer.Client{Address: f.Platform.Address, Network: networker.TCP{}}).Open()
 	defer store.Close()
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
--- a/internal/storer/contract_test.go
+++ b/internal/storer/contract_test.go
@@ -68,7 +68,7 @@
 		mustHold(t, ctx, s, "a", true)
 		time.Sleep(11 * time.Second)
 		mustHold(t, ctx, s, "a", false)
-		must.ErrorIs(t, s.KeepAlive(ctx, l), storer.ErrLeaseLost)
+		must.ErrorIs(t, s.KeepAlive(ctx, l), storer.ErrLeaseExpired)
 	}},
 	{"revoked lease deletes its keys", func(t *testing.T, ctx context.Context, s storer.Store, _ *storer.Memory) {
 		l, err := s.Grant(ctx, 10*time.Second)
@@ -98,7 +98,7 @@
 		must.Eq(t, []string{"2", "4", ""}, got)
 	}},
 	{"response of a completed write is lost", func(t *testing.T, ctx context.Context, s storer.Store, m *storer.Memory) {
-		m.SetFaults(func(f *storer.Faults) { f.LoseAnswers = 1 })
+		m.SetFaults(func(f *storer.Faults) { f.LoseResponses = 1 })
 		_, _, err := s.Swap(ctx, storer.Pair{Key: "a", Value: []byte("1")}, 0)
 		must.ErrorIs(t, err, storer.ErrUnavailable)
 		mustHold(t, ctx, s, "a", true)
@@ -154,7 +154,7 @@
 				done := make(chan error, 1)
 				go func() { done <- k.Run(ctx) }()
 				synctest.Wait()
-				g := (&storer.Gateway{Address: k.Address, Network: n.Host("10.0.0.2", "a")}).Open()
+				g := (&storer.Client{Address: k.Address, Network: n.Host("10.0.0.2", "a")}).Open()
 				defer func() {
 					g.Close()
 					cancel()
--- a/internal/storer/gateway.go
+++ b/internal/storer/gateway.go
@@ -18,9 +18,9 @@
 	maxResponseBytes = 4 << 20
 )
 
-// Gateway is a client of the platform's store over HTTP with persistent connections. Set the
+// Client is a client of the platform's store over HTTP with persistent connections. Set the
 // exported fields, then call Open.
-type Gateway struct {
+type Client struct {
 	// Address is "ip:port".
 	Address string
 	Network networker.Network
@@ -29,20 +29,20 @@
 }
 
 // Open initializes the client without making a call.
-func (g *Gateway) Open() *Gateway {
-	g.client = &http.Client{Transport: &http.Transport{
+func (c *Client) Open() *Client {
+	c.client = &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return g.Network.Dial(ctx, g.Address)
+			return c.Network.Dial(ctx, c.Address)
 		},
 		MaxIdleConnsPerHost: 2,
 	}}
-	return g
+	return c
 }
 
 // Close closes idle connections.
-func (g *Gateway) Close() { g.client.CloseIdleConnections() }
+func (c *Client) Close() { c.client.CloseIdleConnections() }
 
-func (g *Gateway) send(ctx context.Context, path string, request any) (*http.Response, error) {
+func (g *Client) send(ctx context.Context, path string, request any) (*http.Response, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode request")
@@ -60,17 +60,17 @@
 		var e WireError
 		_ = json.NewDecoder(io.LimitReader(a.Body, maxResponseBytes)).Decode(&e)
 		if e.Code == codeNotFound {
-			return nil, ErrLeaseLost
+			return nil, ErrLeaseExpired
 		}
 		return nil, errors.Wrapf(ErrUnavailable, "status %d: %s", a.StatusCode, e.Message)
 	}
 	return a, nil
 }
 
-func (g *Gateway) call(ctx context.Context, path string, request, response any) error {
+func (c *Client) call(ctx context.Context, path string, request, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	a, err := g.send(ctx, path, request)
+	a, err := c.send(ctx, path, request)
 	if err != nil {
 		return err
 	}
@@ -82,9 +82,9 @@
 }
 
 // Get implements Store.
-func (g *Gateway) Get(ctx context.Context, key string) (Pair, error) {
-	var a WireRangeAnswer
-	if err := g.call(ctx, PathRange, WireRange{Key: []byte(key)}, &a); err != nil {
+func (c *Client) Get(ctx context.Context, key string) (Pair, error) {
+	var a WireRangeResponse
+	if err := c.call(ctx, PathRange, WireRange{Key: []byte(key)}, &a); err != nil {
 		return Pair{}, err
 	}
 	return firstPair(key, a.KVs), nil
@@ -98,9 +98,9 @@
 }
 
 // List implements Store.
-func (g *Gateway) List(ctx context.Context, prefix string) ([]Pair, error) {
-	var a WireRangeAnswer
-	if err := g.call(ctx, PathRange, WireRange{Key: []byte(prefix), RangeEnd: rangeEnd(prefix)}, &a); err != nil {
+func (c *Client) List(ctx context.Context, prefix string) ([]Pair, error) {
+	var a WireRangeResponse
+	if err := c.call(ctx, PathRange, WireRange{Key: []byte(prefix), RangeEnd: rangeEnd(prefix)}, &a); err != nil {
 		return nil, err
 	}
 	var out []Pair
@@ -115,10 +115,10 @@
 }
 
 // Swap implements Store.
-func (g *Gateway) Swap(ctx context.Context, p Pair, lease Lease) (Pair, bool, error) {
+func (c *Client) Swap(ctx context.Context, p Pair, lease Lease) (Pair, bool, error) {
 	key := []byte(p.Key)
-	var a WireTxnAnswer
-	err := g.call(ctx, PathTxn, WireTxn{
+	var a WireTxnResponse
+	err := c.call(ctx, PathTxn, WireTxn{
 		Compare: compareRevision(p),
 		Success: []WireOp{{Put: &WireKV{Key: key, Value: p.Value, Lease: int64(lease)}}},
 		Failure: []WireOp{{Range: &WireRange{Key: key}}},
@@ -136,9 +136,9 @@
 }
 
 // Delete implements Store.
-func (g *Gateway) Delete(ctx context.Context, p Pair) (bool, error) {
-	var a WireTxnAnswer
-	err := g.call(ctx, PathTxn, WireTxn{
+func (c *Client) Delete(ctx context.Context, p Pair) (bool, error) {
+	var a WireTxnResponse
+	err := c.call(ctx, PathTxn, WireTxn{
 		Compare: compareRevision(p),
 		Success: []WireOp{{Delete: &WireRange{Key: []byte(p.Key)}}},
 	}, &a)
@@ -146,33 +146,33 @@
 }
 
 // Grant implements Store. The TTL is rounded up to whole seconds.
-func (g *Gateway) Grant(ctx context.Context, ttl time.Duration) (Lease, error) {
+func (c *Client) Grant(ctx context.Context, ttl time.Duration) (Lease, error) {
 	var a WireLease
-	err := g.call(ctx, PathGrant, WireLease{TTL: int64((ttl + time.Second - 1) / time.Second)}, &a)
+	err := c.call(ctx, PathGrant, WireLease{TTL: int64((ttl + time.Second - 1) / time.Second)}, &a)
 	return Lease(a.ID), err
 }
 
 // KeepAlive implements Store.
-func (g *Gateway) KeepAlive(ctx context.Context, lease Lease) error {
-	var a WireKeepAliveAnswer
-	if err := g.call(ctx, PathKeepAlive, WireLease{ID: int64(lease)}, &a); err != nil {
+func (c *Client) KeepAlive(ctx context.Context, lease Lease) error {
+	var a WireKeepAliveResponse
+	if err := c.call(ctx, PathKeepAlive, WireLease{ID: int64(lease)}, &a); err != nil {
 		return err
 	}
 	if a.Result.TTL <= 0 {
-		return ErrLeaseLost
+		return ErrLeaseExpired
 	}
 	return nil
 }
 
 // Revoke implements Store.
-func (g *Gateway) Revoke(ctx context.Context, lease Lease) error {
+func (c *Client) Revoke(ctx context.Context, lease Lease) error {
 	var a struct{}
-	return g.call(ctx, PathRevoke, WireLease{ID: int64(lease)}, &a)
+	return c.call(ctx, PathRevoke, WireLease{ID: int64(lease)}, &a)
 }
 
 // Watch implements Store.
-func (g *Gateway) Watch(ctx context.Context, prefix string, since int64, changed func(Pair)) error {
-	a, err := g.send(ctx, PathWatch, WireWatch{Create: WireWatchCreate{
+func (c *Client) Watch(ctx context.Context, prefix string, since int64, changed func(Pair)) error {
+	a, err := c.send(ctx, PathWatch, WireWatch{Create: WireWatchCreate{
 		Key: []byte(prefix), RangeEnd: rangeEnd(prefix), StartRevision: since + 1,
 	}})
 	if err != nil {
@@ -181,7 +181,7 @@
 	defer a.Body.Close()
 	in := json.NewDecoder(a.Body)
 	for {
-		var m WireWatchAnswer
+		var m WireWatchResponse
 		if err := in.Decode(&m); err != nil {
 			if ctx.Err() != nil {
 				return ctx.Err()
--- a/internal/storer/memory.go
+++ b/internal/storer/memory.go
@@ -30,10 +30,10 @@
 	Faults struct {
 		// Down rejects all calls.
 		Down bool
-		// Slow is the latency added to all responses.
-		Slow time.Duration
-		// LoseAnswers is the number of writes to come that take effect but return an error.
-		LoseAnswers int
+		// Latency is the latency added to all responses.
+		Latency time.Duration
+		// LoseResponses is the number of writes to come that take effect but return an error.
+		LoseResponses int
 	}
 
 	entry struct {
@@ -71,8 +71,8 @@
 	return out
 }
 
-// Lapse expires all leases.
-func (m *Memory) Lapse() {
+// ExpireLeases expires all leases.
+func (m *Memory) ExpireLeases() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for l := range m.leases {
@@ -84,7 +84,7 @@
 func (m *Memory) begin(ctx context.Context, call string) error {
 	m.mutex.Lock()
 	m.counts[call]++
-	slow := m.faults.Slow
+	slow := m.faults.Latency
 	m.mutex.Unlock()
 	if slow > 0 {
 		select {
@@ -104,8 +104,8 @@
 
 // loseAnswer returns an error if the response to a completed write is to be lost.
 func (m *Memory) loseAnswer() error {
-	if m.faults.LoseAnswers > 0 {
-		m.faults.LoseAnswers--
+	if m.faults.LoseResponses > 0 {
+		m.faults.LoseResponses--
 		return errors.Wrap(ErrUnavailable, "response lost")
 	}
 	return nil
@@ -184,7 +184,7 @@
 	}
 	defer m.mutex.Unlock()
 	if lease != 0 && m.leases[lease] == nil {
-		return Pair{}, false, ErrLeaseLost
+		return Pair{}, false, ErrLeaseExpired
 	}
 	now := m.get(p.Key)
 	if now.Revision != p.Revision {
@@ -232,7 +232,7 @@
 	defer m.mutex.Unlock()
 	g := m.leases[lease]
 	if g == nil {
-		return ErrLeaseLost
+		return ErrLeaseExpired
 	}
 	g.expiresAt = time.Now().Add(g.ttl)
 	return nil
@@ -248,9 +248,9 @@
 	return nil
 }
 
-// Forget compacts the history. Later calls of Changes for earlier revisions return
-// ErrHistoryLost.
-func (m *Memory) Forget() {
+// Compact compacts the history. Later calls of Changes for earlier revisions return
+// ErrCompacted.
+func (m *Memory) Compact() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.compacted = int64(len(m.history))
@@ -279,7 +279,7 @@
 	for {
 		m.expireLeases()
 		if after < m.compacted {
-			return nil, 0, ErrHistoryLost
+			return nil, 0, ErrCompacted
 		}
 		var found []Pair
 		for _, p := range m.history[min(after, int64(len(m.history))):] {
@@ -320,7 +320,7 @@
 	for {
 		batch := append([]Pair(nil), m.history[next:]...)
 		next = len(m.history)
-		wait, down, slow := m.changed, m.faults.Down, m.faults.Slow
+		wait, down, slow := m.changed, m.faults.Down, m.faults.Latency
 		m.mutex.Unlock()
 		if down {
 			return ErrUnavailable
--- a/internal/storer/storer.go
+++ b/internal/storer/storer.go
@@ -24,7 +24,7 @@
 
 	// Store is the platform's key-value store. Each method is one call against the rate
 	// limit of the service; a waiting watch counts as one call. After any error other than
-	// ErrLeaseLost, a write may or may not have taken effect.
+	// ErrLeaseExpired, a write may or may not have taken effect.
 	Store interface {
 		// Get returns a key. Revision is 0 if it is absent.
 		Get(ctx context.Context, key string) (Pair, error)
@@ -38,7 +38,7 @@
 		Delete(ctx context.Context, p Pair) (ok bool, err error)
 		// Grant creates a lease that expires ttl after its last KeepAlive.
 		Grant(ctx context.Context, ttl time.Duration) (Lease, error)
-		// KeepAlive renews a lease, or returns ErrLeaseLost if it has expired.
+		// KeepAlive renews a lease, or returns ErrLeaseExpired if it has expired.
 		KeepAlive(ctx context.Context, lease Lease) error
 		// Revoke ends a lease and deletes its keys.
 		Revoke(ctx context.Context, lease Lease) error
@@ -51,11 +51,11 @@
 
 // Errors of the store.
 var (
-	// ErrLeaseLost means that a lease has ended and its keys are deleted.
-	ErrLeaseLost = errors.New("lease lost")
-	// ErrHistoryLost means that the requested changes are no longer retained, so that a new
+	// ErrLeaseExpired means that a lease has ended and its keys are deleted.
+	ErrLeaseExpired = errors.New("lease lost")
+	// ErrCompacted means that the requested changes are no longer retained, so that a new
 	// snapshot is required.
-	ErrHistoryLost = errors.New("history of the store is no longer available")
+	ErrCompacted = errors.New("history of the store is no longer available")
 	// ErrUnavailable means that the store did not answer.
 	ErrUnavailable = errors.New("store unavailable")
 )
--- a/internal/storer/wire.go
+++ b/internal/storer/wire.go
@@ -17,8 +17,8 @@
 		RangeEnd []byte `json:"range_end,omitempty"`
 	}
 
-	// WireRangeAnswer is the response to WireRange.
-	WireRangeAnswer struct {
+	// WireRangeResponse is the response to WireRange.
+	WireRangeResponse struct {
 		KVs []WireKV `json:"kvs,omitempty"`
 	}
 
@@ -49,16 +49,16 @@
 		Revision int64 `json:"revision,string"`
 	}
 
-	// WireOpAnswer is the result of one operation.
-	WireOpAnswer struct {
-		Range *WireRangeAnswer `json:"response_range,omitempty"`
+	// WireOpResponse is the result of one operation.
+	WireOpResponse struct {
+		Range *WireRangeResponse `json:"response_range,omitempty"`
 	}
 
-	// WireTxnAnswer is the response to WireTxn.
-	WireTxnAnswer struct {
-		Header    WireHeader     `json:"header"`
-		Succeeded bool           `json:"succeeded,omitempty"`
-		Responses []WireOpAnswer `json:"responses,omitempty"`
+	// WireTxnResponse is the response to WireTxn.
+	WireTxnResponse struct {
+		Header    WireHeader       `json:"header"`
+		Succeeded bool             `json:"succeeded,omitempty"`
+		Responses []WireOpResponse `json:"responses,omitempty"`
 	}
 
 	// WireLease grants, renews or revokes a lease. TTL is in seconds.
@@ -67,8 +67,8 @@
 		TTL int64 `json:"TTL,string,omitempty"`
 	}
 
-	// WireKeepAliveAnswer is one message of the keep-alive stream.
-	WireKeepAliveAnswer struct {
+	// WireKeepAliveResponse is one message of the keep-alive stream.
+	WireKeepAliveResponse struct {
 		Result WireLease `json:"result"`
 	}
 
@@ -84,8 +84,8 @@
 		StartRevision int64  `json:"start_revision,string,omitempty"`
 	}
 
-	// WireWatchAnswer is one message of the watch stream.
-	WireWatchAnswer struct {
+	// WireWatchResponse is one message of the watch stream.
+	WireWatchResponse struct {
 		Result WireWatchResult `json:"result"`
 	}
 
--- a/internal/charter/page.go
+++ b/internal/summarizer/page.go
@@ -1,4 +1,4 @@
-package charter
+package summarizer
 
 import (
 	"bytes"
@@ -113,7 +113,7 @@
 		s := plotLine{name, func(second int) (float64, bool) { return float64(r.Series[name][second]), true }}
 		switch {
 		case name == SeriesServed:
-		case strings.HasPrefix(name, "connections"), name == SeriesCarriers:
+		case strings.HasPrefix(name, "connections"), name == SeriesRelayed:
 			connections = append(connections, s)
 		default:
 			outcomes = append(outcomes, s)
@@ -173,7 +173,7 @@
 func (r *Report) lossRows() []lossRow {
 	rows := map[string]*lossRow{}
 	instances := map[[2]string]bool{}
-	for _, l := range r.Losses {
+	for _, l := range r.Outages {
 		row, ok := rows[l.Dependency]
 		if !ok {
 			row = &lossRow{Dependency: l.Dependency, Cause: l.Cause, First: l.At}
--- a/internal/charter/charter.go
+++ b/internal/summarizer/summarizer.go
@@ -1,7 +1,7 @@
-// Package charter summarizes the log lines of entry instances for the engineer on call: which
+// Package summarizer summarizes the log lines of entry instances for the engineer on call: which
 // statements were refused, slow or retried and why, how long they waited, which connections
 // failed, when primaries changed, and which dependencies were lost.
-package charter
+package summarizer
 
 import (
 	"cmp"
@@ -33,16 +33,16 @@
 		// Series holds event counts by name and second since From.
 		Series map[string]map[int]int
 		// Latency and Wait are in milliseconds, by second since From; Groups is the latency by group.
-		Latency, Wait map[int]*hdrhistogram.Histogram
-		Groups        map[string]*hdrhistogram.Histogram
-		Causes        []Cause
-		Moves         []Move
-		Losses        []Loss
+		Latency, Wait  map[int]*hdrhistogram.Histogram
+		Groups         map[string]*hdrhistogram.Histogram
+		Causes         []Cause
+		PrimaryChanges []PrimaryChange
+		Outages        []Outage
 		// Dropped counts lines that instances dropped, so that all counts are lower bounds.
 		Dropped int
 
 		// unfinishedChanges holds changes of the primary without a logged end, by group.
-		unfinishedChanges map[string]Move
+		unfinishedChanges map[string]PrimaryChange
 	}
 
 	// Cause is a reason for failed or retried statements, with counts by group.
@@ -53,15 +53,15 @@
 		First, Last     time.Time
 	}
 
-	// Move is a change of a group's primary.
-	Move struct {
+	// PrimaryChange is a change of a group's primary.
+	PrimaryChange struct {
 		At                              time.Time
 		Group, Reason, From, To, Result string
 		Took                            time.Duration
 	}
 
-	// Loss is an outage of a dependency; Until is zero if its end was not logged.
-	Loss struct {
+	// Outage is an outage of a dependency; Until is zero if its end was not logged.
+	Outage struct {
 		At, Until            time.Time
 		Instance, Dependency string
 		Cause                string
@@ -70,18 +70,18 @@
 
 // The names of series other than those of outcomes.
 const (
-	SeriesServed   = "served"
-	SeriesNoPlace  = "connections refused, connection limit"
-	SeriesNotOpen  = "connections failed"
-	SeriesLost     = "connections lost while idle"
-	SeriesCallers  = "connections of callers closed"
-	SeriesCarriers = "members reached via other instances"
+	SeriesServed             = "served"
+	SeriesConnectionLimit    = "connections refused, connection limit"
+	SeriesConnectFailed      = "connections failed"
+	SeriesIdleConnectionLost = "connections lost while idle"
+	SeriesCallerDisconnected = "connections of callers closed"
+	SeriesRelayed            = "members reached via other instances"
 )
 
 // Summarize builds a report from log lines ordered by time.
 func Summarize(lines []explainer.Line) *Report {
 	r := &Report{
-		Failures: map[int]int{}, unfinishedChanges: map[string]Move{}, Series: map[string]map[int]int{}, Latency: map[int]*hdrhistogram.Histogram{},
+		Failures: map[int]int{}, unfinishedChanges: map[string]PrimaryChange{}, Series: map[string]map[int]int{}, Latency: map[int]*hdrhistogram.Histogram{},
 		Wait: map[int]*hdrhistogram.Histogram{}, Groups: map[string]*hdrhistogram.Histogram{},
 	}
 	if len(lines) == 0 {
@@ -100,7 +100,7 @@
 			r.addConnection(l)
 		case "peers":
 			if l.Fields["event"] == "carried" {
-				r.countEvent(SeriesCarriers, l.At)
+				r.countEvent(SeriesRelayed, l.At)
 			}
 		case "duty":
 			r.addPrimaryChange(l)
@@ -111,9 +111,9 @@
 		}
 	}
 	for _, m := range r.unfinishedChanges {
-		r.Moves = append(r.Moves, m)
+		r.PrimaryChanges = append(r.PrimaryChanges, m)
 	}
-	slices.SortStableFunc(r.Moves, func(a, b Move) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(r.PrimaryChanges, func(a, b PrimaryChange) int { return a.At.Compare(b.At) })
 	for _, c := range causes {
 		r.Causes = append(r.Causes, *c)
 	}
@@ -142,7 +142,7 @@
 func (r *Report) addRequest(l explainer.Line, causes map[[2]string]*Cause) {
 	outcome, reason, group := l.Fields["outcome"], l.Fields["reason"], l.Fields["group"]
 	if outcome == "caller-cut" {
-		r.countEvent(SeriesCallers, l.At)
+		r.countEvent(SeriesCallerDisconnected, l.At)
 	}
 	if reason == "" {
 		return
@@ -162,12 +162,12 @@
 }
 
 func (r *Report) addConnection(l explainer.Line) {
-	series := SeriesNotOpen
+	series := SeriesConnectFailed
 	if l.Fields["event"] == "connection-lost" {
-		series = SeriesLost
+		series = SeriesIdleConnectionLost
 	}
 	if strings.Contains(l.Fields["cause"], "too-many-connections") {
-		series = SeriesNoPlace
+		series = SeriesConnectionLimit
 	}
 	r.countEvent(series, l.At)
 }
@@ -178,14 +178,14 @@
 	group := l.Fields["group"]
 	switch l.Fields["event"] {
 	case "move-begins":
-		r.unfinishedChanges[group] = Move{At: l.At, Group: group, Reason: l.Fields["reason"], From: l.Fields["primary"], Result: "end not logged"}
+		r.unfinishedChanges[group] = PrimaryChange{At: l.At, Group: group, Reason: l.Fields["reason"], From: l.Fields["primary"], Result: "end not logged"}
 		return
 	case "move-ended":
 		delete(r.unfinishedChanges, group)
 	default:
 		return
 	}
-	r.Moves = append(r.Moves, Move{
+	r.PrimaryChanges = append(r.PrimaryChanges, PrimaryChange{
 		At: l.At, Group: group, Reason: l.Fields["reason"], From: l.Fields["from"], To: l.Fields["to"],
 		Result: l.Fields["outcome"], Took: time.Duration(intField(l, "ms")) * time.Millisecond,
 	})
@@ -196,11 +196,11 @@
 	key := [2]string{l.Source(), l.Fields["dependency"]}
 	switch l.Fields["event"] {
 	case "dependency-lost":
-		lost[key] = len(r.Losses)
-		r.Losses = append(r.Losses, Loss{At: l.At, Instance: key[0], Dependency: key[1], Cause: l.Fields["cause"]})
+		lost[key] = len(r.Outages)
+		r.Outages = append(r.Outages, Outage{At: l.At, Instance: key[0], Dependency: key[1], Cause: l.Fields["cause"]})
 	case "dependency-regained":
 		if i, ok := lost[key]; ok {
-			r.Losses[i].Until = l.At
+			r.Outages[i].Until = l.At
 			delete(lost, key)
 		}
 	}
--- a/internal/charter/charter_test.go
+++ b/internal/summarizer/summarizer_test.go
@@ -1,12 +1,12 @@
-package charter_test
+package summarizer_test
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"github.com/oriolegw/oriolegw/internal/charter"
 	"github.com/oriolegw/oriolegw/internal/explainer"
+	"github.com/oriolegw/oriolegw/internal/summarizer"
 	"github.com/shoenig/test/must"
 )
 
@@ -23,26 +23,26 @@
 a-2 ts=2026-03-25T00:08:13.000Z part=journal event=lines-dropped lines=7
 `
 
-func read(t *testing.T, text string) *charter.Report {
+func read(t *testing.T, text string) *summarizer.Report {
 	t.Helper()
 	lines, err := explainer.Read(strings.NewReader(text))
 	must.NoError(t, err)
-	return charter.Summarize(lines)
+	return summarizer.Summarize(lines)
 }
 
 // Summarizes the merged logs of two instances.
 func TestSummarize(t *testing.T) {
 	r := read(t, log)
 	must.Eq(t, map[int]int{1: 2}, r.Series["refused, no-connection"])
-	must.Eq(t, map[int]int{1: 1}, r.Series[charter.SeriesNoPlace])
-	must.Eq(t, map[int]int{0: 1}, r.Series[charter.SeriesServed])
+	must.Eq(t, map[int]int{1: 1}, r.Series[summarizer.SeriesConnectionLimit])
+	must.Eq(t, map[int]int{0: 1}, r.Series[summarizer.SeriesServed])
 	must.Len(t, 1, r.Causes)
 	must.Eq(t, 2, r.Causes[0].Count)
-	must.Len(t, 1, r.Moves)
-	must.Eq(t, "352ms", r.Moves[0].Took.String())
-	must.Len(t, 2, r.Losses)
-	must.False(t, r.Losses[0].Until.IsZero())
-	must.True(t, r.Losses[1].Until.IsZero())
+	must.Len(t, 1, r.PrimaryChanges)
+	must.Eq(t, "352ms", r.PrimaryChanges[0].Took.String())
+	must.Len(t, 2, r.Outages)
+	must.False(t, r.Outages[0].Until.IsZero())
+	must.True(t, r.Outages[1].Until.IsZero())
 	must.Eq(t, 7, r.Dropped)
 	must.Eq(t, 40, r.Groups["g"].Max())
 }
@@ -73,7 +73,7 @@
 	r := read(t, text.String())
 	must.Len(t, 1, r.Causes)
 	must.Eq(t, 20, r.Causes[0].Count)
-	must.Len(t, 1, r.Moves)
+	must.Len(t, 1, r.PrimaryChanges)
 	var b strings.Builder
 	must.NoError(t, r.Write(&b))
 	for _, want := range []string{
@@ -90,7 +90,7 @@
 		fmt.Println(err)
 		return
 	}
-	for _, m := range charter.Summarize(lines).Moves {
+	for _, m := range summarizer.Summarize(lines).PrimaryChanges {
 		fmt.Println(m.Group, m.Reason, m.From, m.To, m.Took)
 	}
 	// Output: g primary-silent m n 352ms
--- a/internal/pacer/pacer_test.go
+++ b/internal/throttler/throttler_test.go
@@ -1,10 +1,10 @@
-package pacer_test
+package throttler_test
 
 import (
 	"testing"
 	"time"
 
-	"github.com/oriolegw/oriolegw/internal/pacer"
+	"github.com/oriolegw/oriolegw/internal/throttler"
 	"github.com/shoenig/test/must"
 )
 
@@ -54,7 +54,7 @@
 
 // instance sends one statement after another.
 type instance struct {
-	limiter pacer.Pacer
+	limiter throttler.Throttler
 	// readyAt is the earliest time of the next statement.
 	readyAt time.Time
 }
@@ -64,7 +64,7 @@
 
 // simulate runs all instances for ten seconds and counts statements after a warm-up of
 // two seconds.
-func simulate(withPacer bool) counts {
+func simulate(withThrottler bool) counts {
 	start := time.Unix(0, 0)
 	var m member
 	var t counts
@@ -73,17 +73,17 @@
 		measuring := now.Sub(start) > 2*time.Second
 		for i := range all {
 			x := &all[i]
-			if x.readyAt.After(now) || withPacer && x.limiter.Wait(now) > 0 {
+			if x.readyAt.After(now) || withThrottler && x.limiter.Delay(now) > 0 {
 				continue
 			}
-			x.limiter.Sent(now)
+			x.limiter.RecordSend(now)
 			end, ok := m.submit(now)
 			if ok {
 				x.readyAt = end
-				x.limiter.Served()
+				x.limiter.RecordSuccess()
 			} else {
 				x.readyAt = now.Add(retryDelay)
-				x.limiter.Refused(now)
+				x.limiter.RecordRejection(now)
 			}
 			if measuring && ok {
 				t.served++
@@ -95,7 +95,7 @@
 	return t
 }
 
-// The pacer must reduce the rejections of an overloaded member without reducing its
+// The throttler must reduce the rejections of an overloaded member without reducing its
 // throughput.
 func TestSaturation(t *testing.T) {
 	unpaced, paced := simulate(false), simulate(true)
@@ -107,22 +107,22 @@
 
 // The limit is lifted two successes after a single rejection.
 func TestRecovery(t *testing.T) {
-	var p pacer.Pacer
+	var p throttler.Throttler
 	now := time.Unix(1, 0)
-	must.Eq(t, 0, p.Wait(now))
-	p.Refused(now)
-	must.Greater(t, 0, p.Wait(now))
-	p.Served()
-	p.Served()
-	must.Eq(t, 0, p.Wait(now))
+	must.Eq(t, 0, p.Delay(now))
+	p.RecordRejection(now)
+	must.Greater(t, 0, p.Delay(now))
+	p.RecordSuccess()
+	p.RecordSuccess()
+	must.Eq(t, 0, p.Delay(now))
 }
 
 // Rejections of statements that were in flight together count once.
 func TestConcurrentRejectionsCountOnce(t *testing.T) {
-	var p pacer.Pacer
+	var p throttler.Throttler
 	now := time.Unix(1, 0)
 	for range 10 {
-		p.Refused(now)
+		p.RecordRejection(now)
 	}
-	must.LessEq(t, 30*time.Millisecond, p.Wait(now))
+	must.LessEq(t, 30*time.Millisecond, p.Delay(now))
 }
--- a/internal/tracker/group.go
+++ b/internal/tracker/group.go
@@ -40,10 +40,10 @@
 	// progress. It is safe for concurrent use.
 	Group struct {
 		Name string
-		// Zone is the availability zone of this instance. Near reports whether a zone is in
+		// Zone is the availability zone of this instance. SameRegion reports whether a zone is in
 		// the same region.
-		Zone string
-		Near func(zone string) bool
+		Zone       string
+		SameRegion func(zone string) bool
 
 		mutex   sync.Mutex
 		members map[string]*member
@@ -52,11 +52,11 @@
 		primaryRevision int64
 		// term is the highest term that any member has reported.
 		term   uint64
-		proofs []Proof
+		proofs []FreshnessProof
 		// restarts counts the member restarts, observedRestarts those that were included in
 		// restartedAt.
 		restarts, observedRestarts int
-		restartedAt                Stamp
+		restartedAt                Timestamp
 	}
 
 	member struct {
@@ -65,20 +65,20 @@
 		lastPosition orderer.Position
 		// missingPosition is a position that the member's log had not reached at missingAt.
 		missingPosition orderer.Position
-		missingAt       Stamp
+		missingAt       Timestamp
 		lagBackoff      time.Duration
-		failedAt        Stamp
+		failedAt        Timestamp
 		failed          bool
 		latency         time.Duration
 		// baselineLatency approximates the latency without queueing at the member.
 		baselineLatency time.Duration
-		sampledAt       Stamp
+		sampledAt       Timestamp
 		inFlight        int
 	}
 )
 
-// Members replaces the set of members with the registered ones.
-func (g *Group) Members(list []Member) {
+// SetMembers replaces the set of members with the registered ones.
+func (g *Group) SetMembers(list []Member) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	old := g.members
@@ -88,7 +88,7 @@
 			continue
 		}
 		x, ok := old[m.ID]
-		if ok && m.Born > x.Born && x.Born != 0 {
+		if ok && m.StartTime > x.StartTime && x.StartTime != 0 {
 			g.handleRestart(m.ID)
 			ok = false
 		}
@@ -116,15 +116,15 @@
 	}
 }
 
-// Restarted returns when a member restart was last detected, 0 if none was. It is never
+// LastRestart returns when a member restart was last detected, 0 if none was. It is never
 // earlier than the restart itself. The member may have lost what it acknowledged before.
-func (g *Group) Restarted(now Stamp) Stamp {
+func (g *Group) LastRestart(now Timestamp) Timestamp {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.observeRestarts(now)
 }
 
-func (g *Group) observeRestarts(now Stamp) Stamp {
+func (g *Group) observeRestarts(now Timestamp) Timestamp {
 	if g.restarts != g.observedRestarts {
 		g.observedRestarts, g.restartedAt = g.restarts, now
 	}
@@ -161,9 +161,9 @@
 	return ids
 }
 
-// Saw records a member's status that was requested at the given time. It reports
+// UpdateStatus records a member's status that was requested at the given time. It reports
 // whether the presumed primary changed.
-func (g *Group) Saw(requested Stamp, id string, s messenger.Status) bool {
+func (g *Group) UpdateStatus(requested Timestamp, id string, s messenger.Status) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	m, ok := g.members[id]
@@ -183,15 +183,15 @@
 		return false
 	}
 	g.term = s.Term
-	g.addProof(Proof{At: requested, Position: s.Received})
+	g.addProof(FreshnessProof{At: requested, Position: s.Received})
 	changed := g.primary != id
 	g.primary = id
 	return changed
 }
 
-// Lost records that a member denied being the primary. Unless another one is presumed
+// ClearPrimary records that a member denied being the primary. Unless another one is presumed
 // already, the next registration or status that names a primary is accepted.
-func (g *Group) Lost(id string) {
+func (g *Group) ClearPrimary(id string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.primary == id {
@@ -199,17 +199,17 @@
 	}
 }
 
-// Prove adds a proof of the primary's position.
-func (g *Group) Prove(p Proof) {
+// AddProof adds a proof of the primary's position.
+func (g *Group) AddProof(p FreshnessProof) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.addProof(p)
 }
 
-// Hear adds a proof that another instance obtained, with its time converted to the local
+// AddRemoteProof adds a proof that another instance obtained, with its time converted to the local
 // clock, and reports whether it was newer. A proof stays valid after a failover, but not
 // after a member restart: the new log may reach the position without the old commits.
-func (g *Group) Hear(now Stamp, p Proof) bool {
+func (g *Group) AddRemoteProof(now Timestamp, p FreshnessProof) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	// A time in the future is an error and would mask newer proofs.
@@ -223,19 +223,19 @@
 	return true
 }
 
-// FromPrimary returns the newest proof that was obtained from the primary.
-func (g *Group) FromPrimary() (Proof, bool) {
+// NewestPrimaryProof returns the newest proof that was obtained from the primary.
+func (g *Group) NewestPrimaryProof() (FreshnessProof, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for _, p := range slices.Backward(g.proofs) {
-		if !p.ByReplicas {
+		if !p.FromReplicas {
 			return p, true
 		}
 	}
-	return Proof{}, false
+	return FreshnessProof{}, false
 }
 
-func (g *Group) addProof(p Proof) {
+func (g *Group) addProof(p FreshnessProof) {
 	if p.Position.IsZero() {
 		return
 	}
@@ -256,30 +256,30 @@
 	g.proofs = slices.Delete(g.proofs, 0, i)
 }
 
-// Freshest returns the newest proof of any origin.
-func (g *Group) Freshest() (Proof, bool) {
+// NewestProof returns the newest proof of any origin.
+func (g *Group) NewestProof() (FreshnessProof, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if len(g.proofs) == 0 {
-		return Proof{}, false
+		return FreshnessProof{}, false
 	}
 	return g.proofs[len(g.proofs)-1], true
 }
 
-// Need returns the minimum log position for a replica to serve a read that arrived at
+// RequiredPosition returns the minimum log position for a replica to serve a read that arrived at
 // the given time, on a route other than RulePrimary. It uses the oldest proof within the
 // staleness bound, and returns false if there is none: only the primary can serve then.
-func (g *Group) Need(arrived Stamp, r Route, own Floor) (orderer.Position, bool) {
+func (g *Group) RequiredPosition(arrived Timestamp, r Route, own LastCommit) (orderer.Position, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	i, _ := slices.BinarySearchFunc(g.proofs, arrived-r.Staleness, func(p Proof, t Stamp) int {
+	i, _ := slices.BinarySearchFunc(g.proofs, arrived-r.Staleness, func(p FreshnessProof, t Timestamp) int {
 		return cmp.Compare(p.At, t)
 	})
 	if i == len(g.proofs) {
 		return orderer.Position{}, false
 	}
 	need := g.proofs[i]
-	if r.Rule != RuleOwnWrites || own.Position.IsZero() || need.At >= own.At {
+	if r.Rule != RuleReadYourWrites || own.Position.IsZero() || need.At >= own.At {
 		return need.Position, true
 	}
 	// A failover may have rolled back the reported position of a commit. A proof newer
@@ -292,9 +292,9 @@
 	return orderer.Max(need.Position, own.Position), true
 }
 
-// Readers returns the members that may have reached a position, by expected latency. It
+// ReadCandidates returns the members that may have reached a position, by expected latency. It
 // omits members that are draining or known to lag behind the position.
-func (g *Group) Readers(now Stamp, need orderer.Position) []string {
+func (g *Group) ReadCandidates(now Timestamp, need orderer.Position) []string {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	type candidate struct {
@@ -320,7 +320,7 @@
 
 // lacksPosition reports whether a member lacked the position recently and is not yet due
 // for another try.
-func (g *Group) lacksPosition(now Stamp, m *member, need orderer.Position) bool {
+func (g *Group) lacksPosition(now Timestamp, m *member, need orderer.Position) bool {
 	if m.lastPosition.AtLeast(need) || m.missingPosition.IsZero() {
 		return false
 	}
@@ -338,9 +338,9 @@
 
 // expectedLatency estimates the latency of a statement at a member from past samples and
 // the statements in flight.
-func (g *Group) expectedLatency(now Stamp, m *member) time.Duration {
+func (g *Group) expectedLatency(now Timestamp, m *member) time.Duration {
 	defaultLatency := defaultRemoteLatency
-	if m.Zone == g.Zone || g.Near(m.Zone) {
+	if m.Zone == g.Zone || g.SameRegion(m.Zone) {
 		defaultLatency = defaultLocalLatency
 	}
 	latency := defaultLatency
@@ -361,8 +361,8 @@
 	return c
 }
 
-// Sent records that a statement was sent to a member.
-func (g *Group) Sent(id string) {
+// RecordSend records that a statement was sent to a member.
+func (g *Group) RecordSend(id string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if m, ok := g.members[id]; ok {
@@ -370,8 +370,8 @@
 	}
 }
 
-// Answered records a response of a member, with its latency and the member's log position.
-func (g *Group) Answered(now Stamp, id string, elapsed time.Duration, p orderer.Position) {
+// RecordResponse records a response of a member, with its latency and the member's log position.
+func (g *Group) RecordResponse(now Timestamp, id string, elapsed time.Duration, p orderer.Position) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	m, ok := g.members[id]
@@ -405,17 +405,17 @@
 	m.baselineLatency += time.Duration(weight * float64(elapsed-m.baselineLatency))
 }
 
-// Queued reports whether this instance has a statement in flight at a member whose
+// IsQueueing reports whether this instance has a statement in flight at a member whose
 // latency is mostly queueing. Opening another connection would only add to the queue.
-func (g *Group) Queued(id string) bool {
+func (g *Group) IsQueueing(id string) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	m, ok := g.members[id]
 	return ok && m.inFlight > 0 && float64(m.latency) > queueingLatencyRatio*float64(m.baselineLatency)
 }
 
-// Unanswered records a failed statement, or a failed connection attempt if none was sent.
-func (g *Group) Unanswered(now Stamp, id string, sent bool) {
+// RecordFailure records a failed statement, or a failed connection attempt if none was sent.
+func (g *Group) RecordFailure(now Timestamp, id string, sent bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	m, ok := g.members[id]
@@ -428,8 +428,8 @@
 	m.failed, m.failedAt = true, now
 }
 
-// Behind records that a member's log had not reached a position.
-func (g *Group) Behind(now Stamp, id string, need orderer.Position) {
+// RecordLag records that a member's log had not reached a position.
+func (g *Group) RecordLag(now Timestamp, id string, need orderer.Position) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if m, ok := g.members[id]; ok {
--- a/internal/tracker/model.go
+++ b/internal/tracker/model.go
@@ -18,14 +18,14 @@
 	RulePrimary Rule = iota
 	// RuleBounded allows reads to be stale by up to Route.Staleness.
 	RuleBounded
-	// RuleOwnWrites is RuleBounded with read-your-writes consistency within a session.
-	RuleOwnWrites
+	// RuleReadYourWrites is RuleBounded with read-your-writes consistency within a session.
+	RuleReadYourWrites
 )
 
 type (
-	// Stamp is a time on a clock that includes suspended time, relative to an arbitrary
+	// Timestamp is a time on a clock that includes suspended time, relative to an arbitrary
 	// origin. Stamps of different machines are not comparable.
-	Stamp = time.Duration
+	Timestamp = time.Duration
 
 	// Route maps a database name to a group.
 	Route struct {
@@ -34,8 +34,8 @@
 		Rule     Rule
 		// Staleness is the maximum staleness of a read.
 		Staleness time.Duration
-		// Timeout bounds one statement; Aim is the target duration of a whole operation.
-		Timeout, Aim time.Duration
+		// Timeout bounds one statement; LatencyObjective is the target duration of a whole operation.
+		Timeout, LatencyObjective time.Duration
 		// Priority orders routes that compete for the same members; 0 is the highest.
 		Priority int
 		// Anonymous routes require no client key.
@@ -49,8 +49,8 @@
 		Groups  map[string]GroupSettings
 		// Customers holds the client accounts, nil if clients are not distinguished.
 		Customers *identifier.Directory
-		// Taken is when this instance applied the version.
-		Taken Stamp
+		// AppliedAt is when this instance applied the version.
+		AppliedAt Timestamp
 		// TransactionIdle is the idle timeout of transactions.
 		TransactionIdle time.Duration
 	}
@@ -80,25 +80,25 @@
 		Primary bool
 		// Revision is the store revision of the registration's last change.
 		Revision int64
-		// Born is the start time in Unix milliseconds, 0 if unknown. A member that restarts
+		// StartTime is the start time in Unix milliseconds, 0 if unknown. A member that restarts
 		// under the same ID has a later one and has lost its connections and log.
-		Born int64
+		StartTime int64
 	}
 
-	// Proof establishes that a log which has reached Position contains all commits
+	// FreshnessProof establishes that a log which has reached Position contains all commits
 	// acknowledged before At.
-	Proof struct {
-		At       Stamp
+	FreshnessProof struct {
+		At       Timestamp
 		Position orderer.Position
-		// ByReplicas is set if the proof was derived from the replicas' received positions,
+		// FromReplicas is set if the proof was derived from the replicas' received positions,
 		// without the primary.
-		ByReplicas bool
+		FromReplicas bool
 	}
 
-	// Floor is the last commit of a session, which its later reads must show.
-	Floor struct {
+	// LastCommit is the last commit of a session, which its later reads must show.
+	LastCommit struct {
 		Position orderer.Position
 		// At is when the commit was acknowledged.
-		At Stamp
+		At Timestamp
 	}
 )
--- a/internal/watcher/entries.go
+++ b/internal/watcher/entries.go
@@ -23,7 +23,7 @@
 		return false
 	}
 	m, err := w.DecodeMember(p.Key, p.Value, p.Revision)
-	if err == nil && e != nil && e.Born != 0 && m.Born == 0 {
+	if err == nil && e != nil && e.StartTime != 0 && m.StartTime == 0 {
 		err = errNoStartTime
 	}
 	if err != nil {
@@ -33,11 +33,11 @@
 	case e == nil:
 		e = &entry{}
 		w.entries[p.Key] = e
-	case m.Born < e.Born:
-		w.Log("event", "earlier-life-ignored", "member", m.ID, "born", m.Born, "known", e.Born, "revision", p.Revision)
+	case m.StartTime < e.StartTime:
+		w.Log("event", "earlier-life-ignored", "member", m.ID, "born", m.StartTime, "known", e.StartTime, "revision", p.Revision)
 		return false
-	case m.Born > e.Born && e.Born != 0:
-		w.Log("event", "member-restarted", "member", m.ID, "group", m.Group, "born", m.Born, "before", e.Born, "revision", p.Revision)
+	case m.StartTime > e.StartTime && e.StartTime != 0:
+		w.Log("event", "member-restarted", "member", m.ID, "group", m.Group, "born", m.StartTime, "before", e.StartTime, "revision", p.Revision)
 		*e = entry{}
 	}
 	before := *e
@@ -54,7 +54,7 @@
 	if same == e.Member && before.missingSince == 0 {
 		return false
 	}
-	w.Log("event", "member", "member", m.ID, "group", m.Group, "zone", m.Zone, "primary", m.Primary, "leaving", m.Leaving, "revision", m.Revision, "born", m.Born)
+	w.Log("event", "member", "member", m.ID, "group", m.Group, "zone", m.Zone, "primary", m.Primary, "leaving", m.Leaving, "revision", m.Revision, "born", m.StartTime)
 	return true
 }
 
@@ -111,7 +111,7 @@
 
 // missingFrom returns the time from which a deleted entry counts as missing. One that was
 // lost around an outage of the store gets a grace period to register again.
-func (w *Watcher) missingFrom(e *entry) tracker.Stamp {
+func (w *Watcher) missingFrom(e *entry) tracker.Timestamp {
 	if w.restoredAt != 0 && e.missingSince-w.restoredAt < registrationGrace {
 		return max(e.missingSince, w.restoredAt+registrationGrace)
 	}
@@ -135,5 +135,5 @@
 		}
 		list = append(list, m)
 	}
-	w.Members(list)
+	w.OnMembers(list)
 }
--- a/internal/watcher/peers.go
+++ b/internal/watcher/peers.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/oriolegw/oriolegw/internal/pauser"
+	"github.com/oriolegw/oriolegw/internal/sleeper"
 	"github.com/oriolegw/oriolegw/internal/storer"
 	"github.com/oriolegw/oriolegw/internal/tracker"
 )
@@ -35,26 +35,26 @@
 func (w *Watcher) pollPeers(ctx context.Context, updates chan<- update) error {
 	pause := peerPollStartDelay
 	for {
-		if err := pauser.Pause(ctx, pause); err != nil {
+		if err := sleeper.Sleep(ctx, pause); err != nil {
 			return err
 		}
 		pause = initialPeerPollInterval
-		follows := w.Follows != nil && w.Follows() && w.state.Load() != nil
-		if !w.storeDown.Load() && !follows || w.Hear == nil {
+		follows := w.FollowsPeers != nil && w.FollowsPeers() && w.state.Load() != nil
+		if !w.storeDown.Load() && !follows || w.RequestState == nil {
 			continue
 		}
 		if w.state.Load() != nil {
 			pause = peerPollInterval
 		}
-		n, err := w.Hear(ctx, w.revisionOfState())
+		n, err := w.RequestState(ctx, w.revisionOfState())
 		if err != nil {
-			continue // poll logs the loss of the store, and Hear that of a peer
+			continue // poll logs the loss of the store, and RequestState that of a peer
 		}
 		w.peerSeen.Store(int64(w.Clock()))
-		if n.Reads {
+		if n.SenderIsReader {
 			w.readerSeen.Store(int64(w.Clock()))
 		}
-		u := update{isPeerUpdate: true, snapshot: !n.Partial, peer: n.From, pairs: n.Pairs, revision: n.Revision, age: max(0, w.Clock()-n.Heard)}
+		u := update{isPeerUpdate: true, snapshot: !n.Partial, peer: n.Sender, pairs: n.Pairs, revision: n.Revision, age: max(0, w.Clock()-n.ConfirmedAt)}
 		select {
 		case updates <- u:
 		case <-ctx.Done():
@@ -75,8 +75,8 @@
 // followsSince reports whether this instance follows peers and the last update, at seen, is
 // within followTimeout.
 func (w *Watcher) followsSince(seen *atomic.Int64) bool {
-	at := tracker.Stamp(seen.Load())
-	return w.Follows != nil && w.Follows() && at != 0 && w.Clock()-at < followTimeout
+	at := tracker.Timestamp(seen.Load())
+	return w.FollowsPeers != nil && w.FollowsPeers() && at != 0 && w.Clock()-at < followTimeout
 }
 
 // revisionOfState returns the store revision of the known state.
@@ -104,7 +104,7 @@
 		}
 	}
 	w.revision = u.revision
-	n := &News{Revision: u.revision, Heard: w.storeSeenAt, Pairs: slices.Collect(maps.Values(w.pairs)), Gone: slices.Clone(w.deletions), GoneSince: w.deletionsSince}
+	n := &StoreState{Revision: u.revision, ConfirmedAt: w.storeSeenAt, Pairs: slices.Collect(maps.Values(w.pairs)), Deletions: slices.Clone(w.deletions), DeletionsSince: w.deletionsSince}
 	slices.SortFunc(n.Pairs, func(a, b storer.Pair) int { return strings.Compare(a.Key, b.Key) })
 	w.state.Store(n)
 }
@@ -131,17 +131,17 @@
 		return
 	}
 	delete(w.pairs, key)
-	w.deletions = append(w.deletions, Gone{key, revision})
+	w.deletions = append(w.deletions, Deletion{key, revision})
 	if len(w.deletions) > maxDeletions {
 		w.deletionsSince = w.deletions[0].Revision
 		w.deletions = slices.Clone(w.deletions[1:])
 	}
 }
 
-// Since returns the changes after a revision, or the whole state if the deletions since then
+// ChangesSince returns the changes after a revision, or the whole state if the deletions since then
 // are no longer known.
-func (n *News) Since(revision int64) (pairs []storer.Pair, partial bool) {
-	if revision < n.GoneSince || revision == 0 {
+func (n *StoreState) ChangesSince(revision int64) (pairs []storer.Pair, partial bool) {
+	if revision < n.DeletionsSince || revision == 0 {
 		return n.Pairs, false
 	}
 	for _, p := range n.Pairs {
@@ -149,7 +149,7 @@
 			pairs = append(pairs, p)
 		}
 	}
-	for _, g := range n.Gone {
+	for _, g := range n.Deletions {
 		if _, recreated := slices.BinarySearchFunc(n.Pairs, g.Key, func(p storer.Pair, key string) int { return strings.Compare(p.Key, key) }); g.Revision > revision && !recreated {
 			pairs = append(pairs, storer.Pair{Key: g.Key})
 		}
@@ -158,24 +158,24 @@
 }
 
 func (w *Watcher) watches(key string) bool {
-	return key == w.ConfigurationKey || strings.HasPrefix(key, w.MemberPrefix) || strings.HasPrefix(key, w.DutyPrefix) ||
-		w.Instance != nil && strings.HasPrefix(key, w.InstancePrefix)
+	return key == w.ConfigurationKey || strings.HasPrefix(key, w.MemberPrefix) || strings.HasPrefix(key, w.OwnershipPrefix) ||
+		w.OnInstance != nil && strings.HasPrefix(key, w.InstancePrefix)
 }
 
-// Reads reports whether this instance watches the store itself and the store is available.
-func (w *Watcher) Reads() bool { return !w.storeDown.Load() && !w.followsReader() }
+// IsReader reports whether this instance watches the store itself and the store is available.
+func (w *Watcher) IsReader() bool { return !w.storeDown.Load() && !w.followsReader() }
 
-// InTouch reports whether the store is available to this instance or to a peer that watches
+// StoreAvailable reports whether the store is available to this instance or to a peer that watches
 // it for this instance. It is safe for concurrent use.
-func (w *Watcher) InTouch() bool { return !w.storeDown.Load() || w.followsReader() }
+func (w *Watcher) StoreAvailable() bool { return !w.storeDown.Load() || w.followsReader() }
 
-// Current reports whether the known state was confirmed by the store within InForce,
+// Current reports whether the known state was confirmed by the store within MaxPropagationDelay,
 // directly or through a peer. It is safe for concurrent use.
 func (w *Watcher) Current() bool {
-	at := tracker.Stamp(w.storeSeen.Load())
-	return at != 0 && w.Clock()-at <= w.InForce
+	at := tracker.Timestamp(w.storeSeen.Load())
+	return at != 0 && w.Clock()-at <= w.MaxPropagationDelay
 }
 
-// Known returns the known state of the store, nil before the first read. It is safe for
+// State returns the known state of the store, nil before the first read. It is safe for
 // concurrent use.
-func (w *Watcher) Known() *News { return w.state.Load() }
+func (w *Watcher) State() *StoreState { return w.state.Load() }
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -1,5 +1,5 @@
 // Package watcher watches the platform's store for changes of the configuration, of the
-// members' registrations and of the duty records. It uses one watch for all of them, to
+// members' registrations and of the ownership records. It uses one watch for all of them, to
 // limit the calls against the store.
 package watcher
 
@@ -11,19 +11,19 @@
 	"time"
 
 	"github.com/go-faster/errors"
-	"github.com/oriolegw/oriolegw/internal/pauser"
+	"github.com/oriolegw/oriolegw/internal/sleeper"
 	"github.com/oriolegw/oriolegw/internal/storer"
 	"github.com/oriolegw/oriolegw/internal/tracker"
 )
 
 const (
-	// pollWaitFraction is the long-poll timeout as a fraction of InForce. The rest is left
+	// pollWaitFraction is the long-poll timeout as a fraction of MaxPropagationDelay. The rest is left
 	// to detect a silent connection and to read a new snapshot.
 	pollWaitFraction = 0.65
 	// minRetryDelay and maxRetryDelay bound the exponential backoff of failed calls.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
-	// followerRetryFraction is the retry delay, as a fraction of InForce, while peers can
+	// followerRetryFraction is the retry delay, as a fraction of MaxPropagationDelay, while peers can
 	// report that the store is available again.
 	followerRetryFraction = 0.5
 	// registrationGrace is how long after an outage of the store members may take to
@@ -35,7 +35,7 @@
 	// leavingTimeout is how long after its announcement a leaving member may still be sent
 	// work.
 	leavingTimeout = 6 * time.Second
-	// batchDelayFraction is the delay after a change, as a fraction of InForce, that lets one
+	// batchDelayFraction is the delay after a change, as a fraction of MaxPropagationDelay, that lets one
 	// call return several consecutive changes, such as those of a failover.
 	batchDelayFraction = 0.1
 	// startupBatchDelay replaces it for startupPeriod after the first start of the fleet,
@@ -60,60 +60,60 @@
 	// the callbacks concurrently.
 	Watcher struct {
 		Source Source
-		Clock  func() tracker.Stamp
-		// InForce is the maximum time until a change must be in force.
-		InForce time.Duration
+		Clock  func() tracker.Timestamp
+		// MaxPropagationDelay is the maximum time until a change must be in force.
+		MaxPropagationDelay time.Duration
 		// FirstStart is set when the whole fleet starts for the first time.
 		FirstStart bool
 		// ConfigurationKey is the key of the configuration; the others are the key prefixes
 		// of members, duties and instances.
-		ConfigurationKey, MemberPrefix, DutyPrefix, InstancePrefix string
+		ConfigurationKey, MemberPrefix, OwnershipPrefix, InstancePrefix string
 
 		DecodeConfiguration func(value []byte) (*tracker.Configuration, error)
 		DecodeMember        func(key string, value []byte, revision int64) (tracker.Member, error)
 
-		// Configured is called with each newer version of the configuration.
-		Configured func(*tracker.Configuration)
-		// Members is called with all members after any of them changed.
-		Members func([]tracker.Member)
-		// Duty is called with each changed duty record; Revision 0 means that nobody holds
-		// the duty.
-		Duty func(storer.Pair)
-		// Instance, if set, is called with each changed instance record.
-		Instance func(storer.Pair)
+		// OnConfiguration is called with each newer version of the configuration.
+		OnConfiguration func(*tracker.Configuration)
+		// OnMembers is called with all members after any of them changed.
+		OnMembers func([]tracker.Member)
+		// OnOwnership is called with each changed ownership record; Revision 0 means that the group
+		// has no owner.
+		OnOwnership func(storer.Pair)
+		// OnInstance, if set, is called with each changed instance record.
+		OnInstance func(storer.Pair)
 		// Log writes a log line of key-value pairs.
 		Log func(fields ...any)
-		// Hear, if set, requests the changes after a revision from peers. It is called while
+		// RequestState, if set, requests the changes after a revision from peers. It is called while
 		// the store is unavailable to this instance.
-		Hear func(ctx context.Context, revision int64) (News, error)
-		// Follows, if set, reports whether this instance leaves the watching of the store to
-		// peers, as long as Hear returns updates of one that watches it.
-		Follows func() bool
+		RequestState func(ctx context.Context, revision int64) (StoreState, error)
+		// FollowsPeers, if set, reports whether this instance leaves the watching of the store to
+		// peers, as long as RequestState returns updates of one that watches it.
+		FollowsPeers func() bool
 
 		// storeDown is set while the store is unavailable.
 		storeDown atomic.Bool
 		// readerSeen is the time of the last update from a peer that watches the store,
 		// peerSeen that of the last update from any peer.
 		readerSeen, peerSeen atomic.Int64
-		// state is the state published by Known.
-		state atomic.Pointer[News]
+		// state is the state published by State.
+		state atomic.Pointer[StoreState]
 		// pairs holds the watched keys of the store as of revision.
 		pairs    map[string]storer.Pair
 		revision int64
 		// deletions holds the recently deleted keys in order of detection. It is complete
 		// for all revisions after deletionsSince.
-		deletions      []Gone
+		deletions      []Deletion
 		deletionsSince int64
 		// peerUpdateAt is the age-adjusted time of the last update from a peer.
-		peerUpdateAt tracker.Stamp
+		peerUpdateAt tracker.Timestamp
 		version      int64
 		entries      map[string]*entry
 		duties       map[string]bool
 		outage       bool
-		restoredAt   tracker.Stamp
+		restoredAt   tracker.Timestamp
 		// storeSeenAt is when the store last answered. changedSince is the earliest time at
 		// which the changes of the current update may have happened.
-		storeSeenAt, changedSince tracker.Stamp
+		storeSeenAt, changedSince tracker.Timestamp
 		// storeSeen is storeSeenAt for other goroutines; 0 before the first answer.
 		storeSeen atomic.Int64
 	}
@@ -123,7 +123,7 @@
 		tracker.Member
 		// missingSince is when the entry was deleted, leavingSince when the member announced
 		// its shutdown; 0 if it did not happen.
-		missingSince, leavingSince tracker.Stamp
+		missingSince, leavingSince tracker.Timestamp
 	}
 
 	// update is the result of a read of the store, or of a request to a peer.
@@ -141,28 +141,28 @@
 		age          time.Duration
 	}
 
-	// Gone is a key that was deleted at or before a revision.
-	Gone struct {
+	// Deletion is a key that was deleted at or before a revision.
+	Deletion struct {
 		Key      string
 		Revision int64
 	}
 
-	// News is the state of the store as an instance has read it.
-	News struct {
+	// StoreState is the state of the store as an instance has read it.
+	StoreState struct {
 		// Pairs holds all watched keys. If Partial is set, it holds only the changed ones, with
 		// revision 0 for deleted keys.
 		Pairs    []storer.Pair
 		Partial  bool
 		Revision int64
-		// Gone holds the keys deleted after the revision GoneSince.
-		Gone      []Gone
-		GoneSince int64
-		// Heard is when the store last answered, on the local clock.
-		Heard tracker.Stamp
-		// From is the name of the peer that sent the state, "" for the store.
-		From string
-		// Reads is set if the sender watches the store itself and the store is available.
-		Reads bool
+		// Deletions holds the keys deleted after the revision DeletionsSince.
+		Deletions      []Deletion
+		DeletionsSince int64
+		// ConfirmedAt is when the store last answered, on the local clock.
+		ConfirmedAt tracker.Timestamp
+		// Sender is the name of the peer that sent the state, "" for the store.
+		Sender string
+		// SenderIsReader is set if the sender watches the store itself and the store is available.
+		SenderIsReader bool
 	}
 )
 
@@ -197,7 +197,7 @@
 	startedAt := w.Clock()
 	for {
 		if w.followsReader() {
-			if err := pauser.Pause(ctx, peerPollInterval); err != nil {
+			if err := sleeper.Sleep(ctx, peerPollInterval); err != nil {
 				return err
 			}
 			revision, snapshot = w.revisionOfState(), false
@@ -209,12 +209,12 @@
 			u.snapshot = true
 			u.pairs, next, u.err = w.Source.Snapshot(ctx, "")
 		} else {
-			u.pairs, next, u.err = w.Source.Changes(ctx, "", revision, time.Duration(pollWaitFraction*float64(w.InForce)))
+			u.pairs, next, u.err = w.Source.Changes(ctx, "", revision, time.Duration(pollWaitFraction*float64(w.MaxPropagationDelay)))
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if errors.Is(u.err, storer.ErrHistoryLost) {
+		if errors.Is(u.err, storer.ErrCompacted) {
 			snapshot = true
 			continue
 		}
@@ -230,9 +230,9 @@
 			// changes.
 			snapshot = true
 			if w.followsPeer() {
-				pause = max(pause, time.Duration(followerRetryFraction*float64(w.InForce)))
+				pause = max(pause, time.Duration(followerRetryFraction*float64(w.MaxPropagationDelay)))
 			}
-			if err := pauser.Pause(ctx, pause/2+rand.N(pause/2)); err != nil {
+			if err := sleeper.Sleep(ctx, pause/2+rand.N(pause/2)); err != nil {
 				return err
 			}
 			pause = min(2*pause, maxRetryDelay)
@@ -241,7 +241,7 @@
 		pause = minRetryDelay
 		if snapshot || len(u.pairs) > 0 {
 			revision = next
-			if err := pauser.Pause(ctx, w.batchDelay(startedAt)); err != nil {
+			if err := sleeper.Sleep(ctx, w.batchDelay(startedAt)); err != nil {
 				return err
 			}
 		}
@@ -250,11 +250,11 @@
 }
 
 // batchDelay returns how long to wait for further changes before the next call.
-func (w *Watcher) batchDelay(startedAt tracker.Stamp) time.Duration {
+func (w *Watcher) batchDelay(startedAt tracker.Timestamp) time.Duration {
 	if w.FirstStart && w.Clock()-startedAt < startupPeriod {
-		return min(startupBatchDelay, w.InForce/4)
+		return min(startupBatchDelay, w.MaxPropagationDelay/4)
 	}
-	return time.Duration(batchDelayFraction * float64(w.InForce))
+	return time.Duration(batchDelayFraction * float64(w.MaxPropagationDelay))
 }
 
 func (w *Watcher) apply(u update) {
@@ -305,13 +305,13 @@
 	switch {
 	case p.Key == w.ConfigurationKey:
 		w.applyConfiguration(p)
-	case strings.HasPrefix(p.Key, w.DutyPrefix):
+	case strings.HasPrefix(p.Key, w.OwnershipPrefix):
 		w.duties[p.Key] = p.Revision > 0
-		w.Duty(p)
+		w.OnOwnership(p)
 	case strings.HasPrefix(p.Key, w.MemberPrefix):
 		return w.applyMember(p)
-	case w.Instance != nil && strings.HasPrefix(p.Key, w.InstancePrefix):
-		w.Instance(p)
+	case w.OnInstance != nil && strings.HasPrefix(p.Key, w.InstancePrefix):
+		w.OnInstance(p)
 	}
 	return false
 }
@@ -330,5 +330,5 @@
 	}
 	w.version = c.Version
 	w.Log("event", "configuration", "version", c.Version, "revision", p.Revision, "routes", len(c.Routes))
-	w.Configured(c)
+	w.OnConfiguration(c)
 }
--- a/internal/watcher/watcher_test.go
+++ b/internal/watcher/watcher_test.go
@@ -29,10 +29,10 @@
 
 	follows atomic.Bool
 
-	mutex    sync.Mutex
-	peerNews *watcher.News
-	versions []int64
-	members  map[string]tracker.Member
+	mutex     sync.Mutex
+	peerState *watcher.StoreState
+	versions  []int64
+	members   map[string]tracker.Member
 }
 
 func runFixture(t *testing.T, run func(t *testing.T, f *fixture)) {
@@ -42,19 +42,19 @@
 		f := &fixture{store: storer.NewMemory(), pairs: map[string]storer.Pair{}}
 		start := time.Now()
 		w := &watcher.Watcher{
-			Source: f.store, InForce: 3 * time.Second, Clock: func() tracker.Stamp { return time.Since(start) + time.Hour },
-			ConfigurationKey: "configuration", MemberPrefix: "member/", DutyPrefix: "duty/",
+			Source: f.store, MaxPropagationDelay: 3 * time.Second, Clock: func() tracker.Timestamp { return time.Since(start) + time.Hour },
+			ConfigurationKey: "configuration", MemberPrefix: "member/", OwnershipPrefix: "duty/",
 			DecodeConfiguration: func(value []byte) (*tracker.Configuration, error) {
 				c := &tracker.Configuration{}
 				return c, json.Unmarshal(value, &c.Version)
 			},
 			DecodeMember: decodeMember,
-			Configured: func(c *tracker.Configuration) {
+			OnConfiguration: func(c *tracker.Configuration) {
 				f.mutex.Lock()
 				defer f.mutex.Unlock()
 				f.versions = append(f.versions, c.Version)
 			},
-			Members: func(list []tracker.Member) {
+			OnMembers: func(list []tracker.Member) {
 				f.mutex.Lock()
 				defer f.mutex.Unlock()
 				f.members = map[string]tracker.Member{}
@@ -62,7 +62,7 @@
 					f.members[m.ID] = m
 				}
 			},
-			Duty: func(storer.Pair) {}, Log: func(...any) {}, Hear: f.hear, Follows: f.follows.Load,
+			OnOwnership: func(storer.Pair) {}, Log: func(...any) {}, RequestState: f.requestState, FollowsPeers: f.follows.Load,
 		}
 		f.watcher = w
 		ended := make(chan error, 1)
@@ -90,7 +90,7 @@
 		return m, nil
 	}
 	var err error
-	m.Born, err = strconv.ParseInt(born, 10, 64)
+	m.StartTime, err = strconv.ParseInt(born, 10, 64)
 	return m, err
 }
 
@@ -102,20 +102,20 @@
 	f.pairs[key] = p
 }
 
-// setPeerNews sets the response of peers.
-func (f *fixture) setPeerNews(n watcher.News) {
+// setPeerState sets the response of peers.
+func (f *fixture) setPeerState(n watcher.StoreState) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.peerNews = &n
+	f.peerState = &n
 }
 
-func (f *fixture) hear(context.Context, int64) (watcher.News, error) {
+func (f *fixture) requestState(context.Context, int64) (watcher.StoreState, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.peerNews == nil {
-		return watcher.News{}, errors.New("no peer available")
+	if f.peerState == nil {
+		return watcher.StoreState{}, errors.New("no peer available")
 	}
-	return *f.peerNews, nil
+	return *f.peerState, nil
 }
 
 func (f *fixture) remove(t *testing.T, key string) {
@@ -228,7 +228,7 @@
 func (f *fixture) startTime(id string) int64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.members[id].Born
+	return f.members[id].StartTime
 }
 
 // A restarted member is usable again, and a delayed entry from before the restart is
@@ -278,15 +278,15 @@
 // While the store is unavailable, newer state from a peer is applied and older state is
 // ignored: no version decreases and no deleted member returns.
 func TestPeerUpdates(t *testing.T) {
-	peerNews := func(revision int64, version string, members ...string) watcher.News {
-		n := watcher.News{Revision: revision, From: "peer", Heard: time.Hour, Pairs: []storer.Pair{{Key: "configuration", Value: []byte(version), Revision: revision}}}
+	peerState := func(revision int64, version string, members ...string) watcher.StoreState {
+		n := watcher.StoreState{Revision: revision, Sender: "peer", ConfirmedAt: time.Hour, Pairs: []storer.Pair{{Key: "configuration", Value: []byte(version), Revision: revision}}}
 		for _, m := range members {
 			n.Pairs = append(n.Pairs, storer.Pair{Key: "member/" + m, Value: []byte("ready"), Revision: revision})
 		}
 		return n
 	}
 	runFixture(t, func(t *testing.T, f *fixture) {
-		f.setPeerNews(peerNews(90, "20", "n"))
+		f.setPeerState(peerState(90, "20", "n"))
 		time.Sleep(time.Second)
 		must.Eq(t, []int64{7}, f.configured()) // the store is available: no peer is polled
 		f.setStoreDown(true)
@@ -294,7 +294,7 @@
 		must.Eq(t, []int64{7, 20}, f.configured())
 		must.True(t, f.usable("n"))
 		must.False(t, f.usable("m"))
-		f.setPeerNews(peerNews(80, "19", "m", "n"))
+		f.setPeerState(peerState(80, "19", "m", "n"))
 		time.Sleep(2 * time.Second)
 		must.Eq(t, []int64{7, 20}, f.configured())
 		must.False(t, f.usable("m"))
@@ -305,21 +305,21 @@
 // peer reports that it can reach the store.
 func TestFollow(t *testing.T) {
 	runFixture(t, func(t *testing.T, f *fixture) {
-		n := watcher.News{Revision: 1, From: "peer", Heard: time.Hour, Reads: true}
-		f.setPeerNews(n)
+		n := watcher.StoreState{Revision: 1, Sender: "peer", ConfirmedAt: time.Hour, SenderIsReader: true}
+		f.setPeerState(n)
 		f.follows.Store(true)
 		time.Sleep(4 * time.Second)
 		f.put(t, "configuration", "20")
 		n.Revision = f.pairs["configuration"].Revision
 		n.Pairs = []storer.Pair{f.pairs["configuration"], f.pairs["member/m"]}
-		f.setPeerNews(n)
+		f.setPeerState(n)
 		time.Sleep(time.Second)
 		must.Eq(t, []int64{7, 20}, f.configured())
 		calls := sum(f.store.Calls())
 		time.Sleep(10 * time.Second)
 		must.Eq(t, calls, sum(f.store.Calls()))
-		n.Reads = false
-		f.setPeerNews(n)
+		n.SenderIsReader = false
+		f.setPeerState(n)
 		f.put(t, "configuration", "31")
 		time.Sleep(2500 * time.Millisecond)
 		must.Eq(t, []int64{7, 20, 31}, f.configured())
@@ -340,7 +340,7 @@
 	listCalls := func(t *testing.T, follows bool) (n int) {
 		runFixture(t, func(t *testing.T, f *fixture) {
 			f.follows.Store(follows)
-			f.setPeerNews(watcher.News{Revision: 2, From: "peer"})
+			f.setPeerState(watcher.StoreState{Revision: 2, Sender: "peer"})
 			f.store.SetFaults(func(x *storer.Faults) { x.Down = true })
 			time.Sleep(3 * time.Second)
 			before := f.store.Calls()["list"]
@@ -370,17 +370,17 @@
 				unavailable := storer.NewMemory()
 				unavailable.SetFaults(func(x *storer.Faults) { x.Down = true })
 				follower := &watcher.Watcher{
-					Source: unavailable, InForce: f.watcher.InForce, Clock: f.watcher.Clock,
-					ConfigurationKey: "configuration", MemberPrefix: "member/", DutyPrefix: "duty/", InstancePrefix: "instance/",
+					Source: unavailable, MaxPropagationDelay: f.watcher.MaxPropagationDelay, Clock: f.watcher.Clock,
+					ConfigurationKey: "configuration", MemberPrefix: "member/", OwnershipPrefix: "duty/", InstancePrefix: "instance/",
 					DecodeConfiguration: f.watcher.DecodeConfiguration, DecodeMember: decodeMember,
-					Configured: func(*tracker.Configuration) {}, Members: func([]tracker.Member) {}, Duty: func(storer.Pair) {}, Log: func(...any) {},
-					Hear: func(_ context.Context, revision int64) (watcher.News, error) {
+					OnConfiguration: func(*tracker.Configuration) {}, OnMembers: func([]tracker.Member) {}, OnOwnership: func(storer.Pair) {}, Log: func(...any) {},
+					RequestState: func(_ context.Context, revision int64) (watcher.StoreState, error) {
 						if disconnected.Load() {
-							return watcher.News{}, errors.New("disconnected")
+							return watcher.StoreState{}, errors.New("disconnected")
 						}
-						k := f.watcher.Known()
-						n := watcher.News{Revision: k.Revision, Heard: k.Heard, Reads: true, From: "peer"}
-						n.Pairs, n.Partial = k.Since(revision)
+						k := f.watcher.State()
+						n := watcher.StoreState{Revision: k.Revision, ConfirmedAt: k.ConfirmedAt, SenderIsReader: true, Sender: "peer"}
+						n.Pairs, n.Partial = k.ChangesSince(revision)
 						if n.Partial && len(n.Pairs) > 0 {
 							partial++
 						}
@@ -406,7 +406,7 @@
 					t.Helper()
 					disconnected.Store(false)
 					time.Sleep(2 * time.Second)
-					must.Eq(t, f.watcher.Known().Pairs, follower.Known().Pairs)
+					must.Eq(t, f.watcher.State().Pairs, follower.State().Pairs)
 				}
 				f.put(t, "member/first", "ready")
 				mustConverge()
@@ -426,15 +426,15 @@
 	}
 }
 
-// Since returns only changes, or the whole state if deletions are no longer retained.
+// ChangesSince returns only changes, or the whole state if deletions are no longer retained.
 func TestSince(t *testing.T) {
-	n := &watcher.News{
+	n := &watcher.StoreState{
 		Revision: 9, Pairs: []storer.Pair{{Key: "a", Revision: 3}, {Key: "b", Revision: 8}},
-		Gone: []watcher.Gone{{Key: "b", Revision: 6}, {Key: "c", Revision: 7}}, GoneSince: 5,
+		Deletions: []watcher.Deletion{{Key: "b", Revision: 6}, {Key: "c", Revision: 7}}, DeletionsSince: 5,
 	}
 	mustReturn := func(revision int64, partial bool, keys ...string) {
 		t.Helper()
-		pairs, p := n.Since(revision)
+		pairs, p := n.ChangesSince(revision)
 		var got []string
 		for _, x := range pairs {
 			got = append(got, fmt.Sprint(x.Key, x.Revision))
