--- a/internal/starter/describe.go
+++ b/internal/starter/describe.go
@@ -9,15 +9,15 @@
 )
 
 type (
-	wireFleet struct {
-		Service  string        `json:"service"`
-		Platform wireProcess   `json:"platform"`
-		Members  []wireProcess `json:"members"`
-		Entries  []wireProcess `json:"entries"`
-		Faults   []wireFault   `json:"faults"`
+	fleetDescription struct {
+		Service  string               `json:"service"`
+		Platform processDescription   `json:"platform"`
+		Members  []processDescription `json:"members"`
+		Entries  []processDescription `json:"entries"`
+		Faults   []faultDescription   `json:"faults"`
 	}
 
-	wireProcess struct {
+	processDescription struct {
 		Name     string `json:"name"`
 		Zone     string `json:"availability-zone,omitempty"`
 		Address  string `json:"address"`
@@ -28,7 +28,7 @@
 		PID      int    `json:"pid"`
 	}
 
-	wireFault struct {
+	faultDescription struct {
 		Of     string `json:"of"`
 		Fault  string `json:"fault"`
 		Body   string `json:"post-to-pages-faults,omitempty"`
@@ -37,21 +37,21 @@
 	}
 )
 
-// Describe writes every address, and how to throw each fault, to a file.
+// Describe writes the addresses of all processes and the available faults to a JSON file.
 func (f *Fleet) Describe(file string) error {
-	w := wireFleet{Service: ServiceName, Platform: f.wire(f.Platform)}
+	d := fleetDescription{Service: ServiceName, Platform: f.describeProcess(f.Platform)}
 	for _, x := range Faults {
-		w.Faults = append(w.Faults, wireFault{Of: string(x.Of), Fault: x.Name, Body: x.Body, Undo: x.Undo, Signal: x.Signal})
+		d.Faults = append(d.Faults, faultDescription{Of: string(x.Of), Fault: x.Name, Body: x.Body, Undo: x.Undo, Signal: x.Signal})
 	}
 	for _, p := range f.Members {
-		w.Members = append(w.Members, f.wire(p))
+		d.Members = append(d.Members, f.describeProcess(p))
 	}
 	for _, p := range f.Entries {
-		e := f.wire(p)
+		e := f.describeProcess(p)
 		e.Settings = f.SettingsFile(p)
-		w.Entries = append(w.Entries, e)
+		d.Entries = append(d.Entries, e)
 	}
-	text, err := json.MarshalIndent(w, "", "  ")
+	text, err := json.MarshalIndent(d, "", "  ")
 	if err != nil {
 		return errors.Wrap(err, "describe fleet")
 	}
@@ -64,8 +64,8 @@
 	return nil
 }
 
-func (f *Fleet) wire(p Process) wireProcess {
-	return wireProcess{
+func (f *Fleet) describeProcess(p Process) processDescription {
+	return processDescription{
 		Name: p.Name, Zone: p.Zone, Address: p.Address, Pages: p.Pages, Peers: p.Peers, Log: f.logFile(&p), PID: p.PID,
 	}
 }
--- a/internal/starter/throw.go
+++ b/internal/starter/faults.go
@@ -11,49 +11,49 @@
 )
 
 type (
-	// Fault is a fault that can be thrown while the fleet runs: by a body that
-	// is posted to /faults of a process's pages, or by a signal.
+	// Fault is a fault that can be injected into a running process, either by a
+	// request to its /faults page or by a signal.
 	Fault struct {
 		Of   Kind
 		Name string
-		// Body and Undo are posted; Undo is empty for a fault that passes by
-		// itself. With a Signal, Undo is a signal too.
+		// Body is the request that injects the fault, Undo the one that reverts it. Undo
+		// is empty where nothing needs to be reverted, and a signal name where Signal is set.
 		Body, Undo string
 		Signal     string
 	}
 
-	// Kind says which processes a fault is of.
+	// Kind is the kind of process that a fault applies to.
 	Kind string
 )
 
-// The kinds of processes.
+// The kinds of processes that faults apply to.
 const (
 	OfMembers  Kind = "members"
 	OfPlatform Kind = "platform"
 	OfEntries  Kind = "entries"
 	OfAny      Kind = "any"
 
-	throwTimeout = 2 * time.Second
+	faultTimeout = 2 * time.Second
 )
 
 var (
-	// Faults are all faults of the fleet.
+	// Faults lists the faults that the fleet supports.
 	Faults = []Fault{
 		{Of: OfMembers, Name: "freeze: the process stops as if paused", Body: `{"freeze": true}`, Undo: `{"freeze": false}`},
 		{Of: OfMembers, Name: "refuse: new connections are closed", Body: `{"refuse": true}`, Undo: `{"refuse": false}`},
-		{Of: OfMembers, Name: "lag: entries are visible late", Body: `{"replay-lag-ms": 3000}`, Undo: `{"replay-lag-ms": 0}`},
-		{Of: OfMembers, Name: "lag: entries are received late", Body: `{"stream-lag-ms": 3000}`, Undo: `{"stream-lag-ms": 0}`},
+		{Of: OfMembers, Name: "lag: log entries are applied late", Body: `{"replay-lag-ms": 3000}`, Undo: `{"replay-lag-ms": 0}`},
+		{Of: OfMembers, Name: "lag: log entries are received late", Body: `{"stream-lag-ms": 3000}`, Undo: `{"stream-lag-ms": 0}`},
 		{Of: OfMembers, Name: "slow: each statement takes longer", Body: `{"slow-ms": 200}`, Undo: `{"slow-ms": 0}`},
-		{Of: OfMembers, Name: "lose-answer: the next answer is lost after its effect", Body: `{"lose-answer": true}`},
-		{Of: OfMembers, Name: "leaving: the target says that it is about to be shut down and gets no new work", Body: `{"leaving": true}`, Undo: `{"leaving": false}`},
-		{Of: OfMembers, Name: "silence: open connections go silent for good, new ones work", Body: `{"silence": true}`},
+		{Of: OfMembers, Name: "lose-answer: the next write takes effect without a response", Body: `{"lose-answer": true}`},
+		{Of: OfMembers, Name: "leaving: the target announces its shutdown and gets no new work", Body: `{"leaving": true}`, Undo: `{"leaving": false}`},
+		{Of: OfMembers, Name: "silence: open connections stop responding, new ones work", Body: `{"silence": true}`},
 		{Of: OfPlatform, Name: "down: the store and the list refuse every call", Body: `{"down": true}`, Undo: `{"down": false}`},
 		{Of: OfPlatform, Name: "slow: each call takes longer", Body: `{"slow-ms": 2000}`, Undo: `{"slow-ms": 0}`},
-		{Of: OfPlatform, Name: "lose-answers: the next writes take effect without answer", Body: `{"lose-answers": 1}`},
-		{Of: OfPlatform, Name: "lapse: every lease ends", Body: `{"lapse": true}`},
+		{Of: OfPlatform, Name: "lose-answers: the next write takes effect without a response", Body: `{"lose-answers": 1}`},
+		{Of: OfPlatform, Name: "lapse: every lease expires", Body: `{"lapse": true}`},
 		{Of: OfPlatform, Name: "list-lag: the instance list shows changes late", Body: `{"list-lag-ms": 60000}`, Undo: `{"list-lag-ms": 0}`},
 		{Of: OfAny, Name: "crash: kill the process by its pid", Signal: "KILL"},
-		{Of: OfAny, Name: "pause: the process is stopped and wakes later, unaware", Signal: "STOP", Undo: "CONT"},
+		{Of: OfAny, Name: "pause: the process is stopped and resumed later", Signal: "STOP", Undo: "CONT"},
 		{Of: OfEntries, Name: "graceful shutdown", Signal: "TERM"},
 	}
 
@@ -62,11 +62,10 @@
 	}
 )
 
-// Passes reports whether the process is whole again once the fault was undone,
-// or has passed by itself.
+// Passes reports whether the process keeps running after Recover.
 func (x Fault) Passes() bool { return x.Signal == "" || x.Undo != "" }
 
-// Throw throws a fault of a process.
+// Throw injects the fault into a process.
 func (x Fault) Throw(ctx context.Context, p *Process) error {
 	if x.Signal != "" {
 		return p.signal(x.Signal)
@@ -74,7 +73,7 @@
 	return p.post(ctx, x.Body)
 }
 
-// Recover undoes a fault of a process.
+// Recover reverts the fault, if that needs a request or a signal.
 func (x Fault) Recover(ctx context.Context, p *Process) error {
 	switch {
 	case x.Undo == "":
@@ -93,19 +92,19 @@
 }
 
 func (p *Process) post(ctx context.Context, body string) error {
-	ctx, cancel := context.WithTimeout(ctx, throwTimeout)
+	ctx, cancel := context.WithTimeout(ctx, faultTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Pages+"/faults", strings.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "make call")
+		return errors.Wrap(err, "create request")
 	}
 	a, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return errors.Wrapf(err, "throw fault of %s", p.Name)
+		return errors.Wrapf(err, "inject fault into %s", p.Name)
 	}
 	defer a.Body.Close()
 	if a.StatusCode != http.StatusOK {
-		return errors.Errorf("throw fault of %s: %s", p.Name, a.Status)
+		return errors.Errorf("inject fault into %s: %s", p.Name, a.Status)
 	}
 	return nil
 }
--- a/internal/starter/starter.go
+++ b/internal/starter/starter.go
@@ -1,7 +1,6 @@
-// Package starter starts a small fleet of real processes on loopback, for trying
-// the product: the platform, one group of three members, and an entry instance
-// in each of three availability zones. It is a tool for developers; no process
-// of the product starts another.
+// Package starter runs a small development fleet on loopback: the platform, one
+// group of three members, and an entry instance in each of three availability
+// zones, each in a process of its own.
 package starter
 
 import (
@@ -25,17 +24,17 @@
 )
 
 const (
-	host         = "127.0.0.1"
-	stopTimeout  = 5 * time.Second
-	readyTimeout = 20 * time.Second
-	retryPause   = 50 * time.Millisecond
+	host          = "127.0.0.1"
+	stopTimeout   = 5 * time.Second
+	readyTimeout  = 20 * time.Second
+	retryInterval = 50 * time.Millisecond
 
-	// DefaultFirstPort is the port of the platform; the others follow.
+	// DefaultFirstPort is the default port of the platform. Other processes use the ports above it.
 	DefaultFirstPort = 17000
-	// ServiceName is the service of the fleet.
+	// ServiceName is the name of the service that the fleet serves.
 	ServiceName = "lockers"
 
-	// The ports of each kind of process, counted from the first.
+	// Port offsets from FirstPort; each process adds its index.
 	platformPort    = 0
 	memberPort      = 10
 	memberPagesPort = 20
@@ -45,12 +44,13 @@
 )
 
 type (
-	// Fleet is a set of processes. Set the exported fields, then call Start.
+	// Fleet is the set of started processes. Set Programs, Work and FirstPort, then call
+	// Start, which sets the other exported fields.
 	Fleet struct {
-		// Programs is the directory of the built programs; Work takes settings
-		// and logs.
+		// Programs is the directory of the built programs, Work the directory for
+		// settings and logs.
 		Programs, Work string
-		// FirstPort is where the addresses start; 0 means DefaultFirstPort.
+		// FirstPort is the lowest port used; 0 means DefaultFirstPort.
 		FirstPort int
 
 		Platform Process
@@ -60,17 +60,17 @@
 		processes []*Process
 	}
 
-	// Process is one process and its addresses.
+	// Process is one operating system process and its addresses.
 	Process struct {
 		Name string
 		Zone string
-		// Address is where it serves, Peers where other instances reach it,
-		// Pages where its HTTP pages or fault switches are.
+		// Address serves clients, Peers serves other instances, and Pages serves
+		// status pages or fault injection over HTTP.
 		Address, Peers, Pages string
 		PID                   int
 
 		command *exec.Cmd
-		ended   chan error
+		exited  chan error
 	}
 )
 
@@ -80,19 +80,19 @@
 	return fmt.Sprintf("%s:%d", host, f.FirstPort+port)
 }
 
-// Start starts everything and waits until the instances are ready.
+// Start starts all processes and waits until the instances are ready.
 func (f *Fleet) Start(ctx context.Context) error {
 	if f.FirstPort == 0 {
 		f.FirstPort = DefaultFirstPort
 	}
-	f.plan()
+	f.assignAddresses()
 	if err := f.checkPorts(); err != nil {
 		return err
 	}
 	if err := os.MkdirAll(f.Work, 0o755); err != nil {
-		return errors.Wrap(err, "make work directory")
+		return errors.Wrap(err, "create work directory")
 	}
-	if err := f.start(&f.Platform, "oriolegw-platform", "-address", f.Platform.Address); err != nil {
+	if err := f.startProcess(&f.Platform, "oriolegw-platform", "-address", f.Platform.Address); err != nil {
 		return err
 	}
 	for i := range f.Members {
@@ -100,7 +100,7 @@
 			return err
 		}
 	}
-	if err := f.publish(ctx); err != nil {
+	if err := f.publishConfiguration(ctx); err != nil {
 		return err
 	}
 	for i := range f.Entries {
@@ -108,11 +108,11 @@
 			return err
 		}
 	}
-	return f.await(ctx)
+	return f.awaitReady(ctx)
 }
 
-// plan names the processes and their addresses.
-func (f *Fleet) plan() {
+// assignAddresses sets the names and addresses of all processes.
+func (f *Fleet) assignAddresses() {
 	f.Platform = Process{Name: "platform", Address: f.address(platformPort), Pages: f.address(platformPort)}
 	f.Members, f.Entries = nil, nil
 	for i, z := range zones {
@@ -127,7 +127,7 @@
 	}
 }
 
-// addresses lists where the process listens, each once.
+// addresses returns the distinct listen addresses of the process.
 func (p *Process) addresses() []string {
 	out := []string{p.Address}
 	for _, a := range []string{p.Pages, p.Peers} {
@@ -138,31 +138,30 @@
 	return out
 }
 
-// checkPorts reports every address that is taken, before anything is started: a
-// process that found its port taken would end, and the fleet would only seem
-// slow to become ready.
+// checkPorts returns an error that lists all addresses in use. A process that can't
+// listen would otherwise show only as a readiness timeout.
 func (f *Fleet) checkPorts() error {
-	var taken []string
+	var inUse []string
 	for _, p := range append(append([]Process{f.Platform}, f.Members...), f.Entries...) {
 		for _, a := range p.addresses() {
 			l, err := net.Listen("tcp", a)
 			if err != nil {
-				taken = append(taken, a+" ("+p.Name+")")
+				inUse = append(inUse, a+" ("+p.Name+")")
 				continue
 			}
 			_ = l.Close()
 		}
 	}
-	if len(taken) > 0 {
-		return errors.Errorf("addresses in use: %v; is another fleet running? Choose others with -first-port", taken)
+	if len(inUse) > 0 {
+		return errors.Errorf("addresses in use: %v; is another fleet running? Choose others with -first-port", inUse)
 	}
 	return nil
 }
 
-func (f *Fleet) start(p *Process, program string, arguments ...string) error {
+func (f *Fleet) startProcess(p *Process, program string, arguments ...string) error {
 	out, err := os.Create(f.logFile(p))
 	if err != nil {
-		return errors.Wrap(err, "make log")
+		return errors.Wrap(err, "create log")
 	}
 	defer out.Close()
 	c := exec.Command(filepath.Join(f.Programs, program), arguments...)
@@ -170,8 +169,8 @@
 	if err := c.Start(); err != nil {
 		return errors.Wrapf(err, "start %s", p.Name)
 	}
-	p.PID, p.command, p.ended = c.Process.Pid, c, make(chan error, 1)
-	go func() { p.ended <- c.Wait() }()
+	p.PID, p.command, p.exited = c.Process.Pid, c, make(chan error, 1)
+	go func() { p.exited <- c.Wait() }()
 	f.processes = append(f.processes, p)
 	return nil
 }
@@ -179,11 +178,11 @@
 func (f *Fleet) logFile(p *Process) string { return filepath.Join(f.Work, p.Name+".log") }
 
 func (f *Fleet) startMember(p *Process) error {
-	return f.start(p, "oriolegw-target", "-name", p.Name, "-group", ServiceName, "-address", p.Address,
+	return f.startProcess(p, "oriolegw-target", "-name", p.Name, "-group", ServiceName, "-address", p.Address,
 		"-faults", p.Pages, "-primary", f.Members[0].Address)
 }
 
-// SettingsFile is where the settings of an instance are.
+// SettingsFile returns the path of the settings file of an instance.
 func (f *Fleet) SettingsFile(p Process) string { return filepath.Join(f.Work, p.Name+".json") }
 
 func (f *Fleet) startEntry(p *Process) error {
@@ -195,14 +194,14 @@
   "peers-address": %q,
   "status-address": %q,
   "platform-address": %q,
-  "authentication": "trust", // believes any caller: for a demonstration only
+  "authentication": "trust", // accepts any caller: for a demonstration only
   "token-keys": [{"number": 1, "secret": "a secret of this demonstration only"}],
 }
 `, p.Name, p.Zone, p.Address, p.Peers, p.Pages, f.Platform.Address)
 	if err := os.WriteFile(f.SettingsFile(*p), []byte(settings), 0o644); err != nil {
 		return errors.Wrap(err, "write settings")
 	}
-	if err := f.start(p, "oriolegw", "-settings", f.SettingsFile(*p)); err != nil {
+	if err := f.startProcess(p, "oriolegw", "-settings", f.SettingsFile(*p)); err != nil {
 		return err
 	}
 	return f.register(p)
@@ -219,8 +218,8 @@
 	return a.Body.Close()
 }
 
-// publish writes the configuration document, once the platform answers.
-func (f *Fleet) publish(ctx context.Context) error {
+// publishConfiguration publishes the configuration document, retrying until the platform responds.
+func (f *Fleet) publishConfiguration(ctx context.Context) error {
 	s := configurer.Service{
 		Name: ServiceName, Connections: 60, Slots: 3,
 		Rules: []configurer.ReaderRule{{Kind: configurer.DefaultKind, MaxAge: 5 * time.Second}},
@@ -233,18 +232,18 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	text := configurer.Encode(&configurer.Document{Services: []configurer.Service{s}})
-	r, err := (&publisher.Publisher{Store: store, Pause: retryPause}).Publish(ctx, publisher.Published{}, "the fleet's document", text)
+	r, err := (&publisher.Publisher{Store: store, Pause: retryInterval}).Publish(ctx, publisher.Published{}, "the fleet's configuration", text)
 	if err != nil {
 		return err
 	}
 	if r.Outcome != publisher.Accepted {
-		return errors.New("a document is already published: is another fleet running?")
+		return errors.New("a configuration is already published: is another fleet running?")
 	}
 	return nil
 }
 
-// await waits until every instance says that it is ready.
-func (f *Fleet) await(ctx context.Context) error {
+// awaitReady waits until all instances report that they are ready.
+func (f *Fleet) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for i := range f.Entries {
@@ -257,29 +256,29 @@
 
 func (f *Fleet) awaitEntry(ctx context.Context, p *Process) error {
 	for {
-		err := ready(ctx, p)
+		err := checkReady(ctx, p)
 		if err == nil {
 			return nil
 		}
 		select {
-		case ended := <-p.ended:
-			p.ended <- ended
-			return errors.Errorf("%s ended (%v): see %s", p.Name, ended, f.logFile(p))
+		case exit := <-p.exited:
+			p.exited <- exit
+			return errors.Errorf("%s exited (%v): see %s", p.Name, exit, f.logFile(p))
 		case <-ctx.Done():
-			return errors.Wrapf(err, "%s never became ready: see %s", p.Name, f.logFile(p))
-		case <-time.After(retryPause):
+			return errors.Wrapf(err, "%s did not become ready: see %s", p.Name, f.logFile(p))
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-func ready(ctx context.Context, p *Process) error {
+func checkReady(ctx context.Context, p *Process) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Pages+"/ready", nil)
 	if err != nil {
-		return errors.Wrap(err, "make call")
+		return errors.Wrap(err, "create request")
 	}
 	a, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return errors.Wrap(err, "ask whether ready")
+		return errors.Wrap(err, "check readiness")
 	}
 	defer a.Body.Close()
 	if a.StatusCode != http.StatusOK {
@@ -288,26 +287,26 @@
 	return nil
 }
 
-// Kill ends a process as a crash does.
+// Kill sends SIGKILL to a process and waits until it has exited.
 func (f *Fleet) Kill(p *Process) error {
 	if err := p.command.Process.Kill(); err != nil {
 		return errors.Wrapf(err, "kill %s", p.Name)
 	}
-	p.ended <- <-p.ended
+	p.exited <- <-p.exited
 	return nil
 }
 
-// Terminate tells a process to end in form, and does not wait for it.
+// Terminate sends SIGTERM to a process, which shuts down gracefully, and returns at once.
 func (f *Fleet) Terminate(p *Process) error { return p.signal("TERM") }
 
-// Stop ends the processes that Start started, and waits for them.
+// Stop terminates the processes that Start started, and kills those that exceed stopTimeout.
 func (f *Fleet) Stop() {
 	for _, p := range f.processes {
 		_ = p.command.Process.Signal(syscall.SIGTERM)
 	}
 	for _, p := range f.processes {
 		t := time.AfterFunc(stopTimeout, func() { _ = p.command.Process.Kill() })
-		<-p.ended
+		<-p.exited
 		t.Stop()
 	}
 	f.processes = nil
--- a/internal/starter/starter_test.go
+++ b/internal/starter/starter_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// A port that another program has is named before anything is started.
+// Start must report a port in use before it starts any process.
 func TestPortTaken(t *testing.T) {
 	l, err := net.Listen("tcp", host+":0")
 	must.NoError(t, err)
