--- a/internal/launcher/backend.go
+++ b/internal/launcher/backend.go
@@ -16,71 +16,67 @@
 )
 
 const (
-	// restInterval is the pause between two looks at the groups while this instance has no
-	// connections of its own, and proveInterval how often it is looked whether a group's
-	// proof is old.
-	restInterval  = 200 * time.Millisecond
-	proveInterval = 200 * time.Millisecond
-	// proofAge is when a proof is renewed in a group that is used. Reads may be 1.5 to
-	// 2.5 s old; a proof that is renewed after 0.4 s leaves replicas a second to lag.
-	proofAge = 400 * time.Millisecond
-	// lateProof is when the replicas are asked as well: nothing has brought a proof for
-	// this long.
-	lateProof = 1200 * time.Millisecond
-	// scarceProofAge takes the place of proofAge where the primary has fewer places than
-	// there are instances, as each renewal needs one, and where another instance tells its
-	// proofs: these come each 0.5 s and are usually at most 0.6 s old by then.
-	scarceProofAge = time.Second
-	// toldFor is how long after a proof that another told the next one is expected.
-	toldFor = 1500 * time.Millisecond
-	// proveTimeout bounds the renewal, and the wait for its connection.
-	proveTimeout = 300 * time.Millisecond
-	// searchInterval is how often members are asked who leads while nobody knows.
-	searchInterval = 100 * time.Millisecond
-	// suspicionPause is the least time between two looks at a suspected primary.
-	suspicionPause = 150 * time.Millisecond
+	// idleMaintenanceInterval is the interval of maintenance while no group has connections
+	// or waiting requests.
+	idleMaintenanceInterval = 200 * time.Millisecond
+	proofCheckInterval      = 200 * time.Millisecond
+	// proofRenewalAge is the age at which a freshness proof is renewed. It leaves most of the
+	// routes' staleness bounds for replication lag.
+	proofRenewalAge = 400 * time.Millisecond
+	// replicaProofAge is the age of the newest proof at which replicas are queried as well.
+	replicaProofAge = 1200 * time.Millisecond
+	// relaxedProofRenewalAge replaces proofRenewalAge where the primary accepts fewer
+	// connections than there are instances, since each renewal needs a connection, and
+	// where a peer sends its proofs.
+	relaxedProofRenewalAge = time.Second
+	// peerProofTimeout is how long after a peer's proof the next one is expected.
+	peerProofTimeout = 1500 * time.Millisecond
+	// proofTimeout bounds a query to a member, and separately the wait for its connection.
+	proofTimeout = 300 * time.Millisecond
+	// primarySearchInterval is the interval of status queries while no primary is known.
+	primarySearchInterval = 100 * time.Millisecond
+	// primaryCheckInterval is the minimum pause after a check of a suspected primary.
+	primaryCheckInterval = 150 * time.Millisecond
 )
 
-// backend is a group with what keeps the instance's belief about it true.
+// backend is a group with its connection pool, and tracks its primary and freshness proofs.
 type backend struct {
 	dispatcher.Backend
-	clock     func() tracker.Stamp
-	codec     messenger.MemberCodec
-	log       func(fields ...any)
-	suspicion chan string
-	// aged wakes prove when the group's proof is old, leaderless wakes search when nobody is
-	// known to lead.
-	aged, leaderless chan struct{}
-	// checked is when the proof's age was last looked at, searched when members were last
-	// to be asked who leads; only tend uses them.
-	checked, searched time.Time
-	// roster returns the members whose logs may hold acknowledged commits, and whether
-	// a commit is acknowledged by a replica at all.
-	roster func() (ids []string, synchronous bool)
-	// told is when another instance last told a proof that was of use.
-	told atomic.Int64
+	clock    func() tracker.Stamp
+	codec    messenger.MemberCodec
+	log      func(fields ...any)
+	suspects chan string
+	// proofExpired wakes renewProofs, and primaryUnknown wakes detectPrimary.
+	proofExpired, primaryUnknown chan struct{}
+	// proofCheckedAt is when the proof's age was last checked, and primarySearchedAt when a
+	// search for the primary was last requested; only maintain uses them.
+	proofCheckedAt, primarySearchedAt time.Time
+	// commitHolders returns the members whose logs may hold acknowledged commits, and whether
+	// commits are acknowledged by a replica.
+	commitHolders func() (ids []string, synchronous bool)
+	// lastPeerProof is when a peer last sent a proof newer than the known ones.
+	lastPeerProof atomic.Int64
 }
 
-// run keeps the pool, the proof and the belief who leads until the context ends.
+// run maintains the pool, the freshness proofs and the known primary until the context is
+// canceled.
 func (b *backend) run(ctx context.Context) {
-	var parts sync.WaitGroup
-	parts.Go(func() { _ = b.Pool.Run(ctx) })
-	parts.Go(func() { b.search(ctx) })
-	parts.Go(func() { b.prove(ctx) })
-	parts.Wait()
+	var tasks sync.WaitGroup
+	tasks.Go(func() { _ = b.Pool.Run(ctx) })
+	tasks.Go(func() { b.detectPrimary(ctx) })
+	tasks.Go(func() { b.renewProofs(ctx) })
+	tasks.Wait()
 }
 
-// tend looks after all groups until the context ends. With a ticker for each duty of each
-// group, an instance before 20 groups that serves 5 requests a second woke 670 times a
-// second for nothing. One without connections of its own, as most are where a zone's are
-// held by few, has nothing to look after that needs more than restInterval.
-func (i *Instance) tend(ctx context.Context) error {
+// maintainBackends runs maintenance of all groups until the context is canceled. One loop
+// serves all groups, since a ticker for each task of each group wakes idle instances often.
+func (i *Instance) maintainBackends(ctx context.Context) error {
 	for {
-		pause := restInterval
+		pause := idleMaintenanceInterval
 		now := time.Now()
-		told := i.expectsProofs()
-		for _, b := range i.groupsInUse() {
-			if b.tend(now, told) {
+		peerProofsExpected := i.expectsPeerProofs()
+		for _, b := range i.allBackends() {
+			if b.maintain(now, peerProofsExpected) {
 				pause = lender.TendInterval
 			}
 		}
@@ -90,42 +86,40 @@
 	}
 }
 
-// expectsProofs reports whether another instance will soon tell this one the groups' proofs:
-// it has just started and leaves the store to others. Until then a read asks the primary,
-// which proves it as well. After all have lost power, 295 instances that each ask for 20
-// groups, the replicas too, make some 20,000 questions in the second in which callers come
-// back.
-func (i *Instance) expectsProofs() bool {
-	return i.peers != nil && i.Clock()-i.booted < toldFor && i.peers.teller.Follows()
+// expectsPeerProofs reports whether peers will soon send the groups' freshness proofs, since
+// this instance has just started and does not read the store itself. Until then reads go to
+// the primary. This keeps queries low when all instances restart at once.
+func (i *Instance) expectsPeerProofs() bool {
+	return i.peers != nil && i.Clock()-i.startedAt < peerProofTimeout && i.peers.teller.Follows()
 }
 
-// tend wakes what is due for the group, and reports whether it is to be looked at again
-// soon. With told, another instance is about to tell the group's proof.
-func (b *backend) tend(now time.Time, told bool) bool {
+// maintain wakes the group's tasks that are due, and reports whether it needs maintenance
+// again within lender.TendInterval. peerProofExpected suppresses the renewal of the proof.
+func (b *backend) maintain(now time.Time, peerProofExpected bool) bool {
 	b.Pool.Tend(now)
-	leaderless := b.Group.Primary() == ""
-	if leaderless && now.Sub(b.searched) >= searchInterval {
-		b.searched = now
-		poke(b.leaderless)
+	noPrimary := b.Group.Primary() == ""
+	if noPrimary && now.Sub(b.primarySearchedAt) >= primarySearchInterval {
+		b.primarySearchedAt = now
+		notify(b.primaryUnknown)
 	}
-	if now.Sub(b.checked) >= proveInterval {
-		b.checked = now
-		if !told && b.proofAge() > b.renewAfter() {
-			poke(b.aged)
+	if now.Sub(b.proofCheckedAt) >= proofCheckInterval {
+		b.proofCheckedAt = now
+		if !peerProofExpected && b.proofAge() > b.renewalAge() {
+			notify(b.proofExpired)
 		}
 	}
-	return leaderless || b.Pool.Active()
+	return noPrimary || b.Pool.Active()
 }
 
-// poke wakes who waits for a channel, unless that is already due.
-func poke(c chan struct{}) {
+// notify wakes the receiver of a channel, unless a notification is already pending.
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// proofAge is how old the group's newest proof is.
+// proofAge returns the age of the group's newest freshness proof.
 func (b *backend) proofAge() time.Duration {
 	p, ok := b.Group.Freshest()
 	if !ok {
@@ -134,66 +128,65 @@
 	return b.clock() - p.At
 }
 
-// prove renews the group's proof. Reads on replicas need one that is young enough;
-// without writes or reads at the primary nothing else renews it.
-func (b *backend) prove(ctx context.Context) {
+// renewProofs renews the group's freshness proof when it has expired. Reads on replicas need
+// a recent one, and without traffic at the primary nothing else renews it.
+func (b *backend) renewProofs(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-b.aged:
+		case <-b.proofExpired:
 		}
-		var asked sync.WaitGroup
-		asked.Go(func() { b.renew(ctx) })
-		if b.proofAge() > lateProof {
-			asked.Go(func() { b.proveByReplicas(ctx) })
+		var queries sync.WaitGroup
+		queries.Go(func() { b.proveFromPrimary(ctx) })
+		if b.proofAge() > replicaProofAge {
+			queries.Go(func() { b.proveFromReplicas(ctx) })
 		}
-		asked.Wait()
+		queries.Wait()
 	}
 }
 
-func (b *backend) renewAfter() time.Duration {
-	if b.clock()-tracker.Stamp(b.told.Load()) < toldFor || b.Pool.Scarce(b.Group.Primary()) {
-		return scarceProofAge
+func (b *backend) renewalAge() time.Duration {
+	if b.clock()-tracker.Stamp(b.lastPeerProof.Load()) < peerProofTimeout || b.Pool.Scarce(b.Group.Primary()) {
+		return relaxedProofRenewalAge
 	}
-	return proofAge
+	return proofRenewalAge
 }
 
-// hear takes in a proof that another instance tells.
-func (b *backend) hear(p tracker.Proof) {
+// acceptPeerProof records a freshness proof sent by a peer.
+func (b *backend) acceptPeerProof(p tracker.Proof) {
 	now := b.clock()
 	if !b.Group.Hear(now, p) {
 		return
 	}
-	b.told.Store(int64(now))
+	b.lastPeerProof.Store(int64(now))
 	b.Pool.Changed()
 }
 
-// proveByReplicas makes a proof without the primary. After all instances have lost
-// power, it is full of their old connections for up to 3 s, and without a proof every
-// read would wait there. An acknowledged commit was received by a replica, so when
-// every replica has told what it has received, the furthest holds all that was
-// acknowledged before they were asked.
-func (b *backend) proveByReplicas(ctx context.Context) {
-	ids, synchronous := b.roster()
+// proveFromReplicas makes a freshness proof without the primary, which may be full of stale
+// connections after all instances restart. An acknowledged commit was received by a
+// replica, so once every replica has responded, the highest reported position covers every
+// commit acknowledged before the query.
+func (b *backend) proveFromReplicas(ctx context.Context) {
+	ids, synchronous := b.commitHolders()
 	if !synchronous || len(ids) < 2 {
 		return
 	}
-	floor, ok := b.replicasFloor()
+	floor, ok := b.replicaProofFloor()
 	if !ok {
 		return
 	}
 	asked := b.clock()
 	primary := b.Group.Primary()
-	said := make([]messenger.Status, len(ids))
+	statuses := make([]messenger.Status, len(ids))
 	answered := make([]bool, len(ids))
-	var asking sync.WaitGroup
+	var queries sync.WaitGroup
 	for i, id := range ids {
 		if id != primary {
-			asking.Go(func() { said[i], answered[i] = b.ask(ctx, id) })
+			queries.Go(func() { statuses[i], answered[i] = b.queryStatus(ctx, id) })
 		}
 	}
-	asking.Wait()
+	queries.Wait()
 	p := tracker.Proof{At: asked, Position: floor, ByReplicas: true}
 	for i, id := range ids {
 		if id == primary {
@@ -202,18 +195,17 @@
 		if !answered[i] {
 			return
 		}
-		p.Position = orderer.Max(p.Position, said[i].Received)
+		p.Position = orderer.Max(p.Position, statuses[i].Received)
 	}
 	b.log("event", "proved-by-replicas", "group", b.Group.Name, "position", p.Position, "replicas", len(ids)-1)
 	b.Group.Prove(p)
 	b.Pool.Changed()
 }
 
-// replicasFloor is the least that a proof by the replicas must show. A replica that has
-// started again may have acknowledged a commit that no other replica has, and lost it: a
-// read would miss the commit. Only the primary can tell how far its log was then, so
-// without a proof of the primary's from after the restart it is false.
-func (b *backend) replicasFloor() (orderer.Position, bool) {
+// replicaProofFloor returns the minimum position of a proof made from replicas. A restarted
+// replica may have lost a commit that only it had acknowledged, so after a restart a proof by
+// the primary must cover it; the result is false where there is none.
+func (b *backend) replicaProofFloor() (orderer.Position, bool) {
 	restarted := b.Group.Restarted(b.clock())
 	if restarted == 0 {
 		return orderer.Position{}, true
@@ -222,10 +214,10 @@
 	return p.Position, ok && restarted < p.At
 }
 
-// renew opens a transaction at the primary and rolls it back. Only a member that
-// leads opens one, and it takes no slot.
-func (b *backend) renew(ctx context.Context) {
-	until := time.Now().Add(proveTimeout)
+// proveFromPrimary renews the freshness proof by opening and rolling back a transaction at
+// the primary. Only a primary accepts it, and it occupies no execution slot.
+func (b *backend) proveFromPrimary(ctx context.Context) {
+	until := time.Now().Add(proofTimeout)
 	if b.Group.Primary() == "" {
 		return
 	}
@@ -235,7 +227,7 @@
 	}
 	defer b.Pool.Return(c)
 	asked := b.clock()
-	replies, _, err := c.Exchange([]messenger.Command{{Kind: messenger.KindBegin}, {Kind: messenger.KindRollback}}, time.Now().Add(proveTimeout))
+	replies, _, err := c.Exchange([]messenger.Command{{Kind: messenger.KindBegin}, {Kind: messenger.KindRollback}}, time.Now().Add(proofTimeout))
 	if err != nil {
 		c.Close()
 		b.Suspect(c.Member)
@@ -251,52 +243,53 @@
 	}
 }
 
-// suspect asks for a look at the group's members, unless one is under way.
-func (b *backend) suspect(member string) {
+// reportSuspect requests a check whether a member is still the primary, unless one is
+// already pending.
+func (b *backend) reportSuspect(member string) {
 	select {
-	case b.suspicion <- member:
+	case b.suspects <- member:
 	default:
 	}
 }
 
-// search finds out who leads, when the member that was believed to may not.
-func (b *backend) search(ctx context.Context) {
+// detectPrimary queries the members when the known primary is suspect or none is known.
+func (b *backend) detectPrimary(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case member := <-b.suspicion:
+		case member := <-b.suspects:
 			if member == b.Group.Primary() || b.Group.Primary() == "" {
-				b.look(ctx)
-				if pauser.Pause(ctx, suspicionPause) != nil {
+				b.queryMembers(ctx)
+				if pauser.Pause(ctx, primaryCheckInterval) != nil {
 					return
 				}
 			}
-		case <-b.leaderless:
-			b.look(ctx)
+		case <-b.primaryUnknown:
+			b.queryMembers(ctx)
 		}
 	}
 }
 
-// look asks all members for their status.
-func (b *backend) look(ctx context.Context) {
-	var asked sync.WaitGroup
+// queryMembers queries the status of all members.
+func (b *backend) queryMembers(ctx context.Context) {
+	var queries sync.WaitGroup
 	for _, id := range b.Group.IDs() {
-		asked.Go(func() { _, _ = b.ask(ctx, id) })
+		queries.Go(func() { _, _ = b.queryStatus(ctx, id) })
 	}
-	asked.Wait()
+	queries.Wait()
 }
 
-// ask asks a member for its status, and takes it in.
-func (b *backend) ask(ctx context.Context, id string) (messenger.Status, bool) {
-	until := time.Now().Add(proveTimeout)
+// queryStatus queries the status of a member and records it.
+func (b *backend) queryStatus(ctx context.Context, id string) (messenger.Status, bool) {
+	until := time.Now().Add(proofTimeout)
 	c, err := b.Pool.Borrow(ctx, lender.Request{Until: until, Question: true, Choose: func() []string { return []string{id} }})
 	if err != nil {
 		return messenger.Status{}, false
 	}
 	defer b.Pool.Return(c)
 	asked := b.clock()
-	replies, _, err := c.Exchange([]messenger.Command{{Kind: messenger.KindStatus}}, time.Now().Add(proveTimeout))
+	replies, _, err := c.Exchange([]messenger.Command{{Kind: messenger.KindStatus}}, time.Now().Add(proofTimeout))
 	if err != nil {
 		c.Close()
 		b.Group.Unanswered(b.clock(), id, false)
--- a/internal/launcher/clock.go
+++ b/internal/launcher/clock.go
@@ -8,16 +8,16 @@
 	"github.com/oriolegw/oriolegw/internal/tracker"
 )
 
-// clockBoottime is Linux's clock that goes on while the machine is suspended.
+// clockBoottime is CLOCK_BOOTTIME of Linux, which advances while the machine is suspended.
 const clockBoottime = 7
 
-// Boottime is the time since the machine's start, suspensions included. A lease or
-// a proof of leadership that was taken before a suspension must look its true age
-// after it; the monotonic clock of package time stands still meanwhile.
+// Boottime returns the time since the machine booted, suspensions included. Leases and
+// freshness proofs must age during a suspension, in which the monotonic clock of package
+// time stops.
 func Boottime() tracker.Stamp {
 	var t syscall.Timespec
 	if _, _, e := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, clockBoottime, uintptr(unsafe.Pointer(&t)), 0); e != 0 {
-		panic("launcher: no clock that counts suspensions: " + e.Error())
+		panic("launcher: read CLOCK_BOOTTIME: " + e.Error())
 	}
 	return time.Duration(t.Nano())
 }
--- a/internal/launcher/customers.go
+++ b/internal/launcher/customers.go
@@ -7,37 +7,35 @@
 	"github.com/oriolegw/oriolegw/internal/limiter"
 )
 
-// This file shows operators the customers: their limits, what they use, what was refused.
-
-// tallies counts by customer. The zero value is ready.
-type tallies struct {
-	mutex sync.Mutex
-	count map[string]int64
+// customerCounter counts events by customer. The zero value is ready for use.
+type customerCounter struct {
+	mutex  sync.Mutex
+	counts map[string]int64
 }
 
-func (t *tallies) add(customer string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if t.count == nil {
-		t.count = map[string]int64{}
+func (c *customerCounter) add(customer string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.counts == nil {
+		c.counts = map[string]int64{}
 	}
-	t.count[customer]++
+	c.counts[customer]++
 }
 
-func (t *tallies) get(customer string) int64 {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	return t.count[customer]
+func (c *customerCounter) get(customer string) int64 {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.counts[customer]
 }
 
-// customerStates returns what this instance knows of each customer.
+// customerStates returns the limit, usage and refusals of each customer on this instance.
 func (i *Instance) customerStates() []accountant.State {
 	c := i.configuration.Load()
 	if c == nil {
 		return nil
 	}
 	held := map[string]int{}
-	for _, b := range i.groupsInUse() {
+	for _, b := range i.allBackends() {
 		b.Pool.Held(held)
 	}
 	accounts := map[string]limiter.Balance{}
@@ -50,7 +48,7 @@
 	for x := range c.Customers.All {
 		s := accountant.State{
 			Customer: x.Name, PerSecond: x.Limit.PerSecond, Burst: x.Limit.Burst, Keys: len(x.Keys),
-			Connections: held[x.Name], Refused: i.refusedOf.get(x.Name),
+			Connections: held[x.Name], Refused: i.limitRefusals.get(x.Name),
 		}
 		if b, ok := accounts[x.Name]; ok && b.Instances > 0 {
 			s.Kept, s.Used, s.Available, s.Leased, s.Demand = true, b.Used, b.Available, b.Leased, b.Demand
@@ -60,7 +58,7 @@
 	return list
 }
 
-// countCustomers returns how many customers there are, and how many keys they hold.
+// countCustomers returns the number of customers in force and of their keys.
 func (i *Instance) countCustomers() (customers, keys int64) {
 	c := i.configuration.Load()
 	if c == nil {
--- a/internal/launcher/explain_test.go
+++ b/internal/launcher/explain_test.go
@@ -10,8 +10,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// mustExplain returns what the fleet's log tells of a request, whose lines must name a
-// reason.
+// mustExplain returns the explanation of a request from the fleet's log, which must have the
+// given reason.
 func (f *fleet) mustExplain(id string, reason dispatcher.Reason) *explainer.Explanation {
 	time.Sleep(3 * time.Second)
 	x, err := explainer.Explain(strings.NewReader(f.log.String()), id)
@@ -20,8 +20,8 @@
 	return x
 }
 
-// tells reports whether a line around the request has these fields.
-func tells(x *explainer.Explanation, fields ...string) bool {
+// hasContextLine reports whether a log line in the context of the request has these fields.
+func hasContextLine(x *explainer.Explanation, fields ...string) bool {
 	for _, l := range x.Context {
 		all := true
 		for i := 0; i < len(fields); i += 2 {
@@ -34,46 +34,45 @@
 	return false
 }
 
-// From the log alone it can be told why a request failed: the three kinds that
-// docs/OPERATIONS.md shows.
-func TestExplained(t *testing.T) {
-	t.Run("refused while the primary is gone", func(t *testing.T) {
-		play(t, func(f *fleet) {
+// The log alone must explain the failures that docs/OPERATIONS.md shows.
+func TestExplainFailures(t *testing.T) {
+	t.Run("refused while the primary is down", func(t *testing.T) {
+		runFleet(t, func(f *fleet) {
 			i := f.start("10.5.0.1", "a")
 			time.Sleep(3 * time.Second)
-			ask := f.call(i, "strict")
-			must.Eq(t, "I", ask("PUT k v"))
+			query := f.openSession(i, "strict")
+			must.Eq(t, "I", query("PUT k v"))
 			f.group.Crash("g-1")
 			time.Sleep(100 * time.Millisecond)
-			must.Eq(t, "BUSY I", ask("PUT k w"))
+			must.Eq(t, "BUSY I", query("PUT k w"))
 			x := f.mustExplain("c1-2", dispatcher.ReasonNoConnection)
-			must.True(t, tells(x, "event", "connect-failed", "member", "g-1"))
-			must.True(t, tells(x, "event", "move-begins", "group", "g", "primary", "g-1"))
+			must.True(t, hasContextLine(x, "event", "connect-failed", "member", "g-1"))
+			must.True(t, hasContextLine(x, "event", "move-begins", "group", "g", "primary", "g-1"))
 		})
 	})
-	t.Run("outcome unknown, the answer was lost", func(t *testing.T) {
-		play(t, func(f *fleet) {
+	t.Run("outcome unknown after a lost response", func(t *testing.T) {
+		runFleet(t, func(f *fleet) {
 			i := f.start("10.5.0.1", "a")
 			time.Sleep(3 * time.Second)
-			ask := f.call(i, "strict")
+			query := f.openSession(i, "strict")
 			f.group.LoseAnswers("g-1", 1)
-			must.Eq(t, "INDOUBT I", ask("PUT k v"))
+			must.Eq(t, "INDOUBT I", query("PUT k v"))
 			x := f.mustExplain("c1-1", dispatcher.ReasonOutcomeUnknown)
-			must.False(t, tells(x, "event", "move-begins"))
-			must.True(t, tells(x, "event", "observed", "member", "g-1", "answered", "true", "primary", "true"))
+			must.False(t, hasContextLine(x, "event", "move-begins"))
+			must.True(t, hasContextLine(x, "event", "observed", "member", "g-1", "answered", "true", "primary", "true"))
 		})
 	})
-	t.Run("tried again, the replicas are late", func(t *testing.T) {
-		play(t, func(f *fleet) {
+	t.Run("retried while the replicas lag", func(t *testing.T) {
+		runFleet(t, func(f *fleet) {
 			f.group.Lag = 4 * time.Second
 			i := f.start("10.5.0.1", "b")
 			time.Sleep(3 * time.Second)
-			w, r := f.call(i, "strict"), f.call(i, "own")
-			must.Eq(t, "I", w("PUT k v"))
+			strict, own := f.openSession(i, "strict"), f.openSession(i, "own")
+			must.Eq(t, "I", strict("PUT k v"))
 			time.Sleep(3 * time.Second)
-			must.Eq(t, "v I", r("FETCH k"))
+			must.Eq(t, "v I", own("FETCH k"))
 			x := f.mustExplain("c2-1", "behind")
-			must.True(t, tells(x, "event", "observed", "primary", "false", "lag-ms", "4000"))
+			must.True(t, hasContextLine(x, "event", "observed", "primary", "false", "lag-ms", "4000"))
 		})
 	})
 }
--- /dev/null
+++ b/internal/launcher/fault_proxy_test.go
@@ -0,0 +1,140 @@
+package launcher_test
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+type (
+	// faultProxy forwards TCP connections on a loopback address to a simulated member or
+	// store, and injects network faults.
+	faultProxy struct {
+		// dial connects to the simulated server.
+		dial func(ctx context.Context) (net.Conn, error)
+
+		listener net.Listener
+		// refusing is set while new connections are reset; delay in nanoseconds is applied
+		// to each chunk of data.
+		refusing atomic.Bool
+		delay    atomic.Int64
+
+		mutex   sync.Mutex
+		conns   map[*proxiedConn]struct{}
+		running sync.WaitGroup
+	}
+
+	// proxiedConn is a connection through the proxy.
+	proxiedConn struct {
+		client, upstream net.Conn
+		// dropping discards data towards upstream (index 0) and towards the client (index 1).
+		dropping [2]atomic.Bool
+	}
+)
+
+// newFaultProxy listens on an address until close is called.
+func newFaultProxy(ctx context.Context, address string, dial func(ctx context.Context) (net.Conn, error)) (*faultProxy, error) {
+	l, err := net.Listen("tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	g := &faultProxy{dial: dial, listener: l, conns: map[*proxiedConn]struct{}{}}
+	g.running.Go(func() { g.accept(ctx) })
+	return g, nil
+}
+
+// close stops the proxy and resets its connections.
+func (g *faultProxy) close() {
+	_ = g.listener.Close()
+	g.forEachConn(func(p *proxiedConn) { p.reset() })
+	g.running.Wait()
+}
+
+func (g *faultProxy) accept(ctx context.Context) {
+	for {
+		client, err := g.listener.Accept()
+		if err != nil {
+			return
+		}
+		if g.refusing.Load() {
+			reset(client)
+			continue
+		}
+		g.running.Go(func() { g.proxyConn(ctx, client) })
+	}
+}
+
+func (g *faultProxy) proxyConn(ctx context.Context, client net.Conn) {
+	dialContext, cancel := context.WithTimeout(ctx, time.Second)
+	defer cancel()
+	upstream, err := g.dial(dialContext)
+	if err != nil {
+		reset(client)
+		return
+	}
+	p := &proxiedConn{client: client, upstream: upstream}
+	g.mutex.Lock()
+	g.conns[p] = struct{}{}
+	g.mutex.Unlock()
+	var both sync.WaitGroup
+	both.Go(func() { g.forward(upstream, client, &p.dropping[0]) })
+	both.Go(func() { g.forward(client, upstream, &p.dropping[1]) })
+	both.Wait()
+	g.mutex.Lock()
+	delete(g.conns, p)
+	g.mutex.Unlock()
+}
+
+// forward copies one direction until either end closes.
+func (g *faultProxy) forward(to, from net.Conn, dropping *atomic.Bool) {
+	defer func() { _ = to.Close() }()
+	b := make([]byte, 32<<10)
+	for {
+		n, err := from.Read(b)
+		if n > 0 && !dropping.Load() {
+			time.Sleep(time.Duration(g.delay.Load()))
+			if _, err := to.Write(b[:n]); err != nil {
+				_ = from.Close()
+				return
+			}
+		}
+		if err != nil {
+			if !errors.Is(err, io.EOF) {
+				_ = from.Close()
+			}
+			return
+		}
+	}
+}
+
+// forEachConn calls do with every open connection.
+func (g *faultProxy) forEachConn(do func(p *proxiedConn)) {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	for p := range g.conns {
+		do(p)
+	}
+}
+
+// reset sends a TCP reset to the client and closes the upstream connection.
+func (p *proxiedConn) reset() {
+	reset(p.client)
+	_ = p.upstream.Close()
+}
+
+// drop sets for each direction whether data is discarded from now on.
+func (p *proxiedConn) drop(toUpstream, toClient bool) {
+	p.dropping[0].Store(toUpstream)
+	p.dropping[1].Store(toClient)
+}
+
+func reset(c net.Conn) {
+	if t, ok := c.(*net.TCPConn); ok {
+		_ = t.SetLinger(0)
+	}
+	_ = c.Close()
+}
--- a/internal/launcher/keys_test.go
+++ b/internal/launcher/keys_test.go
@@ -22,30 +22,29 @@
 	southKey = "k3y-s0uth-4c81"
 )
 
-var open = tracker.Route{Database: "open", Group: "g", Rule: tracker.RulePrimary, Timeout: time.Second, Anonymous: true}
+var anonymousRoute = tracker.Route{Database: "open", Group: "g", Rule: tracker.RulePrimary, Timeout: time.Second, Anonymous: true}
 
-// playKeys runs a fleet whose callers are told apart, before one instance.
-func playKeys(t *testing.T, happens func(f *fleet, i *instance)) {
+// runFleetWithKeys runs a scenario with one instance and two customers, each with a key.
+func runFleetWithKeys(t *testing.T, scenario func(f *fleet, i *instance)) {
 	t.Helper()
-	play(t, func(f *fleet) {
-		f.give([]string{northKey}, []string{southKey})
+	runFleet(t, func(f *fleet) {
+		f.setKeys([]string{northKey}, []string{southKey})
 		i := f.start("10.5.0.1", "a")
 		time.Sleep(3 * time.Second)
-		happens(f, i)
+		scenario(f, i)
 	})
 }
 
-// give publishes a version in which north and south hold the keys.
-func (f *fleet) give(north, south []string) {
+// setKeys publishes a configuration in which the customers north and south have these keys.
+func (f *fleet) setKeys(north, south []string) {
 	f.customers = []platformer.Customer{
 		{Name: "north", Keys: north, PerSecond: 1000, Burst: 1000}, {Name: "south", Keys: south, PerSecond: 1000, Burst: 1000},
 	}
-	f.configure(open)
+	f.configure(anonymousRoute)
 }
 
-// ranFor asserts that some member ran a text for a customer, and that none ran it for
-// another.
-func (f *fleet) ranFor(customer, text string) {
+// requireRanFor asserts that members ran a statement for a customer and for no other.
+func (f *fleet) requireRanFor(customer, text string) {
 	f.t.Helper()
 	var names []string
 	for _, id := range []string{"g-1", "g-2", "g-3"} {
@@ -59,23 +58,22 @@
 	must.Eq(f.t, []string{customer}, slices.Compact(names))
 }
 
-// Callers of two customers write and read through one instance, each on connections that
-// the member takes for its customer's; one on a route without keys runs for nobody. A key
-// that nobody holds, or none, gets its own refusal and reaches no member.
-func TestKeys(t *testing.T) {
-	playKeys(t, func(f *fleet, i *instance) {
+// Statements must run on connections of the caller's customer, and of no customer on an
+// anonymous route. Callers with an unknown key must be refused and reach no member.
+func TestCustomerKeys(t *testing.T) {
+	runFleetWithKeys(t, func(f *fleet, i *instance) {
 		for n := range 3 {
-			must.Eq(t, "I", f.callWith(i, "strict", northKey)(fmt.Sprintf("PUT n%d v", n)))
-			must.Eq(t, "I", f.callWith(i, "strict", southKey)(fmt.Sprintf("PUT s%d v", n)))
-			f.ranFor("north", fmt.Sprintf("PUT n%d v", n))
-			f.ranFor("south", fmt.Sprintf("PUT s%d v", n))
+			must.Eq(t, "I", f.openSessionWithKey(i, "strict", northKey)(fmt.Sprintf("PUT n%d v", n)))
+			must.Eq(t, "I", f.openSessionWithKey(i, "strict", southKey)(fmt.Sprintf("PUT s%d v", n)))
+			f.requireRanFor("north", fmt.Sprintf("PUT n%d v", n))
+			f.requireRanFor("south", fmt.Sprintf("PUT s%d v", n))
 		}
-		must.Eq(t, "I", f.callWith(i, "open", northKey)("PUT a v"))
-		must.Eq(t, "I", f.call(i, "open")("PUT b v"))
-		f.ranFor("-", "PUT a v")
-		f.ranFor("-", "PUT b v")
-		must.Eq(t, "DENIED", f.callWith(i, "strict", "stranger")("PUT x v"))
-		must.Eq(t, "NODB", f.callWith(i, "nowhere", northKey)("PUT x v"))
+		must.Eq(t, "I", f.openSessionWithKey(i, "open", northKey)("PUT a v"))
+		must.Eq(t, "I", f.openSession(i, "open")("PUT b v"))
+		f.requireRanFor("-", "PUT a v")
+		f.requireRanFor("-", "PUT b v")
+		must.Eq(t, "DENIED", f.openSessionWithKey(i, "strict", "stranger")("PUT x v"))
+		must.Eq(t, "NODB", f.openSessionWithKey(i, "nowhere", northKey)("PUT x v"))
 		for _, id := range []string{"g-1", "g-2", "g-3"} {
 			for _, r := range f.group.RanFor(id) {
 				must.StrNotContains(t, r, "PUT x v")
@@ -85,57 +83,53 @@
 	})
 }
 
-// A customer's key is taken away and given to another one while callers are connected. One
-// that idles learns it with its next statement; one in the middle of a transaction may end
-// it at once, and is rolled back when it rests. A key that was added works on at once.
-func TestKeysChangeHands(t *testing.T) {
-	playKeys(t, func(f *fleet, i *instance) {
-		idle, quick, rests := f.callWith(i, "strict", northKey), f.callWith(i, "strict", northKey), f.callWith(i, "strict", northKey)
+// Removing a key must refuse the next statement of idle sessions with it, let an open
+// transaction commit promptly, and abort one that stays idle. Added keys must work at once.
+func TestKeyReassignment(t *testing.T) {
+	runFleetWithKeys(t, func(f *fleet, i *instance) {
+		idle, prompt, late := f.openSessionWithKey(i, "strict", northKey), f.openSessionWithKey(i, "strict", northKey), f.openSessionWithKey(i, "strict", northKey)
 		must.Eq(t, "I", idle("PUT k v"))
-		for _, ask := range []func(string) string{quick, rests} {
-			must.Eq(t, "T", ask("BEGIN"))
+		for _, query := range []func(string) string{prompt, late} {
+			must.Eq(t, "T", query("BEGIN"))
 		}
-		must.Eq(t, "T", quick("PUT q v"))
-		must.Eq(t, "T", rests("PUT r v"))
-		f.give([]string{"k3y-fresh"}, []string{southKey})
+		must.Eq(t, "T", prompt("PUT q v"))
+		must.Eq(t, "T", late("PUT r v"))
+		f.setKeys([]string{"k3y-fresh"}, []string{southKey})
 		time.Sleep(400 * time.Millisecond)
-		must.Eq(t, "I", quick("COMMIT"))
+		must.Eq(t, "I", prompt("COMMIT"))
 		must.Eq(t, "DENIED I", idle("PUT k v2"))
 		must.Eq(t, "DENIED I", idle("BEGIN"))
-		must.Eq(t, "I", f.callWith(i, "strict", "k3y-fresh")("PUT f v"))
-		f.ranFor("north", "PUT f v")
+		must.Eq(t, "I", f.openSessionWithKey(i, "strict", "k3y-fresh")("PUT f v"))
+		f.requireRanFor("north", "PUT f v")
 		time.Sleep(time.Second)
-		must.Eq(t, "ABORTED I", rests("COMMIT"))
-		must.Eq(t, "none I", f.callWith(i, "strict", southKey)("FETCH r"))
-		f.give(nil, []string{southKey, northKey})
+		must.Eq(t, "ABORTED I", late("COMMIT"))
+		must.Eq(t, "none I", f.openSessionWithKey(i, "strict", southKey)("FETCH r"))
+		f.setKeys(nil, []string{southKey, northKey})
 		time.Sleep(400 * time.Millisecond)
 		must.Eq(t, "I", idle("PUT k v3"))
-		f.ranFor("south", "PUT k v3")
+		f.requireRanFor("south", "PUT k v3")
 		must.StrContains(t, f.log.String(), "reason=key-withdrawn")
 	})
 }
 
-// The store is away, and nobody else tells what it holds: a key that this instance doesn't
-// know may have been added meanwhile. The caller is told to come back, not that its key is
-// wrong.
-func TestUncertainKey(t *testing.T) {
-	playKeys(t, func(f *fleet, i *instance) {
+// While the store and all peers are unavailable, an unknown key may have been added since.
+// Its callers must get a retryable refusal.
+func TestUnknownKeyDuringStoreOutage(t *testing.T) {
+	runFleetWithKeys(t, func(f *fleet, i *instance) {
 		f.store.SetFaults(func(x *storer.Faults) { x.Down = true })
 		time.Sleep(4 * time.Second)
-		must.Eq(t, "BUSY", f.callWith(i, "strict", "k3y-new")("PUT k v"))
-		must.Eq(t, "I", f.callWith(i, "strict", northKey)("PUT k v"))
+		must.Eq(t, "BUSY", f.openSessionWithKey(i, "strict", "k3y-new")("PUT k v"))
+		must.Eq(t, "I", f.openSessionWithKey(i, "strict", northKey)("PUT k v"))
 		f.store.SetFaults(func(x *storer.Faults) { x.Down = false })
 		time.Sleep(3 * time.Second)
-		must.Eq(t, "DENIED", f.callWith(i, "strict", "k3y-new")("PUT k v"))
+		must.Eq(t, "DENIED", f.openSessionWithKey(i, "strict", "k3y-new")("PUT k v"))
 		must.StrContains(t, f.log.String(), "reason=key-uncertain")
 	})
 }
 
-// Keys go through every path: two instances that tell each other the configuration, callers
-// whose keys are good, unknown, malformed or taken away, metrics and logs. Nothing that an
-// instance sends or prints has one in it.
-func TestKeysShowNowhere(t *testing.T) {
-	play(t, func(f *fleet) {
+// Keys must not appear in anything that an instance sends, nor in its logs and metrics.
+func TestKeysAreNotExposed(t *testing.T) {
+	runFleet(t, func(f *fleet) {
 		var mutex sync.Mutex
 		var sent strings.Builder
 		f.net.Tap = func(from, _ *wirer.Host, data []byte) {
@@ -145,24 +139,24 @@
 				sent.Write(data)
 			}
 		}
-		f.give([]string{northKey}, []string{southKey})
+		f.setKeys([]string{northKey}, []string{southKey})
 		a, b := f.start("10.5.0.1", "a"), f.start("10.5.0.2", "a")
 		time.Sleep(3 * time.Second)
 		f.net.Cut("10.5.0.2", "10.6.0.1")
-		f.give([]string{northKey, "k3y-told"}, []string{southKey})
+		f.setKeys([]string{northKey, "k3y-told"}, []string{southKey})
 		time.Sleep(3 * time.Second)
-		must.Eq(t, "I", f.callWith(b, "strict", "k3y-told")("PUT k v"))
+		must.Eq(t, "I", f.openSessionWithKey(b, "strict", "k3y-told")("PUT k v"))
 		for _, i := range []*instance{a, b} {
-			must.Eq(t, "I", f.callWith(i, "strict", northKey)("PUT k v"))
-			f.callWith(i, "strict", "k3y-unknown")("PUT k v")
-			f.callWith(i, "nowhere", "k3y-lost")("PUT k v")
+			must.Eq(t, "I", f.openSessionWithKey(i, "strict", northKey)("PUT k v"))
+			f.openSessionWithKey(i, "strict", "k3y-unknown")("PUT k v")
+			f.openSessionWithKey(i, "nowhere", "k3y-lost")("PUT k v")
 		}
-		f.malformed(a, "STARTUP k3y-alone")
-		f.malformed(a, "k3y-first strict")
-		f.malformed(a, "QUERY k3y-query strict")
-		f.give(nil, []string{southKey, "k3y-more"})
+		f.sendMalformed(a, "STARTUP k3y-alone")
+		f.sendMalformed(a, "k3y-first strict")
+		f.sendMalformed(a, "QUERY k3y-query strict")
+		f.setKeys(nil, []string{southKey, "k3y-more"})
 		time.Sleep(2 * time.Second)
-		must.Eq(t, "DENIED", f.callWith(b, "strict", northKey)("PUT k v"))
+		must.Eq(t, "DENIED", f.openSessionWithKey(b, "strict", northKey)("PUT k v"))
 		page := f.metrics(a)
 		must.StrContains(t, page, "unknown_key")
 		mutex.Lock()
@@ -174,8 +168,8 @@
 	})
 }
 
-// malformed sends a first line and reads what comes until the instance closes.
-func (f *fleet) malformed(i *instance, line string) {
+// sendMalformed sends a malformed first line and reads until the instance closes the connection.
+func (f *fleet) sendMalformed(i *instance, line string) {
 	caller := f.callers.Add(1)
 	conn, err := f.net.Host(fmt.Sprintf("10.7.0.%d", caller), "a").Dial(f.ctx, i.host.IP+":5000")
 	must.NoError(f.t, err)
@@ -186,7 +180,7 @@
 // metrics returns an instance's metrics page.
 func (f *fleet) metrics(i *instance) string { return f.page(i, "/metrics") }
 
-// page returns a page of an instance's metrics address.
+// page returns a page that an instance serves on its metrics address.
 func (f *fleet) page(i *instance, path string) string {
 	h := &http.Client{Transport: &http.Transport{DialContext: i.dial, DisableKeepAlives: true}}
 	a, err := h.Get("http://" + i.host.IP + ":5002" + path)
--- a/internal/launcher/launcher.go
+++ b/internal/launcher/launcher.go
@@ -1,5 +1,5 @@
-// Package launcher puts an entry instance on the users' platform together, and
-// starts and ends its parts.
+// Package launcher assembles an entry instance on the users' platform, runs its
+// components and shuts them down.
 package launcher
 
 import (
@@ -28,19 +28,20 @@
 )
 
 const (
-	// rotationTime is how long after the first refusal to be ready the balancer may
-	// still send callers: it asks once a second and believes the second refusal.
-	rotationTime = 2200 * time.Millisecond
-	// transactionPart is the part of the shutdown time that open transactions have.
-	transactionPart = 0.5
-	// endPart is the part after which the process ends whatever is open.
-	endPart = 0.85
-	// endPoll is how often it is looked whether all callers are gone.
-	endPoll = 20 * time.Millisecond
+	// balancerDetectionTime is how long the load balancer may still send callers to an
+	// instance that is not ready: it polls once a second and acts on the second failure.
+	balancerDetectionTime = 2200 * time.Millisecond
+	// transactionDrainFraction is the fraction of the shutdown time after which open
+	// transactions are aborted.
+	transactionDrainFraction = 0.5
+	// drainFraction is the fraction of the shutdown time after which the process exits
+	// even if connections are open.
+	drainFraction     = 0.85
+	drainPollInterval = 20 * time.Millisecond
 )
 
 type (
-	// Platform is what the instance needs of the platform.
+	// Platform holds the store, codecs and functions of the users' platform.
 	Platform struct {
 		Store interface {
 			storer.Store
@@ -64,149 +65,149 @@
 		Network  networker.Network
 		Journal  *journaler.Journal
 		Clock    func() tracker.Stamp
-		// Leave is received from when the process is told to end.
+		// Leave receives the signals that start a graceful shutdown.
 		Leave <-chan os.Signal
-		// Reload is received from when the settings may have changed; Reread reads them.
+		// Reload receives the signals to check the settings for changes; Reread loads them.
 		Reload <-chan os.Signal
 		Reread func() (*loader.EntrySettings, error)
 
-		metrics    tally.Scope
-		unregister io.Closer
-		served     map[tracker.Rule]tally.Histogram
-		// refusedOf counts the operations refused for customers' limits.
-		refusedOf     tallies
-		register      *reporter.Register
-		configuration atomic.Pointer[tracker.Configuration]
-		leaving       atomic.Bool
-		booted        tracker.Stamp
-		belief        *journaler.Kind
+		metrics       tally.Scope
+		metricsCloser io.Closer
+		latencies     map[tracker.Rule]tally.Histogram
+		// limitRefusals counts the operations refused because a customer was over its limit.
+		limitRefusals   customerCounter
+		metricsRegistry *reporter.Register
+		configuration   atomic.Pointer[tracker.Configuration]
+		draining        atomic.Bool
+		startedAt       tracker.Stamp
+		stateLog        *journaler.Kind
 
-		mutex    sync.Mutex
-		backends map[string]*backend
-		members  map[string][]tracker.Member
-		running  sync.WaitGroup
-		ctx      context.Context
+		mutex      sync.Mutex
+		backends   map[string]*backend
+		members    map[string][]tracker.Member
+		background sync.WaitGroup
+		ctx        context.Context
 
 		server  *dispatcher.Server
 		elector *elector.Elector
-		watch   *watcher.Watcher
-		peers   *neighbours
+		watcher *watcher.Watcher
+		peers   *peerServices
 	}
 )
 
-// Run serves until the process is told to end, or the context ends.
+// Run serves until Leave receives a signal, a component fails or the context is canceled.
 func (i *Instance) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	started := time.Now()
 	i.prepare(ctx)
-	i.belief.Log("event", "start", "name", i.Settings.Name, "zone", i.Settings.Zone, "callers", i.Settings.Callers, "cores", i.Settings.Cores)
+	i.stateLog.Log("event", "start", "name", i.Settings.Name, "zone", i.Settings.Zone, "callers", i.Settings.Callers, "cores", i.Settings.Cores)
 
-	parts, running := make(chan error, 8), 0
-	run := func(part func(context.Context) error) {
+	exits, running := make(chan error, 8), 0
+	run := func(component func(context.Context) error) {
 		running++
-		go func() { parts <- part(ctx) }()
+		go func() { exits <- component(ctx) }()
 	}
-	run(func(ctx context.Context) error { return i.servePages(ctx, i.Settings.Ready, i.readyPage()) })
+	run(func(ctx context.Context) error { return i.serveHTTP(ctx, i.Settings.Ready, i.readyHandler()) })
 	if i.Settings.Metrics != "" {
-		run(func(ctx context.Context) error { return i.servePages(ctx, i.Settings.Metrics, i.metricsPages()) })
+		run(func(ctx context.Context) error { return i.serveHTTP(ctx, i.Settings.Metrics, i.metricsMux()) })
 	}
 	run(i.server.Run)
-	run(i.reload)
-	run(i.watch.Run)
-	run(i.tend)
+	run(i.handleReloads)
+	run(i.watcher.Run)
+	run(i.maintainBackends)
 	if i.peers != nil {
 		run(i.peers.teller.Run)
 		run(i.peers.server.Run)
 		run(i.peers.accountant.Run)
 	}
-	electing, stopElecting := context.WithCancel(ctx)
-	defer stopElecting()
-	elected := make(chan error, 1)
-	go func() { elected <- i.elector.Run(electing) }()
+	electorContext, stopElector := context.WithCancel(ctx)
+	defer stopElector()
+	electorExit := make(chan error, 1)
+	go func() { electorExit <- i.elector.Run(electorContext) }()
 
 	var err error
 	select {
 	case s := <-i.Leave:
-		i.belief.Log("event", "stop", "signal", s, "callers", i.server.Sessions())
-		stopElecting()
-		i.leave(ctx)
-	case err = <-parts:
+		i.stateLog.Log("event", "stop", "signal", s, "callers", i.server.Sessions())
+		stopElector()
+		i.drain(ctx)
+	case err = <-exits:
 		running--
 	case <-ctx.Done():
 	}
 	cancel()
-	// Whoever starts next at these addresses must find them free.
+	// The next process on these addresses must find them free.
 	for ; running > 0; running-- {
-		<-parts
+		<-exits
 	}
-	<-elected
-	i.running.Wait()
+	<-electorExit
+	i.background.Wait()
 	if i.peers != nil {
 		i.peers.carrier.Close()
 		i.peers.client.Close()
 	}
-	if failed := i.unregister.Close(); failed != nil {
-		i.belief.Log("event", "metrics-not-closed", "cause", failed)
+	if closeErr := i.metricsCloser.Close(); closeErr != nil {
+		i.stateLog.Log("event", "metrics-not-closed", "cause", closeErr)
 	}
-	i.belief.Log("event", "stopped", "after-ms", time.Since(started).Milliseconds(), "cause", err)
+	i.stateLog.Log("event", "stopped", "after-ms", time.Since(started).Milliseconds(), "cause", err)
 	return err
 }
 
 func (i *Instance) prepare(ctx context.Context) {
-	i.ctx, i.booted = ctx, i.Clock()
-	i.belief = i.Journal.Kind("belief")
-	i.register = &reporter.Register{}
-	i.metrics, i.unregister = i.register.Open(map[string]string{reporter.TagInstance: i.Settings.Name})
+	i.ctx, i.startedAt = ctx, i.Clock()
+	i.stateLog = i.Journal.Kind("belief")
+	i.metricsRegistry = &reporter.Register{}
+	i.metrics, i.metricsCloser = i.metricsRegistry.Open(map[string]string{reporter.TagInstance: i.Settings.Name})
 	i.backends, i.members = map[string]*backend{}, map[string][]tracker.Member{}
 	requests, traces := i.Journal.Kind("request"), i.Journal.Kind("served")
 	i.server = &dispatcher.Server{
 		Address: i.Settings.Callers, Network: i.Network, Codec: i.Platform.CallerCodec, Clock: i.Clock,
-		Configuration: i.configuration.Load, Current: func() bool { return i.watch.Current() }, InForce: i.Settings.InForce,
+		Configuration: i.configuration.Load, Current: func() bool { return i.watcher.Current() }, InForce: i.Settings.InForce,
 		Backend: func(group string) *dispatcher.Backend { return &i.backend(group).Backend },
-		Decide:  func(part string, f ...any) { requests.Log(append([]any{"of", part}, f...)...) },
+		Decide:  func(component string, f ...any) { requests.Log(append([]any{"of", component}, f...)...) },
 		Trace:   traces.Log,
 		Count:   func(name string) { i.metrics.Counter(metricPrefix + name).Inc(1) },
 		Refused: func(r dispatcher.Reason) { i.metrics.Counter(metricRefused + string(r)).Inc(1) },
-		Limited: i.refusedOf.add,
+		Limited: i.limitRefusals.add,
 		Retried: func(r dispatcher.Reason) { i.metrics.Counter(metricRetried + string(r)).Inc(1) },
-		Served:  func(r tracker.Route, took time.Duration) { i.served[r.Rule].RecordDuration(took) },
+		Served:  func(r tracker.Route, took time.Duration) { i.latencies[r.Rule].RecordDuration(took) },
 	}
 	i.elector = &elector.Elector{
-		Store: i.Platform.Store, Clock: i.Clock, Name: i.Settings.Name + lifeSeparator + life(),
-		FirstStart: i.Settings.FirstStart, Groups: i.groups, Keep: i.keep, Log: i.Journal.Kind("duty").Log,
+		Store: i.Platform.Store, Clock: i.Clock, Name: i.Settings.Name + runIDSeparator + newRunID(),
+		FirstStart: i.Settings.FirstStart, Groups: i.promotableGroups, Keep: i.runKeeper, Log: i.Journal.Kind("duty").Log,
 	}
-	i.watch = i.watcher()
-	i.elector.InTouch = i.watch.InTouch
+	i.watcher = i.newWatcher()
+	i.elector.InTouch = i.watcher.InTouch
 	if i.Settings.Peers != "" {
-		i.peers = i.openNeighbours()
-		i.elector.Turn = i.peers.turn
-		i.watch.Hear, i.watch.Instance, i.watch.Follows = i.peers.teller.Hear, i.peers.teller.Saw, i.peers.teller.Follows
+		i.peers = i.newPeerServices()
+		i.elector.Turn = i.peers.acquisitionRank
+		i.watcher.Hear, i.watcher.Instance, i.watcher.Follows = i.peers.teller.Hear, i.peers.teller.Saw, i.peers.teller.Follows
 	}
 	i.declareMetrics()
 }
 
-// lifeSeparator stands between an instance's name and what tells its lives apart.
-const lifeSeparator = "-"
+// runIDSeparator separates an instance's name from its run ID.
+const runIDSeparator = "-"
 
-// life tells the lives of one instance apart.
-func life() string { return time.Now().UTC().Format("150405.000000") }
+// newRunID returns a value that distinguishes the runs of an instance.
+func newRunID() string { return time.Now().UTC().Format("150405.000000") }
 
-func (i *Instance) watcher() *watcher.Watcher {
+func (i *Instance) newWatcher() *watcher.Watcher {
 	return &watcher.Watcher{
 		Source: i.Platform.Store, Clock: i.Clock, InForce: i.Settings.InForce, FirstStart: i.Settings.FirstStart,
 		ConfigurationKey: i.Platform.ConfigurationKey, MemberPrefix: i.Platform.MemberPrefix, DutyPrefix: elector.DutyPrefix, InstancePrefix: teller.InstancePrefix,
 		DecodeConfiguration: i.Platform.DecodeConfiguration, DecodeMember: i.Platform.DecodeMember,
-		Configured: i.configured, Members: i.registered, Duty: i.elector.Saw, Log: i.belief.Log,
+		Configured: i.applyConfiguration, Members: i.applyMembers, Duty: i.elector.Saw, Log: i.stateLog.Log,
 	}
 }
 
-func (i *Instance) configured(c *tracker.Configuration) {
+func (i *Instance) applyConfiguration(c *tracker.Configuration) {
 	c.Taken = i.Clock()
 	if i.peers != nil && c.Customers != nil {
 		i.peers.teller.Introducer.Wide.Store(true)
 	}
-	i.noteCustomers(i.configuration.Swap(c), c)
+	i.logCustomerChanges(i.configuration.Swap(c), c)
 	if i.peers != nil {
 		i.peers.accountant.Wake()
 	}
@@ -220,7 +221,7 @@
 	}
 }
 
-func (i *Instance) registered(list []tracker.Member) {
+func (i *Instance) applyMembers(list []tracker.Member) {
 	byGroup := map[string][]tracker.Member{}
 	for _, m := range list {
 		byGroup[m.Group] = append(byGroup[m.Group], m)
@@ -234,10 +235,10 @@
 	}
 }
 
-// groups lists the groups whose duties this instance may take.
-func (i *Instance) groups() []string {
+// promotableGroups returns the groups whose failover lease this instance may acquire.
+func (i *Instance) promotableGroups() []string {
 	c := i.configuration.Load()
-	if c == nil || i.leaving.Load() || i.Settings.Promotions == "" {
+	if c == nil || i.draining.Load() || i.Settings.Promotions == "" {
 		return nil
 	}
 	names := make([]string, 0, len(c.Groups))
@@ -257,14 +258,14 @@
 	if b, ok := i.backends[group]; ok {
 		return b
 	}
-	g := &tracker.Group{Name: group, Zone: i.Settings.Zone, Near: i.near}
-	b := &backend{clock: i.Clock, codec: i.Platform.MemberCodec, log: i.belief.Log, suspicion: make(chan string, 1), aged: make(chan struct{}, 1), leaderless: make(chan struct{}, 1)}
-	b.roster = func() ([]string, bool) { return i.roster(group) }
-	b.Backend = dispatcher.Backend{Group: g, Suspect: b.suspect, Pool: &lender.Pool{
-		Group: g, Network: i.Network, Codec: i.Platform.MemberCodec, Who: i.Settings.Name, Clock: i.Clock, Note: i.noteConnection(group), Tended: true,
-		NoteLost: i.noteLost(group), NoteLent: i.noteLent,
+	g := &tracker.Group{Name: group, Zone: i.Settings.Zone, Near: i.sameRegion}
+	b := &backend{clock: i.Clock, codec: i.Platform.MemberCodec, log: i.stateLog.Log, suspects: make(chan string, 1), proofExpired: make(chan struct{}, 1), primaryUnknown: make(chan struct{}, 1)}
+	b.commitHolders = func() ([]string, bool) { return i.commitHolders(group) }
+	b.Backend = dispatcher.Backend{Group: g, Suspect: b.reportSuspect, Pool: &lender.Pool{
+		Group: g, Network: i.Network, Codec: i.Platform.MemberCodec, Who: i.Settings.Name, Clock: i.Clock, Note: i.recordConnect(group), Tended: true,
+		NoteLost: i.recordIdleLoss(group), NoteLent: i.recordCheckout,
 		NoteRoom: func(member string, room bool) {
-			i.belief.Log("event", "room", "group", group, "member", member, "room", room)
+			i.stateLog.Log("event", "room", "group", group, "member", member, "room", room)
 		},
 	}}
 	if i.peers != nil {
@@ -277,20 +278,20 @@
 		b.Pool.Configure(c.Groups[group].Connections, c.Customers)
 	}
 	i.backends[group] = b
-	i.running.Go(func() { b.run(i.ctx) })
+	i.background.Go(func() { b.run(i.ctx) })
 	return b
 }
 
-// groupsInUse lists what is kept for each group.
-func (i *Instance) groupsInUse() []*backend {
+func (i *Instance) allBackends() []*backend {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	return slices.Collect(maps.Values(i.backends))
 }
 
-// roster lists the members whose logs may hold acknowledged commits: those that are
-// registered, and those that the group's duty has on record.
-func (i *Instance) roster(group string) ([]string, bool) {
+// commitHolders returns the members whose logs may hold acknowledged commits, which are the
+// registered ones and those in the group's failover record, and whether commits are
+// acknowledged by a replica.
+func (i *Instance) commitHolders(group string) ([]string, bool) {
 	ids := i.elector.Roster(group)
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -303,45 +304,45 @@
 	return ids, c != nil && c.Groups[group].SyncReplicas > 0
 }
 
-// noteConnection logs failures to connect to a member.
-func (i *Instance) noteConnection(group string) func(member string, err error) {
+// recordConnect counts connection attempts to members and logs the failed ones.
+func (i *Instance) recordConnect(group string) func(member string, err error) {
 	connections := i.Journal.Kind("connection")
 	return func(member string, err error) {
 		if err == nil {
 			i.metrics.Counter(metricOpened).Inc(1)
 			return
 		}
-		i.metrics.Counter(metricFailed).Inc(1)
+		i.metrics.Counter(metricConnectFailed).Inc(1)
 		connections.Log("event", "connect-failed", "group", group, "member", member, "cause", err)
 	}
 }
 
-// noteLent counts connections that are lent to callers' work.
-func (i *Instance) noteLent(opened bool) {
+// recordCheckout counts connections checked out for callers' work.
+func (i *Instance) recordCheckout(opened bool) {
 	if opened {
-		i.metrics.Counter(metricLentNew).Inc(1)
+		i.metrics.Counter(metricCheckoutOpened).Inc(1)
 		return
 	}
-	i.metrics.Counter(metricLentKept).Inc(1)
+	i.metrics.Counter(metricCheckoutReused).Inc(1)
 }
 
-// noteLost logs connections to a member that broke while they idled.
-func (i *Instance) noteLost(group string) func(member string, idle time.Duration) {
+// recordIdleLoss counts and logs connections to a member that broke while idle.
+func (i *Instance) recordIdleLoss(group string) func(member string, idle time.Duration) {
 	connections := i.Journal.Kind("connection")
 	return func(member string, idle time.Duration) {
-		i.metrics.Counter(metricLost).Inc(1)
+		i.metrics.Counter(metricIdleLost).Inc(1)
 		connections.Log("event", "connection-lost", "group", group, "member", member, "idle-ms", idle.Milliseconds())
 	}
 }
 
-// near reports whether a zone is in this instance's region.
-func (i *Instance) near(zone string) bool {
+// sameRegion reports whether an availability zone is in this instance's region.
+func (i *Instance) sameRegion(zone string) bool {
 	r, ok := i.Settings.Regions[zone]
 	return ok && r == i.Settings.Regions[i.Settings.Zone]
 }
 
-// keep watches over a group while the duty lasts.
-func (i *Instance) keep(ctx context.Context, group string, d *elector.Duty) error {
+// runKeeper handles a group's failover while this instance holds its lease.
+func (i *Instance) runKeeper(ctx context.Context, group string, d *elector.Duty) error {
 	b := i.backend(group)
 	k := &elector.Keeper{
 		Group: b.Group, Clock: i.Clock, Codec: i.Platform.MemberCodec,
@@ -360,7 +361,7 @@
 			return c.Groups[group].SyncReplicas
 		},
 		Connections: func() int { return i.configuration.Load().Groups[group].Connections },
-		Booted:      i.booted, Changed: b.Pool.Changed,
+		Booted:      i.startedAt, Changed: b.Pool.Changed,
 		Log: i.Journal.Kind("duty").Log,
 	}
 	return k.Run(ctx)
--- a/internal/launcher/limits.go
+++ b/internal/launcher/limits.go
@@ -11,34 +11,32 @@
 	"github.com/oriolegw/oriolegw/internal/tracker"
 )
 
-// This file tells the accountant who keeps customers' accounts, and who reports to it.
-
 const (
-	// accountsKey ranks the instances.
-	accountsKey = "accounts"
-	// lendersFor is how long the list of instances that lend is kept.
-	lendersFor = 500 * time.Millisecond
+	// accountantRankKey is the rendezvous hashing key that selects the accountant.
+	accountantRankKey = "accounts"
+	// lendersTTL is how long the list of lending instances is cached.
+	lendersTTL = 500 * time.Millisecond
 )
 
-// cached keeps a value that is costly to work out.
+// cached holds a value that is expensive to compute.
 type cached[T any] struct {
 	mutex sync.Mutex
 	value T
 	at    tracker.Stamp
 }
 
-// get returns the value, made anew when it is older than lasts.
-func (c *cached[T]) get(now tracker.Stamp, lasts time.Duration, compute func() T) T {
+// get returns the value, computed again when it is older than ttl.
+func (c *cached[T]) get(now tracker.Stamp, ttl time.Duration, compute func() T) T {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.at == 0 || now-c.at > lasts {
+	if c.at == 0 || now-c.at > ttl {
 		c.value, c.at = compute(), now
 	}
 	return c.value
 }
 
-func (i *Instance) openAccountant(n *neighbours) *accountant.Accountant {
-	lenders := func() []string { return i.lenders(n) }
+func (i *Instance) newAccountant(n *peerServices) *accountant.Accountant {
+	lenders := func() []string { return i.lenderAddresses(n) }
 	run := uint64(time.Now().UnixNano())
 	return (&accountant.Accountant{
 		Meter: &limiter.Meter{
@@ -47,36 +45,35 @@
 			Lends:     func() bool { return slices.Contains(lenders(), i.Settings.Peers) },
 		},
 		Ledger: &limiter.Ledger{Tolerance: i.Settings.Limits, Run: run, Expected: lenders},
-		Links:  n.client, Clock: i.Clock, Limit: i.limit, Active: i.tellsApart, Limits: i.limits, Log: i.Journal.Kind("limits").Log,
-		Keeper: func() (string, bool) { return i.keepsAccounts(n) },
+		Links:  n.client, Clock: i.Clock, Limit: i.limit, Active: i.customersEnabled, Limits: i.limits, Log: i.Journal.Kind("limits").Log,
+		Keeper: func() (string, bool) { return i.accountantAddress(n) },
 		Failed: func(address string) { n.teller.Introducer.Failed(i.Clock(), address) },
 	}).Open()
 }
 
-// noteCustomers logs which customers a version adds, takes away or changes. The first version
-// is told by its number only: all instances of a fleet that has lost power would write a line
-// for each customer in the moment in which callers come back.
-func (i *Instance) noteCustomers(before, now *tracker.Configuration) {
+// logCustomerChanges logs the customers that a version adds, removes or changes. Of the first
+// version it logs only the number of customers, since many instances may restart at once.
+func (i *Instance) logCustomerChanges(before, now *tracker.Configuration) {
 	if before == nil {
-		i.belief.Log("event", "customers", "version", now.Version, "customers", now.Customers.Len())
+		i.stateLog.Log("event", "customers", "version", now.Version, "customers", now.Customers.Len())
 		return
 	}
 	old := before.Customers
 	for c := range now.Customers.All {
 		o := old.Customer(c.Name)
 		if o == nil || o.Limit != c.Limit || len(o.Keys) != len(c.Keys) {
-			i.belief.Log("event", "customer", "customer", c.Name, "version", now.Version, "per-second", c.Limit.PerSecond, "burst", c.Limit.Burst, "keys", len(c.Keys), "new", o == nil)
+			i.stateLog.Log("event", "customer", "customer", c.Name, "version", now.Version, "per-second", c.Limit.PerSecond, "burst", c.Limit.Burst, "keys", len(c.Keys), "new", o == nil)
 		}
 	}
 	for c := range old.All {
 		if now.Customers.Customer(c.Name) == nil {
-			i.belief.Log("event", "customer-gone", "customer", c.Name, "version", now.Version)
+			i.stateLog.Log("event", "customer-gone", "customer", c.Name, "version", now.Version)
 		}
 	}
 }
 
-// tellsApart reports whether callers are told apart by their customers.
-func (i *Instance) tellsApart() bool {
+// customersEnabled reports whether callers are assigned to customers.
+func (i *Instance) customersEnabled() bool {
 	c := i.configuration.Load()
 	return c != nil && c.Customers != nil
 }
@@ -94,7 +91,7 @@
 	return limits
 }
 
-// limit returns a customer's limit as it is in force.
+// limit returns a customer's limit in force, the zero Limit for an unknown customer.
 func (i *Instance) limit(customer string) identifier.Limit {
 	c := i.configuration.Load()
 	if c == nil {
@@ -107,21 +104,21 @@
 	return x.Limit
 }
 
-// keepsAccounts returns who keeps the customers' accounts: the first by rendezvous hashing of
-// the instances that may live, larger ones more likely. Nothing has to be agreed on: whoever
-// takes another for the accountant has its part of the limits there.
-func (i *Instance) keepsAccounts(n *neighbours) (address string, self bool) {
-	first := n.carrier.First(accountsKey, n.teller.Introducer.All(i.Clock()))
+// accountantAddress returns the address of the instance that keeps the customers' accounts,
+// or self for this one. Weighted rendezvous hashing over the reachable instances selects it.
+// Instances may disagree: each then gets its part of the limits from its own accountant.
+func (i *Instance) accountantAddress(n *peerServices) (address string, self bool) {
+	first := n.carrier.First(accountantRankKey, n.teller.Introducer.All(i.Clock()))
 	if first.Name == i.Settings.Name {
 		return "", true
 	}
 	return first.Address, false
 }
 
-// lenders lists the instances that lend connections to members: those beside them, or all
-// where connections are not placed so.
-func (i *Instance) lenders(n *neighbours) []string {
-	return n.lenders.get(i.Clock(), lendersFor, func() []string {
+// lenderAddresses returns the instances that lend connections to members: those placed near
+// members, or all where connections have no such placement.
+func (i *Instance) lenderAddresses(n *peerServices) []string {
+	return n.lenderCache.get(i.Clock(), lendersTTL, func() []string {
 		i.mutex.Lock()
 		members := make(map[string][]string, len(i.members))
 		for group, list := range i.members {
--- a/internal/launcher/limits_test.go
+++ b/internal/launcher/limits_test.go
@@ -13,13 +13,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// playMany runs three instances, one in each zone, before a group that has fewer places than
-// there are customers; key(n) is that of customer n, of which each may run perSecond.
-func playMany(t *testing.T, customers int, perSecond float64, happens func(f *fleet, all []*instance)) {
+// runCustomerFleet runs a scenario with an instance in each of three zones. Customer n has
+// customerKey(n) and a limit of perSecond operations per second.
+func runCustomerFleet(t *testing.T, customers int, perSecond float64, scenario func(f *fleet, all []*instance)) {
 	t.Helper()
-	play(t, func(f *fleet) {
+	runFleet(t, func(f *fleet) {
 		for n := range customers {
-			f.customers = append(f.customers, platformer.Customer{Name: fmt.Sprint("c", n), Keys: []string{key(n)}, PerSecond: perSecond, Burst: perSecond})
+			f.customers = append(f.customers, platformer.Customer{Name: fmt.Sprint("c", n), Keys: []string{customerKey(n)}, PerSecond: perSecond, Burst: perSecond})
 		}
 		f.configure()
 		var all []*instance
@@ -27,40 +27,40 @@
 			all = append(all, f.start(fmt.Sprintf("10.5.0.%d", n+1), zone))
 		}
 		time.Sleep(5 * time.Second)
-		happens(f, all)
+		scenario(f, all)
 	})
 }
 
-func key(n int) string { return fmt.Sprint("k3y-", n) }
+func customerKey(n int) string { return fmt.Sprint("k3y-", n) }
 
-// send has callers of a customer send writes at a pace through instances in turn, each its
-// own session, and counts the answers by their first word.
-func (f *fleet) send(all []*instance, customer, perSecond int, lasts time.Duration) map[string]int {
+// sendWrites sends a customer's writes at a rate from 12 sessions spread over the instances,
+// and returns the number of responses by their first word.
+func (f *fleet) sendWrites(all []*instance, customer, perSecond int, duration time.Duration) map[string]int {
 	var mutex sync.Mutex
 	var sending sync.WaitGroup
-	answers := map[string]int{}
-	asks := make([]func(string) string, 12)
-	for n := range asks {
-		asks[n] = f.callWith(all[n%len(all)], "strict", key(customer))
+	responses := map[string]int{}
+	sessions := make([]func(string) string, 12)
+	for n := range sessions {
+		sessions[n] = f.openSessionWithKey(all[n%len(all)], "strict", customerKey(customer))
 	}
-	for n := range int(lasts.Seconds() * float64(perSecond)) {
+	for n := range int(duration.Seconds() * float64(perSecond)) {
 		time.Sleep(time.Second / time.Duration(perSecond))
-		if n < len(asks) || n%len(asks) == 0 {
+		if n < len(sessions) || n%len(sessions) == 0 {
 			sending.Wait()
 		}
 		sending.Go(func() {
-			a := asks[n%len(asks)](fmt.Sprintf("PUT c%d-%d v", customer, n))
+			response := sessions[n%len(sessions)](fmt.Sprintf("PUT c%d-%d v", customer, n))
 			mutex.Lock()
 			defer mutex.Unlock()
-			answers[strings.Fields(a)[0]]++
+			responses[strings.Fields(response)[0]]++
 		})
 	}
 	sending.Wait()
-	return answers
+	return responses
 }
 
-// ranOf counts what members have run for a customer.
-func (f *fleet) ranOf(customer int) (n int) {
+// countWrites returns the number of writes that members ran for a customer.
+func (f *fleet) countWrites(customer int) (n int) {
 	for _, id := range []string{"g-1", "g-2", "g-3"} {
 		for _, r := range f.group.RanFor(id) {
 			if strings.HasPrefix(r, fmt.Sprintf("c%d PUT", customer)) {
@@ -71,45 +71,43 @@
 	return n
 }
 
-// One of 20 customers sends many times its limit through three instances for five seconds.
-// Its limit and what is tolerated runs, the rest is refused as not run, with a time to come
-// back; another customer, below its own limit, is refused nothing meanwhile.
-func TestHotCustomer(t *testing.T) {
-	playMany(t, 20, 10, func(f *fleet, all []*instance) {
-		var hot, calm map[string]int
+// A customer over its limit must be limited across all instances, with a time to retry, and
+// a customer below its limit must not be refused.
+func TestCustomerOverLimit(t *testing.T) {
+	runCustomerFleet(t, 20, 10, func(f *fleet, all []*instance) {
+		var overLimit, belowLimit map[string]int
 		var sending sync.WaitGroup
-		sending.Go(func() { calm = f.send(all, 1, 6, 5*time.Second) })
-		hot = f.send(all, 0, 60, 5*time.Second)
+		sending.Go(func() { belowLimit = f.sendWrites(all, 1, 6, 5*time.Second) })
+		overLimit = f.sendWrites(all, 0, 60, 5*time.Second)
 		sending.Wait()
-		must.Eq(t, map[string]int{"I": 30}, calm)
-		must.Eq(t, f.ranOf(0), hot["I"])
-		must.Positive(t, hot["BUSY"])
-		must.Between(t, 50, f.ranOf(0), 86) // (10 x 5 + 10) x 1.1 + 20
+		must.Eq(t, map[string]int{"I": 30}, belowLimit)
+		must.Eq(t, f.countWrites(0), overLimit["I"])
+		must.Positive(t, overLimit["BUSY"])
+		must.Between(t, 50, f.countWrites(0), 86) // (limit x 5 s + burst) x 1.1 + 20 of tolerance
 		must.StrContains(t, f.log.String(), "reason=over-limit again-ms=")
 	})
 }
 
-// Twenty customers' callers write through three instances before members that take twelve
-// connections. Each member's are held by the instance beside it: never more than it takes are
-// opened, and each statement runs for its own customer.
-func TestConnectionsBesideMembers(t *testing.T) {
-	playMany(t, 20, 1000, func(f *fleet, all []*instance) {
+// With more customers than a member accepts connections, the instance placed near the member
+// must hold them. The member's limit must hold, and each statement run for its own customer.
+func TestConnectionPlacement(t *testing.T) {
+	runCustomerFleet(t, 20, 1000, func(f *fleet, all []*instance) {
 		var sending sync.WaitGroup
 		for n := range 20 {
-			sending.Go(func() { must.Eq(t, map[string]int{"I": 15}, f.send(all, n, 3, 5*time.Second)) })
+			sending.Go(func() { must.Eq(t, map[string]int{"I": 15}, f.sendWrites(all, n, 3, 5*time.Second)) })
 		}
 		sending.Wait()
 		for n := range 20 {
-			must.Eq(t, 15, f.ranOf(n))
+			must.Eq(t, 15, f.countWrites(n))
 		}
 		must.LessEq(t, 12, f.group.Connected("g-1"))
 		must.StrContains(t, f.log.String(), "placement=member")
 		var names []string
 		for _, r := range f.group.RanFor("g-1") {
-			who, text, _ := strings.Cut(r, " ")
+			runFor, text, _ := strings.Cut(r, " ")
 			if customer, _, ok := strings.Cut(strings.TrimPrefix(text, "PUT "), "-"); ok {
-				must.Eq(t, customer, who)
-				names = append(names, who)
+				must.Eq(t, customer, runFor)
+				names = append(names, runFor)
 			}
 		}
 		slices.Sort(names)
@@ -117,29 +115,28 @@
 	})
 }
 
-// The instance that holds the primary's connections, and keeps the accounts perhaps, is
-// killed. Callers of the others are served again within three seconds; nobody's statement
-// runs under another's name, and the limit holds.
-func TestHolderDies(t *testing.T) {
-	playMany(t, 20, 10, func(f *fleet, all []*instance) {
-		must.Eq(t, "I", f.callWith(all[1], "strict", key(3))("PUT c3-x v"))
+// When the instance that holds the primary's connections, and possibly the customers'
+// accounts, is killed, the others must serve within three seconds and keep to the limits.
+func TestAccountantKilled(t *testing.T) {
+	runCustomerFleet(t, 20, 10, func(f *fleet, all []*instance) {
+		must.Eq(t, "I", f.openSessionWithKey(all[1], "strict", customerKey(3))("PUT c3-x v"))
 		f.net.Kill("10.5.0.1")
 		all[0].kill()
 		time.Sleep(3 * time.Second)
 		for n := range 20 {
-			must.Eq(t, "I", f.callWith(all[1+n%2], "strict", key(n))(fmt.Sprintf("PUT c%d-y v", n)))
+			must.Eq(t, "I", f.openSessionWithKey(all[1+n%2], "strict", customerKey(n))(fmt.Sprintf("PUT c%d-y v", n)))
 		}
-		hot := f.send(all[1:], 0, 60, 5*time.Second)
-		must.Eq(t, f.ranOf(0), hot["I"]+1)
-		must.Between(t, 40, hot["I"], 86)
+		overLimit := f.sendWrites(all[1:], 0, 60, 5*time.Second)
+		must.Eq(t, f.countWrites(0), overLimit["I"]+1)
+		must.Between(t, 40, overLimit["I"], 86)
 	})
 }
 
-// Operators ask all instances for their customers while one is over its limit: one of them
-// keeps its account, and all have its connections and refusals between them.
+// The customers' pages of all instances merged must show a customer's account, connections
+// and refusals.
 func TestCustomersPage(t *testing.T) {
-	playMany(t, 20, 10, func(f *fleet, all []*instance) {
-		f.send(all, 0, 60, 3*time.Second)
+	runCustomerFleet(t, 20, 10, func(f *fleet, all []*instance) {
+		f.sendWrites(all, 0, 60, 3*time.Second)
 		var lists [][]accountant.State
 		for _, i := range all {
 			list, err := accountant.DecodeStates([]byte(f.page(i, accountant.PathCustomers)))
@@ -148,13 +145,13 @@
 		}
 		merged := accountant.MergeStates(lists...)
 		must.Len(t, 20, merged)
-		hot := merged[0]
-		must.Eq(t, "c0", hot.Customer)
-		must.True(t, hot.Kept)
-		must.Eq(t, 1, hot.Keys)
-		must.Positive(t, hot.Refused)
-		must.Positive(t, hot.Connections)
-		must.Between(t, 30, hot.Used, 90)
+		state := merged[0]
+		must.Eq(t, "c0", state.Customer)
+		must.True(t, state.Kept)
+		must.Eq(t, 1, state.Keys)
+		must.Positive(t, state.Refused)
+		must.Positive(t, state.Connections)
+		must.Between(t, 30, state.Used, 90)
 		must.StrContains(t, f.metrics(all[0]), "oriolegw_entry_customers{")
 	})
 }
--- a/internal/launcher/pages.go
+++ b/internal/launcher/pages.go
@@ -9,29 +9,27 @@
 	"github.com/oriolegw/oriolegw/internal/networker"
 )
 
-// This file serves the pages for the balancer and for operators.
-
-func (i *Instance) readyPage() http.Handler {
+func (i *Instance) readyHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if why := i.lacking(); why != "" {
-			http.Error(w, why, http.StatusServiceUnavailable)
+		if reason := i.notReadyReason(); reason != "" {
+			http.Error(w, reason, http.StatusServiceUnavailable)
 			return
 		}
 		w.WriteHeader(http.StatusOK)
 	})
 }
 
-func (i *Instance) metricsPage() http.Handler {
+func (i *Instance) metricsHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-		_, _ = w.Write(i.register.Page())
+		_, _ = w.Write(i.metricsRegistry.Page())
 	})
 }
 
-// metricsPages serves the metrics at any path but that of the customers.
-func (i *Instance) metricsPages() http.Handler {
+// metricsMux serves the customers' page at its path and the metrics at all others.
+func (i *Instance) metricsMux() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("/", i.metricsPage())
+	mux.Handle("/", i.metricsHandler())
 	mux.HandleFunc("GET "+accountant.PathCustomers, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = w.Write(accountant.EncodeStates(i.customerStates()))
@@ -39,7 +37,7 @@
 	return mux
 }
 
-func (i *Instance) servePages(ctx context.Context, address string, h http.Handler) error {
+func (i *Instance) serveHTTP(ctx context.Context, address string, h http.Handler) error {
 	err := networker.ServePages(ctx, i.Network, address, &http.Server{Handler: h})
 	return errors.Wrap(err, address)
 }
--- a/internal/launcher/signals.go
+++ b/internal/launcher/signals.go
@@ -9,12 +9,9 @@
 	"github.com/oriolegw/oriolegw/internal/pauser"
 )
 
-// This file does what the process is told by signals: to read its settings again, and to end.
-
-// reload says what became of the settings when the process is told that they may have
-// changed. None of them is taken over, so nothing is cut; loader.CompareEntry says why. A
-// file that can't be read changes nothing either.
-func (i *Instance) reload(ctx context.Context) error {
+// handleReloads logs which settings have changed at each reload signal. They apply only from
+// the next start; see loader.CompareEntry.
+func (i *Instance) handleReloads(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -22,7 +19,7 @@
 		case s := <-i.Reload:
 			next, err := i.Reread()
 			if err != nil {
-				i.belief.Log("event", "reload", "signal", s, "settings", "rejected, those in force stay", "cause", err)
+				i.stateLog.Log("event", "reload", "signal", s, "settings", "rejected, current settings stay in force", "cause", err)
 				continue
 			}
 			changes := loader.CompareEntry(i.Settings, next)
@@ -30,37 +27,36 @@
 			if len(changes) > 0 {
 				outcome = "changed, in force from the next start"
 			}
-			i.belief.Log("event", "reload", "signal", s, "settings", outcome, "keys", strings.Join(loader.Keys(changes), ","), "callers", i.server.Sessions())
+			i.stateLog.Log("event", "reload", "signal", s, "settings", outcome, "keys", strings.Join(loader.Keys(changes), ","), "callers", i.server.Sessions())
 		}
 	}
 }
 
-// leave ends the instance without cutting a request: the balancer is told first,
-// sessions outside a transaction end once it sends no more callers, and open
-// transactions have half of the time.
-func (i *Instance) leave(ctx context.Context) {
-	i.leaving.Store(true)
-	told := time.Now()
+// drain shuts the instance down gracefully. The load balancer stops sending callers first,
+// then sessions outside a transaction are closed, then those with an open transaction.
+func (i *Instance) drain(ctx context.Context) {
+	i.draining.Store(true)
+	started := time.Now()
 	grace := i.Settings.Shutdown
-	wait := func(until time.Duration) {
-		for time.Since(told) < until && pauser.Pause(ctx, endPoll) == nil {
-			if time.Since(told) > rotationTime && i.server.Sessions() == 0 && i.lent() == 0 {
+	wait := func(limit time.Duration) {
+		for time.Since(started) < limit && pauser.Pause(ctx, drainPollInterval) == nil {
+			if time.Since(started) > balancerDetectionTime && i.server.Sessions() == 0 && i.lentConnections() == 0 {
 				return
 			}
 		}
 	}
-	first := min(rotationTime, time.Duration(transactionPart*float64(grace)))
-	wait(first)
+	idleDrainTime := min(balancerDetectionTime, time.Duration(transactionDrainFraction*float64(grace)))
+	wait(idleDrainTime)
 	i.server.End(false)
-	wait(time.Duration(transactionPart * float64(grace)))
+	wait(time.Duration(transactionDrainFraction * float64(grace)))
 	i.server.End(true)
-	wait(time.Duration(endPart * float64(grace)))
+	wait(time.Duration(drainFraction * float64(grace)))
 }
 
-// lacking says why the instance is not ready, "" when it is.
-func (i *Instance) lacking() string {
+// notReadyReason returns why the instance is not ready, "" when it is ready.
+func (i *Instance) notReadyReason() string {
 	switch {
-	case i.leaving.Load():
+	case i.draining.Load():
 		return "leaving"
 	case i.configuration.Load() == nil:
 		return "no configuration yet"
--- a/internal/launcher/soak_test.go
+++ b/internal/launcher/soak_test.go
@@ -23,98 +23,96 @@
 )
 
 var (
-	soakSeeds = flag.Int("seeds", 4, "how many seeds the soak plays")
-	soakFrom  = flag.Uint64("from", 1, "the soak's first seed")
+	soakSeeds     = flag.Int("seeds", 4, "number of seeds of each soak")
+	soakFirstSeed = flag.Uint64("from", 1, "first seed of the soaks")
 )
 
 const (
-	soakLasts   = 25 * time.Second
-	soakSettles = 15 * time.Second
-	soakCallers = 6
-	// lastCaller is the caller that looks whether everything works again.
-	lastCaller = 99
-	// boundedAge is the staleness of the route "own", which callers read each other's
-	// values on.
-	boundedAge = 2500 * time.Millisecond
+	soakDuration     = 25 * time.Second
+	soakRecoveryTime = 15 * time.Second
+	soakClients      = 6
+	// verifyingClient is the number of the client that checks that instances serve.
+	verifyingClient = 99
+	// stalenessBound is the staleness bound of the route "own".
+	stalenessBound = 2500 * time.Millisecond
 )
 
 type (
-	// soak plays random faults over a fleet, and checks what callers see.
+	// soak injects random faults into a fleet and checks the responses that clients get.
 	soak struct {
 		*fleet
 		random *rand.Rand
-		// faults are what may go wrong; ips are the instances' addresses.
+		// faults are the faults to choose from; ips are the instances' addresses.
 		faults []fault
 		ips    []string
-		// dial connects a caller to an instance.
-		dial func(ctx context.Context, caller int, ip string) (net.Conn, error)
-		// instances and zones are those that run in this process.
+		// dial connects a client to an instance.
+		dial func(ctx context.Context, client int, ip string) (net.Conn, error)
+		// instances are those that run in this process, zones their availability zones by IP.
 		instances map[string]*instance
 		zones     map[string]string
 
 		mutex sync.Mutex
-		// acknowledged gives the newest value of each key that its writer was told of,
-		// and since when; refused are the writes that were said not to have run.
-		acknowledged map[string][]ackedValue
+		// acknowledged holds the acknowledged values of each key; refused the writes that
+		// were reported as not run.
+		acknowledged map[string][]acknowledgedValue
 		refused      map[string]bool
-		// unknown are the writes whose callers were told that they may have taken effect,
-		// or were told nothing. One that was held up in a cut can take effect seconds
-		// later, behind newer values of its key.
-		unknown  map[string]bool
-		problems []string
-		counts   map[string]int
-		thrown   []string
-		joined   int
-		seed     uint64
+		// unknown are the writes with unknown outcome or no response. A network partition
+		// can delay one so that it takes effect after newer values of its key.
+		unknown       map[string]bool
+		violations    []string
+		outcomes      map[string]int
+		injected      []string
+		joinedMembers int
+		seed          uint64
 	}
 
-	ackedValue struct {
-		value int
-		at    time.Time
+	acknowledgedValue struct {
+		value          int
+		acknowledgedAt time.Time
 	}
 
-	// fault is one way in which things go wrong, and how it ends.
+	// fault is a kind of fault; inject starts it and returns the function that ends it.
 	fault struct {
-		name  string
-		throw func(s *soak) (heal func())
+		name   string
+		inject func(s *soak) (heal func())
 	}
 )
 
-// groupFaults concern the members, the store and the configuration; networkFaults the
-// instances in this process and the network between them.
+// groupFaults are faults of members, the store and the configuration; networkFaults are
+// faults of the network and of instances in this process.
 var groupFaults = []fault{
-	{"primary crashes and returns", func(s *soak) func() { return s.crash(s.primary()) }},
-	{"replica crashes and returns", func(s *soak) func() { return s.crash(s.other()) }},
-	{"primary leaves", func(s *soak) func() { return s.release(s.primary()) }},
-	{"replica leaves", func(s *soak) func() { return s.release(s.other()) }},
-	{"replica starts again with nothing of before", func(s *soak) func() {
-		s.group.Restart(s.other())
+	{"primary crashes and returns", func(s *soak) func() { return s.crashMember(s.currentPrimary()) }},
+	{"replica crashes and returns", func(s *soak) func() { return s.crashMember(s.randomReplica()) }},
+	{"primary replaced", func(s *soak) func() { return s.replaceMember(s.currentPrimary()) }},
+	{"replica replaced", func(s *soak) func() { return s.replaceMember(s.randomReplica()) }},
+	{"replica restarts without its data", func(s *soak) func() {
+		s.group.Restart(s.randomReplica())
 		return func() {}
 	}},
-	{"another writer overwrites an entry", func(s *soak) func() {
-		s.overwrite(platform.PrefixMembers + s.ids()[s.random.IntN(len(s.ids()))])
+	{"entry overwritten", func(s *soak) func() {
+		s.overwriteEntry(platform.PrefixMembers + s.memberIDs()[s.random.IntN(len(s.memberIDs()))])
 		return func() {}
 	}},
-	{"replica receives nothing", func(s *soak) func() {
-		id := s.other()
-		s.group.Isolate(id, s.ids()...)
+	{"replica cut from replication", func(s *soak) func() {
+		id := s.randomReplica()
+		s.group.Isolate(id, s.memberIDs()...)
 		return func() { s.group.Rejoin(id) }
 	}},
 	{"primary cut from replicas", func(s *soak) func() {
-		p := s.primary()
-		for _, id := range s.ids() {
+		p := s.currentPrimary()
+		for _, id := range s.memberIDs() {
 			if id != p {
 				s.group.Isolate(id, p)
 			}
 		}
 		return func() {
-			for _, id := range s.ids() {
+			for _, id := range s.memberIDs() {
 				s.group.Rejoin(id)
 			}
 		}
 	}},
-	{"answers of the primary lost", func(s *soak) func() {
-		s.group.LoseAnswers(s.primary(), 3)
+	{"responses of the primary lost", func(s *soak) func() {
+		s.group.LoseAnswers(s.currentPrimary(), 3)
 		return func() {}
 	}},
 	{"store down", func(s *soak) func() {
@@ -125,55 +123,55 @@
 		s.store.SetFaults(func(f *storer.Faults) { f.Slow = 250 * time.Millisecond })
 		return func() { s.store.SetFaults(func(f *storer.Faults) { f.Slow = 0 }) }
 	}},
-	{"store's answers lost, history and leases gone", func(s *soak) func() {
+	{"store's responses, history and leases lost", func(s *soak) func() {
 		s.store.SetFaults(func(f *storer.Faults) { f.LoseAnswers = 2 })
 		s.store.Forget()
 		s.store.Lapse()
 		return func() {}
 	}},
 	{"configuration changes", func(s *soak) func() {
-		s.publish(s.random.IntN(2) == 0)
+		s.publishConfiguration(s.random.IntN(2) == 0)
 		return func() {}
 	}},
 }
 
 var networkFaults = []fault{
-	{"two zones cut", func(s *soak) func() {
+	{"zones partitioned", func(s *soak) func() {
 		pair := [][2]string{{"a", "b"}, {"b", "c"}, {"a", "c"}}[s.random.IntN(3)]
 		s.net.Cut(pair[0], pair[1])
 		return func() { s.net.Heal(pair[0], pair[1]) }
 	}},
-	{"instance told to end", func(s *soak) func() {
-		ip := s.instance()
-		s.instances[ip].leave <- syscall.SIGTERM
-		return func() { s.restart(ip) }
+	{"instance terminated", func(s *soak) func() {
+		ip := s.randomInstance()
+		s.instances[ip].shutdown <- syscall.SIGTERM
+		return func() { s.restartInstance(ip) }
 	}},
 	{"instance killed", func(s *soak) func() {
-		ip := s.instance()
+		ip := s.randomInstance()
 		s.instances[ip].kill()
 		s.net.Kill(ip)
 		return func() {
 			s.net.Revive(ip)
-			s.restart(ip)
+			s.restartInstance(ip)
 		}
 	}},
 }
 
-// primary returns who leads, or any member if nobody does.
-func (s *soak) primary() string {
+// currentPrimary returns the primary, or the first member if there is none.
+func (s *soak) currentPrimary() string {
 	if id, _ := s.group.Leader(); id != "" {
 		return id
 	}
-	return s.ids()[0]
+	return s.memberIDs()[0]
 }
 
-// other returns a member that doesn't lead.
-func (s *soak) other() string {
-	ids := slices.DeleteFunc(s.ids(), func(id string) bool { return id == s.primary() })
+// randomReplica returns a random member that is not the primary.
+func (s *soak) randomReplica() string {
+	ids := slices.DeleteFunc(s.memberIDs(), func(id string) bool { return id == s.currentPrimary() })
 	return ids[s.random.IntN(len(ids))]
 }
 
-func (s *soak) ids() []string {
+func (s *soak) memberIDs() []string {
 	var ids []string
 	for _, m := range s.group.Registered() {
 		if !m.Leaving {
@@ -184,17 +182,17 @@
 	return ids
 }
 
-func (s *soak) instance() string {
+func (s *soak) randomInstance() string {
 	return s.ips[s.random.IntN(len(s.ips))]
 }
 
-func (s *soak) crash(id string) func() {
+func (s *soak) crashMember(id string) func() {
 	s.group.Crash(id)
 	return func() { s.group.Return(id) }
 }
 
-// overwrite writes what no member has written, unless the store refuses.
-func (s *soak) overwrite(key string) {
+// overwriteEntry writes an invalid member entry, if the store is available.
+func (s *soak) overwriteEntry(key string) {
 	now, err := s.store.Get(s.ctx, key)
 	if err != nil {
 		return
@@ -203,36 +201,36 @@
 	_, _, _ = s.store.Swap(s.ctx, now, 0)
 }
 
-// release replaces a member: the new one starts, the old one says that it leaves, and
-// ends eight seconds later.
-func (s *soak) release(id string) func() {
-	s.joined++
-	s.group.Join(fmt.Sprintf("g-new%d", s.joined), []string{"a", "b", "c"}[s.random.IntN(3)], fmt.Sprintf("10.9.2.%d", s.joined))
+// replaceMember adds a new member and has the old one announce its departure; the returned
+// function removes the old one eight seconds after that.
+func (s *soak) replaceMember(id string) func() {
+	s.joinedMembers++
+	s.group.Join(fmt.Sprintf("g-new%d", s.joinedMembers), []string{"a", "b", "c"}[s.random.IntN(3)], fmt.Sprintf("10.9.2.%d", s.joinedMembers))
 	s.group.Leave(id)
-	gone := time.Now().Add(8 * time.Second)
+	removeAt := time.Now().Add(8 * time.Second)
 	return func() {
-		time.Sleep(time.Until(gone))
+		time.Sleep(time.Until(removeAt))
 		s.group.Gone(id)
 	}
 }
 
-// restart starts an instance anew at its address once the old one has ended.
-func (s *soak) restart(ip string) {
-	<-s.instances[ip].ended
+// restartInstance waits until an instance exits and starts a new one at its address.
+func (s *soak) restartInstance(ip string) {
+	<-s.instances[ip].exited
 	s.instances[ip] = s.start(ip, s.zones[ip])
 }
 
-// publish writes a version, unless the store refuses.
-func (s *soak) publish(more bool) {
+// publishConfiguration publishes a configuration, if the store is available.
+func (s *soak) publishConfiguration(withAddedRoute bool) {
 	c := tracker.Configuration{
-		Version: s.versions + 7, TransactionIdle: 3 * time.Second, Routes: map[string]tracker.Route{},
+		Version: s.version + 7, TransactionIdle: 3 * time.Second, Routes: map[string]tracker.Route{},
 		Groups: map[string]tracker.GroupSettings{"g": {Connections: 12, SyncReplicas: 1}},
 	}
-	for _, r := range routes {
+	for _, r := range baseRoutes {
 		c.Routes[r.Database] = r
 	}
-	if more {
-		c.Routes[added.Database] = added
+	if withAddedRoute {
+		c.Routes[addedRoute.Database] = addedRoute
 	}
 	old, err := s.store.Get(s.ctx, platform.KeyConfiguration)
 	if err != nil {
@@ -240,34 +238,34 @@
 	}
 	old.Value = platformer.Configuration(c)
 	if _, ok, err := s.store.Swap(s.ctx, old, 0); ok || err != nil {
-		s.versions += 7
+		s.version += 7
 	}
 }
 
-// disturb throws faults until the time is up, two at a time now and then, and ends
-// each after a while.
-func (s *soak) disturb(until time.Time) {
+// injectFaults injects random faults, partly overlapping, until the given time, and waits
+// until all have ended.
+func (s *soak) injectFaults(until time.Time) {
 	var healing sync.WaitGroup
-	busy := map[string]bool{}
+	active := map[string]bool{}
 	for time.Now().Before(until) {
 		f := s.faults[s.random.IntN(len(s.faults))]
-		// A fault ends before it is thrown again, and one member or instance at a time
-		// is taken away: more of them at once leave nothing to promise.
+		// At most one of the faults whose names start with the same word at a time, since no
+		// guarantee holds with several members down.
 		kind, _, _ := strings.Cut(f.name, " ")
 		s.mutex.Lock()
-		free := !busy[kind]
-		busy[kind] = true
+		allowed := !active[kind]
+		active[kind] = true
 		s.mutex.Unlock()
-		if free {
-			s.note("%s", f.name)
-			heal := f.throw(s)
-			lasts := time.Duration(500+s.random.IntN(4000)) * time.Millisecond
+		if allowed {
+			s.recordFault("%s", f.name)
+			heal := f.inject(s)
+			duration := time.Duration(500+s.random.IntN(4000)) * time.Millisecond
 			healing.Go(func() {
-				time.Sleep(lasts)
+				time.Sleep(duration)
 				heal()
-				s.note("ends: %s", f.name)
+				s.recordFault("ends: %s", f.name)
 				s.mutex.Lock()
-				delete(busy, kind)
+				delete(active, kind)
 				s.mutex.Unlock()
 			})
 		}
@@ -276,55 +274,55 @@
 	healing.Wait()
 }
 
-func (s *soak) note(format string, values ...any) {
+func (s *soak) recordFault(format string, values ...any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.thrown = append(s.thrown, time.Now().Format("05.000 ")+fmt.Sprintf(format, values...))
+	s.injected = append(s.injected, time.Now().Format("05.000 ")+fmt.Sprintf(format, values...))
 }
 
-func (s *soak) problem(format string, values ...any) {
+func (s *soak) recordViolation(format string, values ...any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.problems = append(s.problems, time.Now().Format("05.000 ")+fmt.Sprintf(format, values...))
+	s.violations = append(s.violations, time.Now().Format("05.000 ")+fmt.Sprintf(format, values...))
 }
 
-// least returns the newest value of a key that was acknowledged before a moment.
-func (s *soak) least(key string, before time.Time) int {
+// newestAcknowledged returns the newest value of a key acknowledged before a time.
+func (s *soak) newestAcknowledged(key string, before time.Time) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	v := 0
 	for _, a := range s.acknowledged[key] {
-		if a.at.Before(before) {
+		if a.acknowledgedAt.Before(before) {
 			v = max(v, a.value)
 		}
 	}
 	return v
 }
 
-// own returns the value of a caller's own key that its session must see: on a route
-// whose reads may be old, what it wrote itself since it connected.
-func (s *soak) own(c *soakCaller, key string) int {
+// minOwnValue returns the lowest value that a client may read of its own key: on a bounded
+// route, its own writes in the session and older ones beyond the staleness bound must show.
+func (s *soak) minOwnValue(c *soakClient, key string) int {
 	if c.database == "strict" {
-		return s.least(key, time.Now())
+		return s.newestAcknowledged(key, time.Now())
 	}
-	v := s.least(key, time.Now().Add(-boundedAge))
+	v := s.newestAcknowledged(key, time.Now().Add(-stalenessBound))
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, a := range s.acknowledged[key] {
-		if a.at.After(c.opened) {
+		if a.acknowledgedAt.After(c.connectedAt) {
 			v = max(v, a.value)
 		}
 	}
 	return v
 }
 
-func (s *soak) saw(outcome string, key string, value int) {
+func (s *soak) recordOutcome(outcome string, key string, value int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.counts[outcome]++
+	s.outcomes[outcome]++
 	switch outcome {
 	case "done":
-		s.acknowledged[key] = append(s.acknowledged[key], ackedValue{value, time.Now()})
+		s.acknowledged[key] = append(s.acknowledged[key], acknowledgedValue{value, time.Now()})
 	case "refused":
 		s.refused[fmt.Sprintf("%s=%d", key, value)] = true
 	case "unknown":
@@ -332,30 +330,30 @@
 	}
 }
 
-// act is one caller: it writes rising values of its own key, and reads its own and
-// others', through whichever instance it comes to.
-func (s *soak) act(n int, until time.Time) {
+// runClient runs a client that writes increasing values of its own key and reads its own and
+// other keys through random instances.
+func (s *soak) runClient(n int, until time.Time) {
 	key := fmt.Sprintf("k%d", n)
 	random := rand.New(rand.NewPCG(s.seed, uint64(n)))
 	value := 0
 	for time.Now().Before(until) {
 		database := []string{"own", "strict"}[random.IntN(2)]
-		c := s.call(n, s.ips[random.IntN(len(s.ips))], database)
+		c := s.connect(n, s.ips[random.IntN(len(s.ips))], database)
 		for c != nil && time.Now().Before(until) {
-			other := fmt.Sprintf("k%d", random.IntN(soakCallers))
+			other := fmt.Sprintf("k%d", random.IntN(soakClients))
 			ok := true
 			switch random.IntN(5) {
 			case 0, 1:
 				value++
 				ok = s.write(c, key, value, random.IntN(3) == 0)
 			case 2:
-				ok = s.check(c, key, s.own(c, key))
+				ok = s.checkRead(c, key, s.minOwnValue(c, key))
 			default:
 				since := time.Now()
 				if database == "own" {
-					since = since.Add(-boundedAge)
+					since = since.Add(-stalenessBound)
 				}
-				ok = s.check(c, other, s.least(other, since))
+				ok = s.checkRead(c, other, s.newestAcknowledged(other, since))
 			}
 			if !ok || random.IntN(20) == 0 {
 				c.conn.Close()
@@ -367,56 +365,57 @@
 	}
 }
 
-// write writes a value, alone or in a transaction. It is false when the session is over.
-func (s *soak) write(c *soakCaller, key string, value int, inTransaction bool) bool {
+// write writes a value, optionally in a transaction, and reports whether the session is still open.
+func (s *soak) write(c *soakClient, key string, value int, inTransaction bool) bool {
 	put := fmt.Sprintf("PUT %s %d", key, value)
 	var code string
 	if inTransaction {
-		code = c.ask("BEGIN")
+		code = c.query("BEGIN")
 		if code == "" {
-			code = c.ask(put)
+			code = c.query(put)
 		}
 		if code == "" {
-			code = c.ask("COMMIT")
+			code = c.query("COMMIT")
 		} else if code != "closed" {
-			c.ask("ROLLBACK")
+			c.query("ROLLBACK")
 		}
 	} else {
-		code = c.ask(put)
+		code = c.query(put)
 	}
 	switch code {
 	case "":
-		s.saw("done", key, value)
+		s.recordOutcome("done", key, value)
 	case "BUSY", "ABORTED", "READONLY", "LAGGING":
-		s.saw("refused", key, value)
+		s.recordOutcome("refused", key, value)
 	default:
-		s.saw("unknown", key, value)
+		s.recordOutcome("unknown", key, value)
 	}
 	return code != "closed"
 }
 
-// check reads a key, which must show at least a value.
-func (s *soak) check(c *soakCaller, key string, least int) bool {
-	code := c.ask("FETCH " + key)
+// checkRead reads a key, whose value must not be below the minimum, and reports whether the
+// session is still open.
+func (s *soak) checkRead(c *soakClient, key string, minimum int) bool {
+	code := c.query("FETCH " + key)
 	if code != "" {
-		s.saw("read refused", key, 0)
+		s.recordOutcome("read refused", key, 0)
 		return code != "closed"
 	}
-	s.saw("read", key, 0)
+	s.recordOutcome("read", key, 0)
 	got, err := strconv.Atoi(strings.Replace(c.row, "none", "0", 1))
-	if err == nil && got < least && s.late(key, got) {
-		s.saw("read of a late write", key, got)
+	if err == nil && got < minimum && s.tookEffectLate(key, got) {
+		s.recordOutcome("read of a late write", key, got)
 		return true
 	}
-	if err != nil || got < least {
-		s.problem("%s on %s shows %q, want at least %d (%s-%d)", key, c.database, c.row, least, c.name, c.n)
+	if err != nil || got < minimum {
+		s.recordViolation("%s on %s shows %q, want at least %d (%s-%d)", key, c.database, c.row, minimum, c.name, c.statements)
 	}
 	return true
 }
 
-// late reports whether a value's write was left unknown, and stands in the log behind a
-// newer value of its key: it took effect late.
-func (s *soak) late(key string, value int) bool {
+// tookEffectLate reports whether a write of unknown outcome follows a newer value of its key
+// in the log.
+func (s *soak) tookEffectLate(key string, value int) bool {
 	s.mutex.Lock()
 	unknown := s.unknown[fmt.Sprintf("%s=%d", key, value)]
 	s.mutex.Unlock()
@@ -433,17 +432,17 @@
 	return false
 }
 
-// verify compares the log with what callers were told.
-func (s *soak) verify() {
+// verifyLog checks the group's log against the responses that clients got.
+func (s *soak) verifyLog() {
 	newest, seen := map[string]int{}, map[string]bool{}
 	for _, e := range s.group.Log() {
 		v, _ := strconv.Atoi(e.Value)
 		written := fmt.Sprintf("%s=%d", e.Key, v)
 		if seen[written] {
-			s.problem("%s took effect twice", written)
+			s.recordViolation("%s took effect twice", written)
 		}
 		if s.refused[written] {
-			s.problem("%s took effect though it was said not to have run", written)
+			s.recordViolation("%s took effect though it was reported as not run", written)
 		}
 		seen[written] = true
 		newest[e.Key] = max(newest[e.Key], v)
@@ -451,48 +450,46 @@
 	for key, list := range s.acknowledged {
 		for _, a := range list {
 			if !seen[fmt.Sprintf("%s=%d", key, a.value)] {
-				s.problem("%s=%d was acknowledged and is lost", key, a.value)
+				s.recordViolation("%s=%d was acknowledged and lost", key, a.value)
 			}
 		}
 	}
 	for _, v := range s.group.Violations() {
-		s.problem("%s", v)
+		s.recordViolation("%s", v)
 	}
 }
 
-// TestSoak plays random faults, several at once and after each other, over three
-// instances and a group, and checks what callers were told against the group's log:
-// own work and others' is seen as fresh as the route says, nothing acknowledged is
-// lost, nothing takes effect twice or after it was said not to have run. Afterwards
-// everything works again. go test -run TestSoak -seeds=100 -from=1 plays more.
+// TestSoak injects random faults into three instances and a group, and checks clients'
+// responses against the group's log: reads keep to the route's staleness bound, no
+// acknowledged write is lost, no write takes effect twice or after it was reported as not
+// run, and all instances serve afterwards. The flags -seeds and -from select the seeds.
 func TestSoak(t *testing.T) {
 	for i := range *soakSeeds {
-		seed := *soakFrom + uint64(i)
-		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) { playSoak(t, seed, alone) })
+		seed := *soakFirstSeed + uint64(i)
+		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) { runSoak(t, seed, independentZones) })
 	}
 }
 
-// TestFollowersSoak plays the same over a region of five instances, of which two read the
-// store and ask for proofs, and one holds the connections to the group for all, beside two
-// instances that do all for themselves. A told proof that is younger than the truth, or a
-// change that a follower isn't told, shows as a stale read or a lost write.
+// TestFollowersSoak is TestSoak with five instances in one region, which share store reads,
+// freshness proofs and connections, and two in regions of their own. Wrong proofs and missed
+// changes on followers show as stale reads or lost writes.
 func TestFollowersSoak(t *testing.T) {
 	for i := range *soakSeeds {
-		seed := *soakFrom + uint64(i)
-		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) { playSoak(t, seed, following) })
+		seed := *soakFirstSeed + uint64(i)
+		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) { runSoak(t, seed, sharedZones) })
 	}
 }
 
-// The zones of the soaks' instances.
+// The availability zones of the soaks' instances by IP.
 var (
-	alone     = map[string]string{"10.5.0.1": "a", "10.5.0.2": "b", "10.5.0.3": "c"}
-	following = map[string]string{
+	independentZones = map[string]string{"10.5.0.1": "a", "10.5.0.2": "b", "10.5.0.3": "c"}
+	sharedZones      = map[string]string{
 		"10.5.0.1": "a", "10.5.0.2": "b", "10.5.0.3": "c", "10.5.0.4": "a", "10.5.0.5": "a", "10.5.0.6": "a", "10.5.0.7": "a",
 	}
 )
 
-func playSoak(t *testing.T, seed uint64, zones map[string]string) {
-	play(t, func(f *fleet) {
+func runSoak(t *testing.T, seed uint64, zones map[string]string) {
+	runFleet(t, func(f *fleet) {
 		s := newSoak(f, seed)
 		s.faults = slices.Concat(groupFaults, networkFaults)
 		s.instances = map[string]*instance{}
@@ -505,61 +502,61 @@
 			s.instances[ip] = f.start(ip, zone)
 		}
 		time.Sleep(4 * time.Second)
-		s.run(soakLasts, soakSettles, s.net.HealAll)
+		s.run(soakDuration, soakRecoveryTime, s.net.HealAll)
 	})
 }
 
 func newSoak(f *fleet, seed uint64) *soak {
 	return &soak{
 		fleet: f, seed: seed, random: rand.New(rand.NewPCG(seed, 0)),
-		acknowledged: map[string][]ackedValue{}, refused: map[string]bool{}, unknown: map[string]bool{}, counts: map[string]int{},
+		acknowledged: map[string][]acknowledgedValue{}, refused: map[string]bool{}, unknown: map[string]bool{}, outcomes: map[string]int{},
 	}
 }
 
-// run throws faults for a time while callers come, heals everything, and checks at the
-// end of the time to settle that nothing was lost and every instance serves.
-func (s *soak) run(lasts, settles time.Duration, heal func()) {
-	until := time.Now().Add(lasts)
-	var acting sync.WaitGroup
-	for n := range soakCallers {
-		acting.Go(func() { s.act(n, until.Add(settles)) })
+// run injects faults while clients send statements, ends all faults, and checks after the
+// recovery time that nothing was lost and every instance serves.
+func (s *soak) run(duration, recoveryTime time.Duration, heal func()) {
+	until := time.Now().Add(duration)
+	var clients sync.WaitGroup
+	for n := range soakClients {
+		clients.Go(func() { s.runClient(n, until.Add(recoveryTime)) })
 	}
-	s.disturb(until)
+	s.injectFaults(until)
 	heal()
-	acting.Wait()
-	s.verify()
+	clients.Wait()
+	s.verifyLog()
 	for _, ip := range s.ips {
-		c := s.call(lastCaller, ip, "strict")
-		if c == nil || c.ask("PUT end 1") != "" {
-			s.problem("%s does not serve a write at the end", ip)
+		c := s.connect(verifyingClient, ip, "strict")
+		if c == nil || c.query("PUT end 1") != "" {
+			s.recordViolation("%s does not serve a write at the end", ip)
 		}
 	}
-	s.t.Log(s.counts)
-	if len(s.problems) > 0 {
-		s.t.Errorf("seed %d:\n%s\nfaults:\n%s", s.seed, strings.Join(s.problems[:min(10, len(s.problems))], "\n"), strings.Join(s.thrown, "\n"))
+	s.t.Log(s.outcomes)
+	if len(s.violations) > 0 {
+		s.t.Errorf("seed %d:\n%s\nfaults:\n%s", s.seed, strings.Join(s.violations[:min(10, len(s.violations))], "\n"), strings.Join(s.injected, "\n"))
 	}
 }
 
-// soakCaller is a session that gives up rather than fails the test.
-type soakCaller struct {
-	conn     net.Conn
-	in       *bufio.Reader
-	database string
-	name     string
-	opened   time.Time
-	n        int
-	row      string
+// soakClient is a session whose connection errors do not fail the test.
+type soakClient struct {
+	conn        net.Conn
+	in          *bufio.Reader
+	database    string
+	name        string
+	connectedAt time.Time
+	statements  int
+	row         string
 }
 
-// call opens a session at an instance; nil if it does not answer.
-func (s *soak) call(caller int, ip, database string) *soakCaller {
-	dial, cancel := context.WithTimeout(s.ctx, time.Second)
+// connect opens a session on an instance, nil if that fails.
+func (s *soak) connect(client int, ip, database string) *soakClient {
+	dialContext, cancel := context.WithTimeout(s.ctx, time.Second)
 	defer cancel()
-	conn, err := s.dial(dial, caller, ip)
+	conn, err := s.dial(dialContext, client, ip)
 	if err != nil {
 		return nil
 	}
-	c := &soakCaller{opened: time.Now(), conn: conn, in: bufio.NewReader(conn), database: database, name: strconv.FormatInt(time.Now().UnixNano(), 36) + strconv.Itoa(caller)}
+	c := &soakClient{connectedAt: time.Now(), conn: conn, in: bufio.NewReader(conn), database: database, name: strconv.FormatInt(time.Now().UnixNano(), 36) + strconv.Itoa(client)}
 	_ = conn.SetDeadline(time.Now().Add(2 * time.Second))
 	fmt.Fprintf(conn, "STARTUP %s me\r\n", database)
 	if line, err := c.in.ReadString('\n'); err != nil || !strings.HasPrefix(line, "READY") {
@@ -569,13 +566,13 @@
 	return c
 }
 
-// ask sends a statement and returns the code of its failure, "" for success, "closed"
-// when there is no answer.
-func (c *soakCaller) ask(text string) string {
-	c.n++
+// query runs a statement and returns its error code, "" for success, or "closed" when the
+// connection fails.
+func (c *soakClient) query(text string) string {
+	c.statements++
 	c.row = ""
 	_ = c.conn.SetDeadline(time.Now().Add(6 * time.Second))
-	fmt.Fprintf(c.conn, "QUERY %s-%d %s\r\n", c.name, c.n, text)
+	fmt.Fprintf(c.conn, "QUERY %s-%d %s\r\n", c.name, c.statements, text)
 	code := ""
 	for {
 		line, err := c.in.ReadString('\n')
