--- a/internal/loader/compare.go
+++ b/internal/loader/compare.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Change is a setting that differs between two versions of a settings file.
+// Change is a setting whose value differs between two settings files.
 type Change struct {
-	// Key is the setting's name in the file.
+	// Key is the name of the setting in the file.
 	Key      string
 	From, To string
 }
 
-// entryKeys gives each setting's value as text.
-var entryKeys = []struct {
+// entrySettings lists the keys of EntrySettings with their accessors.
+var entrySettings = []struct {
 	key   string
 	value func(*EntrySettings) any
 }{
@@ -36,24 +36,24 @@
 	{"first-start", func(s *EntrySettings) any { return s.FirstStart }},
 }
 
-// CompareEntry lists what differs between the settings that an entry instance runs with and
-// those that it would start with next. None is taken over while it runs: addresses and zone
-// are those of the machine, and taking over another would cut its callers.
+// CompareEntry returns the differences between the settings of a running instance and those
+// of its next start. Changes apply only at a restart, since a new address would disconnect
+// clients.
 func CompareEntry(running, next *EntrySettings) []Change {
-	var list []Change
-	for _, k := range entryKeys {
+	var changes []Change
+	for _, k := range entrySettings {
 		from, to := fmt.Sprint(k.value(running)), fmt.Sprint(k.value(next))
 		if from != to {
-			list = append(list, Change{k.key, from, to})
+			changes = append(changes, Change{k.key, from, to})
 		}
 	}
-	return list
+	return changes
 }
 
-// Keys names the settings that changed.
-func Keys(list []Change) []string {
+// Keys returns the keys of the changed settings.
+func Keys(changes []Change) []string {
 	var keys []string
-	for _, c := range list {
+	for _, c := range changes {
 		keys = append(keys, c.Key)
 	}
 	return slices.Clip(keys)
--- a/internal/loader/entry.go
+++ b/internal/loader/entry.go
@@ -9,34 +9,32 @@
 	"github.com/oriolegw/oriolegw/internal/limiter"
 )
 
-// EntrySettings are what an entry instance on the users' platform is told at its
-// start.
+// EntrySettings is the settings file of a proxy instance on the hosting platform.
 type EntrySettings struct {
 	Name string
 	Zone string
-	// Regions gives the region of each availability zone.
+	// Regions maps each availability zone to its region.
 	Regions map[string]string
-	// Callers is where callers connect, Ready where the balancer asks whether it may
-	// send some, Metrics where the metrics page is; each "ip:port". An empty Metrics
-	// means no page.
+	// Callers, Ready and Metrics are the listen addresses for clients, for the load balancer's
+	// readiness checks and for the metrics page, as "ip:port". An empty Metrics disables the page.
 	Callers, Ready, Metrics string
-	// Peers is where other instances reach this one, "ip:port"; empty where instances
-	// are to know nothing of each other. Seeds are such addresses of a few others.
+	// Peers is the listen address for other instances, as "ip:port"; if empty, instances don't
+	// communicate. Seeds are the Peers addresses of some other instances.
 	Peers string
 	Seeds []string
-	// Store and Promotions are the platform's. Without Promotions, no instance moves
-	// the lead of a group.
+	// Store and Promotions are the addresses of the platform's key-value store and promotion
+	// service. An empty Promotions disables failover.
 	Store, Promotions string
-	// Cores is what the instance may use of a processor, in cores; 0 where that isn't said.
-	// Larger instances do more of what few do for many.
+	// Cores is the CPU quota in cores; 0 if unknown. Instances with more cores take more of
+	// the work that a few instances do for all.
 	Cores float64
-	// InForce is how soon a change of the configuration must be in force.
+	// InForce is the maximum delay until a configuration change applies.
 	InForce time.Duration
-	// Limits is by how much a customer may exceed its limit, since many instances count.
+	// Limits is how far a customer may exceed its rate limit, which instances count separately.
 	Limits limiter.Tolerance
-	// Shutdown is how long after SIGTERM the process is killed.
+	// Shutdown is the time from SIGTERM until the process is killed.
 	Shutdown time.Duration
-	// FirstStart is set when the whole fleet starts for the first time.
+	// FirstStart is set for the initial start of the whole fleet.
 	FirstStart bool
 }
 
@@ -50,16 +48,16 @@
 	maxOverage     = 10
 	maxSlack       = 1_000_000
 
-	// DefaultInForce and DefaultShutdown hold where the settings don't say; they are
-	// those of the users' deployments.
+	// DefaultInForce and DefaultShutdown are the defaults of EntrySettings; they match the
+	// hosting platform's deployments.
 	DefaultInForce  = 3 * time.Second
 	DefaultShutdown = 6 * time.Second
 )
 
-// DefaultLimits holds where the settings don't say; it is that of the users' deployments.
+// DefaultLimits is the default of EntrySettings.Limits.
 var DefaultLimits = limiter.Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
-// LoadEntry reads the settings file of an entry instance on the platform.
+// LoadEntry reads EntrySettings from a file. It ignores unknown keys.
 func LoadEntry(file string) (*EntrySettings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -72,8 +70,8 @@
 	return s, nil
 }
 
-// CheckEntry reads such settings from text and reports all mistakes. The settings
-// are only good when there are none but unknown keys.
+// CheckEntry decodes EntrySettings and returns all problems. The settings are valid only if
+// there are no problems other than unknown keys.
 func CheckEntry(file string, text []byte) (*EntrySettings, inspector.Problems) {
 	s := &EntrySettings{Regions: map[string]string{}, InForce: DefaultInForce, Shutdown: DefaultShutdown, Limits: DefaultLimits}
 	address := func(to *string) func(inspector.Node) {
--- a/internal/loader/entry_test.go
+++ b/internal/loader/entry_test.go
@@ -11,15 +11,15 @@
 	"github.com/shoenig/test/must"
 )
 
-const entry = `{
+const entrySettings = `{
 	"name": "edge-1", "availability-zone": "a", "regions": {"a": "x", "b": "y"},
 	"callers-address": "10.0.0.1:5000", "ready-address": "10.0.0.1:5001",
 	"store-address": "10.0.0.2:7000", "promotions-address": "10.0.0.3:7000",
-	"in-force-ms": 5000, "first-start": true, "shutdown-s": 6.5, // a trailing comma is fine
+	"in-force-ms": 5000, "first-start": true, "shutdown-s": 6.5, // trailing comma
 }`
 
 func TestCheckEntry(t *testing.T) {
-	s, problems := loader.CheckEntry("f", []byte(entry))
+	s, problems := loader.CheckEntry("f", []byte(entrySettings))
 	must.NoError(t, problems.Err())
 	must.Eq(t, map[string]string{"a": "x", "b": "y"}, s.Regions)
 	must.Eq(t, 6500*time.Millisecond, s.Shutdown)
@@ -33,24 +33,23 @@
 	must.Eq(t, loader.DefaultInForce, s.InForce)
 }
 
-func TestBadEntry(t *testing.T) {
-	for _, c := range []struct{ old, bad string }{
+func TestCheckEntryRejectsInvalidValues(t *testing.T) {
+	for _, c := range []struct{ old, invalid string }{
 		{`"10.0.0.1:5000"`, `"host:5000"`},
 		{`{"a": "x", "b": "y"}`, `["a"]`},
 		{`6.5`, `-1`},
 		{`5000`, `"soon"`},
 		{`"name": "edge-1", `, ``},
 	} {
-		_, problems := loader.CheckEntry("f", []byte(strings.Replace(entry, c.old, c.bad, 1)))
-		must.Error(t, problems.Known().Err(), must.Sprint(c.bad))
+		_, problems := loader.CheckEntry("f", []byte(strings.Replace(entrySettings, c.old, c.invalid, 1)))
+		must.Error(t, problems.Known().Err(), must.Sprint(c.invalid))
 	}
-	// A key of a newer version is no reason not to start.
-	_, problems := loader.CheckEntry("f", []byte(strings.Replace(entry, `"name"`, `"new-key": 1, "name"`, 1)))
+	// Unknown keys, as of a newer version, don't prevent a start.
+	_, problems := loader.CheckEntry("f", []byte(strings.Replace(entrySettings, `"name"`, `"new-key": 1, "name"`, 1)))
 	must.NoError(t, problems.Known().Err())
 }
 
-// Each setting that can be written in the file is told of when it changes; one that is
-// missing from the comparison would be reported as unchanged.
+// CompareEntry reports a change of every field of EntrySettings.
 func TestCompareEntry(t *testing.T) {
 	same := &loader.EntrySettings{Name: "a", Regions: map[string]string{"z": "r"}, Seeds: []string{"s:1"}}
 	must.SliceEmpty(t, loader.CompareEntry(same, same))
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -1,4 +1,4 @@
-// Package loader reads and checks the settings of an entry instance: JSON with
+// Package loader reads and validates the settings file of a proxy instance: JSON with
 // comments.
 package loader
 
@@ -11,88 +11,87 @@
 )
 
 type (
-	// Settings are what an instance is told at its start. Everything else is in
-	// the configuration document.
+	// Settings is the settings file of an instance. Everything that may change at run time
+	// is in the configuration document instead.
 	Settings struct {
 		Name string
 		Zone string
-		// Callers is where callers connect, Peers where other instances do, and
-		// Status where the HTTP pages are; each "ip:port". An empty Status
-		// means no pages.
+		// Callers, Peers and Status are the listen addresses for clients, for other
+		// instances and for the HTTP status pages, as "ip:port". An empty Status
+		// disables the pages.
 		Callers, Peers, Status string
-		// Seeds are where some other instances listen for instances. An instance
-		// that starts while the platform is down asks them for the configuration.
+		// Seeds are the Peers addresses of some other instances. An instance that starts
+		// while the platform is unavailable fetches the configuration from them.
 		Seeds []string
-		// Platform is the address of the platform's service.
+		// Platform is the address of the platform's HTTP service.
 		Platform  string
 		TokenKeys []TokenKey
-		// Authentication is how callers prove who they are.
+		// Authentication applies to clients.
 		Authentication Authentication
 		Encryption     Encryption
 		Limits         Limits
 	}
 
-	// TokenKey is a secret for session tokens, shared by the fleet.
+	// TokenKey is a secret for sealing session tokens, shared by all instances.
 	TokenKey struct {
 		Number uint8
 		Secret string
 	}
 
-	// Authentication is how callers prove who they are.
+	// Authentication is the authentication method for clients.
 	Authentication string
 
-	// EncryptionMode says whether callers may or must use TLS.
+	// EncryptionMode is whether TLS is disabled, optional or required for clients.
 	EncryptionMode string
 
-	// Encryption is TLS towards callers.
+	// Encryption configures TLS for client connections.
 	Encryption struct {
 		Mode EncryptionMode
-		// Certificate and Key are PEM files; Certificate may hold a chain.
+		// Certificate and Key are paths of PEM files; Certificate may contain a chain.
 		Certificate, Key string
 	}
 
-	// Limits bound what callers can cost the instance. Zero values stand for
-	// the defaults.
+	// Limits bounds the resources that clients may use. A zero value means the default.
 	Limits struct {
-		// Callers is how many are connected at once.
+		// Callers is the maximum number of client connections.
 		Callers int
-		// StartUp is how long a caller may take from connecting until it is
+		// StartUp is the timeout from accepting a connection until the client is
 		// authenticated.
 		StartUp time.Duration
-		// Drain is how long a leaving instance waits for open transactions.
+		// Drain is how long an instance that shuts down waits for open transactions.
 		Drain time.Duration
 	}
 )
 
 const (
-	// Trust believes the user name that a caller gives.
+	// Trust accepts any user name without a password.
 	Trust Authentication = "trust"
-	// Password asks for a password, over TLS only.
+	// Password requires a password, and TLS.
 	Password Authentication = "password"
 
-	// EncryptionOff refuses TLS; the caller may go on without.
+	// EncryptionOff declines TLS; clients may continue in plain text.
 	EncryptionOff EncryptionMode = "off"
-	// EncryptionAllow takes callers with and without TLS.
+	// EncryptionAllow accepts clients with and without TLS.
 	EncryptionAllow EncryptionMode = "allow"
-	// EncryptionRequire refuses callers without TLS.
+	// EncryptionRequire rejects clients without TLS.
 	EncryptionRequire EncryptionMode = "require"
 
-	// DefaultCallers is Limits.Callers by default.
+	// DefaultCallers is the default of Limits.Callers.
 	DefaultCallers = 10000
-	// DefaultStartUp is Limits.StartUp by default.
+	// DefaultStartUp is the default of Limits.StartUp.
 	DefaultStartUp = 10 * time.Second
-	// DefaultDrain is Limits.Drain by default.
+	// DefaultDrain is the default of Limits.Drain.
 	DefaultDrain = 30 * time.Second
 
-	maxCallers   = 1000000
-	maxStartUp   = time.Minute
-	maxDrain     = time.Hour
-	maxSeeds     = 100
-	minSecret    = 16
-	maxTokenKeys = 8
+	maxCallers     = 1000000
+	maxStartUp     = time.Minute
+	maxDrain       = time.Hour
+	maxSeeds       = 100
+	minSecretBytes = 16
+	maxTokenKeys   = 8
 )
 
-// Load reads a settings file.
+// Load reads Settings from a file.
 func Load(file string) (*Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -105,27 +104,27 @@
 	return s, nil
 }
 
-// Check reads settings from text and reports all mistakes. The settings are
-// only good when there are none.
+// Check decodes Settings and returns all problems. The settings are valid only if there are
+// none.
 func Check(file string, text []byte) (*Settings, inspector.Problems) {
 	s := &Settings{Encryption: Encryption{Mode: EncryptionOff}, Limits: Limits{Callers: DefaultCallers, StartUp: DefaultStartUp, Drain: DefaultDrain}}
-	address := inspector.Unique("address")
-	own := func(to *string) func(inspector.Node) {
-		return func(n inspector.Node) { *to = n.Address(); address(n, *to) }
+	unique := inspector.Unique("address")
+	listenAddress := func(to *string) func(inspector.Node) {
+		return func(n inspector.Node) { *to = n.Address(); unique(n, *to) }
 	}
 	problems := inspector.Read(file, text, func(n inspector.Node) {
 		var authentication inspector.Node
 		n.Object(
 			inspector.Need("name", func(n inspector.Node) { s.Name = n.Name() }),
 			inspector.Need("availability-zone", func(n inspector.Node) { s.Zone = n.Name() }),
-			inspector.Need("callers-address", own(&s.Callers)),
-			inspector.Need("peers-address", own(&s.Peers)),
+			inspector.Need("callers-address", listenAddress(&s.Callers)),
+			inspector.Need("peers-address", listenAddress(&s.Peers)),
 			inspector.May("peer-seeds", func(n inspector.Node) {
 				n.Each(0, maxSeeds, func(n inspector.Node) { s.Seeds = append(s.Seeds, n.Address()) })
 			}),
-			inspector.May("status-address", own(&s.Status)),
+			inspector.May("status-address", listenAddress(&s.Status)),
 			inspector.Need("platform-address", func(n inspector.Node) { s.Platform = n.Address() }),
-			inspector.Need("token-keys", func(n inspector.Node) { s.TokenKeys = readKeys(n) }),
+			inspector.Need("token-keys", func(n inspector.Node) { s.TokenKeys = readTokenKeys(n) }),
 			inspector.Need("authentication", func(n inspector.Node) {
 				authentication, s.Authentication = n, inspector.OneOf(n, Trust, Password)
 			}),
@@ -133,13 +132,13 @@
 			inspector.May("limits", func(n inspector.Node) { readLimits(n, &s.Limits) }),
 		)
 		if s.Authentication == Password && s.Encryption.Mode != EncryptionRequire {
-			authentication.Problem(`"password" without TLS`, `"password" with the tls mode "require", since a password must not cross the network in clear`)
+			authentication.Problem(`"password" without TLS`, `"password" with the tls mode "require", since a password must not be sent unencrypted`)
 		}
 	})
 	return s, problems
 }
 
-func readKeys(n inspector.Node) []TokenKey {
+func readTokenKeys(n inspector.Node) []TokenKey {
 	var out []TokenKey
 	unique := inspector.Unique("key number")
 	n.Each(1, maxTokenKeys, func(n inspector.Node) {
@@ -150,8 +149,8 @@
 				unique(n, n.Found())
 			}),
 			inspector.Need("secret", func(n inspector.Node) {
-				if k.Secret = n.Text(); k.Secret != "" && len(k.Secret) < minSecret {
-					// The secret itself does not go into a message.
+				if k.Secret = n.Text(); k.Secret != "" && len(k.Secret) < minSecretBytes {
+					// The message doesn't quote the secret.
 					n.Problem("a secret that is too short", "at least 16 bytes")
 				}
 			}),
@@ -171,7 +170,7 @@
 		inspector.May("key-file", func(n inspector.Node) { e.Key = n.Text() }),
 	)
 	if e.Mode != EncryptionOff && (e.Certificate == "" || e.Key == "") {
-		n.Problem("the mode "+string(e.Mode)+" without certificate", "certificate-file and key-file, beside the modes allow and require")
+		n.Problem("the mode "+string(e.Mode)+" without certificate", "certificate-file and key-file, required by the modes allow and require")
 	}
 	return e
 }
--- a/internal/loader/loader_test.go
+++ b/internal/loader/loader_test.go
@@ -29,16 +29,16 @@
 	}
 }
 
-func TestMistakes(t *testing.T) {
+func TestCheckRejectsInvalidSettings(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
-		"password in clear":  {`"mode": "require"`, `"mode": "allow"`, `authentication: found "password" without TLS`},
-		"trust is explicit":  {`"authentication": "password",`, ``, `found no key "authentication"`},
-		"unknown method":     {`"authentication": "password"`, `"authentication": "md5"`, `authentication: found "md5"; allowed: "trust", "password"`},
-		"no certificate":     {`"certificate-file": "/etc/oriolegw/tls.crt",`, ``, `tls: found the mode require without certificate`},
-		"short secret":       {`replace this by 32 random bytes`, `short`, `token-keys[0].secret: found a secret that is too short`},
-		"address twice":      {`:7100`, `:5432`, `peers-address: found address "10.10.1.11:5432" a second time`},
-		"no port":            {`10.10.0.10:2379`, `10.10.0.10`, `platform-address: found "10.10.0.10"`},
-		"unknown in a group": {`"drain-ms"`, `"drain"`, `limits: found unknown key "drain"; allowed: callers, start-up-ms, drain-ms`},
+		"password without TLS":   {`"mode": "require"`, `"mode": "allow"`, `authentication: found "password" without TLS`},
+		"authentication missing": {`"authentication": "password",`, ``, `found no key "authentication"`},
+		"unknown method":         {`"authentication": "password"`, `"authentication": "md5"`, `authentication: found "md5"; allowed: "trust", "password"`},
+		"no certificate":         {`"certificate-file": "/etc/oriolegw/tls.crt",`, ``, `tls: found the mode require without certificate`},
+		"short secret":           {`replace this by 32 random bytes`, `short`, `token-keys[0].secret: found a secret that is too short`},
+		"duplicate address":      {`:7100`, `:5432`, `peers-address: found address "10.10.1.11:5432" a second time`},
+		"no port":                {`10.10.0.10:2379`, `10.10.0.10`, `platform-address: found "10.10.0.10"`},
+		"unknown nested key":     {`"drain-ms"`, `"drain"`, `limits: found unknown key "drain"; allowed: callers, start-up-ms, drain-ms`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			text := strings.Replace(sample(t, "keyhold-settings.json"), c.old, c.new, 1)
