--- a/internal/runner/callers.go
+++ b/internal/runner/callers.go
@@ -13,58 +13,58 @@
 	"github.com/oriolegw/oriolegw/internal/reporter"
 )
 
-// pages makes the HTTP pages of the instance.
-func (i *Instance) pages(ctx context.Context, control *controller.Controller, callers *greeter.Greeter) *reporter.Pages {
+// statusPages returns the HTTP status pages, and registers the gauges that they show.
+func (i *Instance) statusPages(ctx context.Context, control *controller.Controller, clients *greeter.Greeter) *reporter.Pages {
 	if i.Register != nil {
 		tags := map[string]string{reporter.TagInstance: i.Settings.Name}
-		i.Register.Watch(reporter.GaugeCallers, tags, func() float64 { return float64(callers.Callers()) })
-		i.Register.Watch(reporter.GaugeVersion, tags, func() float64 { return float64(i.state().Version) })
+		i.Register.Watch(reporter.GaugeCallers, tags, func() float64 { return float64(clients.Callers()) })
+		i.Register.Watch(reporter.GaugeVersion, tags, func() float64 { return float64(i.statusState().Version) })
 	}
 	return &reporter.Pages{
-		Address: i.Settings.Status, Network: i.Network, State: i.state, Recent: i.sessions.explainer.Recent, Register: i.Register,
+		Address: i.Settings.Status, Network: i.Network, State: i.statusState, Recent: i.sessions.explainer.Recent, Register: i.Register,
 		Drain: func() { control.Post(ctx, drainer.InstanceLeaving{}) },
 	}
 }
 
-// state is what the instance shows of itself.
-func (i *Instance) state() reporter.State {
-	s := reporter.State{Instance: i.Settings.Name, Zone: i.Settings.Zone, Leaving: i.drain.leaving.Load()}
-	if t := i.table.Load(); t != nil {
-		s.Version, s.Groups = t.Version, reporter.Describe(t, time.Now())
+// statusState returns the state that the status pages show.
+func (i *Instance) statusState() reporter.State {
+	state := reporter.State{Instance: i.Settings.Name, Zone: i.Settings.Zone, Leaving: i.drain.leaving.Load()}
+	if table := i.table.Load(); table != nil {
+		state.Version, state.Groups = table.Version, reporter.Describe(table, time.Now())
 	}
-	for k := range s.Groups {
-		if v := i.group(s.Groups[k].Service); v != nil {
-			u := v.pool.Use()
-			s.Groups[k].Connections, s.Groups[k].Share = u.Held, u.Share.Connections
+	for k := range state.Groups {
+		if entry := i.group(state.Groups[k].Service); entry != nil {
+			use := entry.pool.Use()
+			state.Groups[k].Connections, state.Groups[k].Share = use.Held, use.Share.Connections
 		}
 	}
-	return s
+	return state
 }
 
-// greeter makes what accepts callers.
-func (i *Instance) greeter() (*greeter.Greeter, error) {
+// newGreeter returns the listener for client connections.
+func (i *Instance) newGreeter() (*greeter.Greeter, error) {
 	g := &greeter.Greeter{
-		Address: i.Settings.Callers, Network: i.Network, Log: i.Log, Open: i.open, Cancel: i.cancel,
+		Address: i.Settings.Callers, Network: i.Network, Log: i.Log, Open: i.openSession, Cancel: i.cancelRequest,
 		Authentication: i.Settings.Authentication, Mode: i.Settings.Encryption.Mode,
-		Verifier: i.verifier, Limits: i.Settings.Limits,
+		Verifier: i.passwordVerifier, Limits: i.Settings.Limits,
 		Count: func(n string) { i.Metrics.Counter(n).Inc(1) },
 	}
 	if g.Mode == loader.EncryptionOff || g.Mode == "" {
 		return g, nil
 	}
-	pair, err := tls.LoadX509KeyPair(i.Settings.Encryption.Certificate, i.Settings.Encryption.Key)
+	certificate, err := tls.LoadX509KeyPair(i.Settings.Encryption.Certificate, i.Settings.Encryption.Key)
 	if err != nil {
-		return nil, errors.Wrap(err, "load the certificate for callers")
+		return nil, errors.Wrap(err, "load the TLS certificate for clients")
 	}
-	g.TLS = &tls.Config{GetCertificate: greeter.Certificate(pair), MinVersion: tls.VersionTLS12}
+	g.TLS = &tls.Config{GetCertificate: greeter.Certificate(certificate), MinVersion: tls.VersionTLS12}
 	return g, nil
 }
 
-// verifier returns what a user's password is checked against.
-func (i *Instance) verifier(user string) string {
-	t := i.table.Load()
-	if t == nil {
+// passwordVerifier returns the stored verifier of a user's password; empty without a configuration.
+func (i *Instance) passwordVerifier(user string) string {
+	table := i.table.Load()
+	if table == nil {
 		return ""
 	}
-	return t.Document.Verifier(user)
+	return table.Document.Verifier(user)
 }
--- a/internal/runner/configuration_test.go
+++ b/internal/runner/configuration_test.go
@@ -12,22 +12,23 @@
 	"github.com/shoenig/test/must"
 )
 
-// publish writes the document with one more service, of the name, over the
-// revision. Whoever serves the name has the document in force.
+// publish adds a service to the configuration if its revision is still the given one.
+// An instance that accepts clients of the service has applied the configuration.
 func publish(ctx context.Context, s *stager.Fleet, name string, revision int64) (bool, error) {
-	d := &configurer.Document{Services: append([]configurer.Service(nil), s.Document.Services...)}
-	added := d.Services[0]
+	document := &configurer.Document{Services: append([]configurer.Service(nil), s.Document.Services...)}
+	added := document.Services[0]
 	added.Name, added.Members = name, nil
 	for i, z := range s.Plan.Zones {
 		added.Members = append(added.Members, configurer.Member{
 			Name: fmt.Sprintf("%s-%d", name, i+1), Address: fmt.Sprintf("10.3.1.%d:5432", i+1), Zone: z,
 		})
 	}
-	d.Services = append(d.Services, added)
-	_, ok, err := s.Store.Swap(ctx, storer.Pair{Key: configurer.Key, Value: configurer.Encode(d), Revision: revision}, 0)
+	document.Services = append(document.Services, added)
+	_, ok, err := s.Store.Swap(ctx, storer.Pair{Key: configurer.Key, Value: configurer.Encode(document), Revision: revision}, 0)
 	return ok, err
 }
 
+// revision returns the current revision of the configuration.
 func revision(t *testing.T, ctx context.Context, s *stager.Fleet) int64 {
 	t.Helper()
 	p, err := s.Store.Get(ctx, configurer.Key)
@@ -35,39 +36,39 @@
 	return p.Revision
 }
 
-// mustServe fails when an instance does not take callers of the service within
-// the five seconds that a configuration has.
+// mustServe fails if an instance doesn't accept clients of the service within five seconds,
+// the limit for applying a configuration.
 func mustServe(t *testing.T, ctx context.Context, s *stager.Fleet, e *stager.Entry, service string) {
 	t.Helper()
-	for began := time.Now(); ; time.Sleep(50 * time.Millisecond) {
+	for start := time.Now(); ; time.Sleep(50 * time.Millisecond) {
 		c, err := s.Connect(ctx, e, service, nil)
 		if err == nil {
 			must.NoError(t, c.Close(ctx))
 			return
 		}
-		must.Less(t, 5*time.Second, time.Since(began), must.Sprint(e.Name, ": ", err))
+		must.Less(t, 5*time.Second, time.Since(start), must.Sprint(e.Name, ": ", err))
 	}
 }
 
-// Operators publish over the real protocols, while the store is slow, loses an
-// answer, is gone right after, or one zone can't reach it.
-func TestConfigurationInForce(t *testing.T) {
+// A published configuration is applied in time by all instances, despite faults of the store
+// and of the network.
+func TestConfigurationApplied(t *testing.T) {
 	faults := func(change func(*storer.Faults)) func(*stager.Fleet) {
 		return func(s *stager.Fleet) { s.Store.SetFaults(change) }
 	}
-	nothing := func(*stager.Fleet) {}
+	noFault := func(*stager.Fleet) {}
 	for name, c := range map[string]struct{ before, after func(*stager.Fleet) }{
-		"no fault":    {nothing, nothing},
-		"store slow":  {faults(func(f *storer.Faults) { f.Slow = time.Second }), nothing},
-		"answer lost": {faults(func(f *storer.Faults) { f.LoseAnswers = 1 }), nothing},
-		"store gone a second later": {nothing, func(s *stager.Fleet) {
+		"no fault":      {noFault, noFault},
+		"store slow":    {faults(func(f *storer.Faults) { f.Slow = time.Second }), noFault},
+		"response lost": {faults(func(f *storer.Faults) { f.LoseAnswers = 1 }), noFault},
+		"store down a second later": {noFault, func(s *stager.Fleet) {
 			time.Sleep(time.Second)
 			s.Store.SetFaults(func(f *storer.Faults) { f.Down = true })
 		}},
-		"zone cut from the platform": {func(s *stager.Fleet) { s.Net.Cut("a", "platform") }, nothing},
+		"zone partitioned from the platform": {func(s *stager.Fleet) { s.Net.Cut("a", "platform") }, noFault},
 	} {
 		t.Run(name, func(t *testing.T) {
-			staged(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
+			withFleet(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
 				time.Sleep(10 * time.Second)
 				at := revision(t, ctx, s)
 				c.before(s)
@@ -82,10 +83,10 @@
 	}
 }
 
-// Two operators publish over the same version at once. One wins; its document is
-// in force everywhere, and the other's nowhere, then or later.
-func TestRacingOperators(t *testing.T) {
-	staged(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
+// Of two concurrent updates of the same version, one succeeds and applies to all instances;
+// the other applies to none.
+func TestConcurrentConfigurationUpdates(t *testing.T) {
+	withFleet(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
 		time.Sleep(10 * time.Second)
 		at := revision(t, ctx, s)
 		first, err := publish(ctx, s, "one", at)
@@ -102,11 +103,10 @@
 	})
 }
 
-// The platform, with the store and the list, goes down after a change. An
-// instance is replaced, has an empty memory, and learns the newest version from
-// the peers that its settings name.
-func TestReplacedInstanceWithPlatformDown(t *testing.T) {
-	staged(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
+// An instance that restarts without state while the platform is down fetches the newest
+// configuration from its seeds.
+func TestRestartWithPlatformDown(t *testing.T) {
+	withFleet(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
 		time.Sleep(10 * time.Second)
 		_, err := publish(ctx, s, "added", revision(t, ctx, s))
 		must.NoError(t, err)
--- a/internal/runner/drain.go
+++ b/internal/runner/drain.go
@@ -12,19 +12,19 @@
 	"github.com/oriolegw/oriolegw/internal/relayer"
 )
 
-// drain carries out that this instance leaves.
+// drain implements the graceful shutdown of the instance, as decided by drainer.Leaver.
 type drain struct {
-	instance *Instance
-	leaver   relayer.Leaver
-	leaving  atomic.Bool
-	drained  atomic.Bool
-	callers  *greeter.Greeter
-	stop     context.CancelFunc
+	instance     *Instance
+	clientLeaver relayer.Leaver
+	leaving      atomic.Bool
+	drained      atomic.Bool
+	clients      *greeter.Greeter
+	stop         context.CancelFunc
 }
 
-// open prepares the drain; the slice decides, the drain performs.
-func (d *drain) open(i *Instance, callers *greeter.Greeter, stop context.CancelFunc) controller.Slice {
-	d.instance, d.callers, d.stop = i, callers, stop
+// initialize prepares the drain and returns the slice that decides its steps.
+func (d *drain) initialize(i *Instance, clients *greeter.Greeter, stop context.CancelFunc) controller.Slice {
+	d.instance, d.clients, d.stop = i, clients, stop
 	limit := i.Settings.Limits.Drain
 	if limit == 0 {
 		limit = loader.DefaultDrain
@@ -32,16 +32,16 @@
 	return &drainer.Leaver{Limit: limit}
 }
 
-// Step implements controller.Slice: it shows what is decided.
+// Step implements controller.Slice. It logs and counts the decisions.
 func (d *drain) Step(_ time.Time, e controller.Event) []controller.Action {
 	switch e := e.(type) {
 	case drainer.InstanceLeaving:
 		if !d.leaving.Swap(true) {
-			_ = d.instance.Log.Log("part", "drain", "msg", "Instance is leaving.")
+			_ = d.instance.Log.Log("part", "drain", "msg", "Instance is draining.")
 		}
 	case drainer.Stopping:
 		d.instance.Metrics.Counter("drain.cut").Inc(int64(e.Cut))
-		_ = d.instance.Log.Log("part", "drain", "msg", "Instance stops.", "cut", e.Cut)
+		_ = d.instance.Log.Log("part", "drain", "msg", "Instance is stopping.", "cut", e.Cut)
 	}
 	return nil
 }
@@ -50,10 +50,10 @@
 func (d *drain) Perform(_ context.Context, a controller.Action) (controller.Event, bool) {
 	switch a.(type) {
 	case drainer.StopAccepting:
-		d.callers.StopAccepting()
-		d.leaver.Leave()
+		d.clients.StopAccepting()
+		d.clientLeaver.Leave()
 	case drainer.CountCallers:
-		return drainer.CallersLeft{Callers: d.callers.Callers()}, true
+		return drainer.CallersLeft{Callers: d.clients.Callers()}, true
 	case drainer.Stop:
 		d.drained.Store(true)
 		d.stop()
--- a/internal/runner/drain_test.go
+++ b/internal/runner/drain_test.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	insert       = "INSERT INTO ledger (key, value) VALUES ($1, $2)"
-	drainLimit   = 20 * time.Second
-	adminIsGoing = "57P01"
+	insert        = "INSERT INTO ledger (key, value) VALUES ($1, $2)"
+	drainTimeout  = 20 * time.Second
+	adminShutdown = "57P01"
 )
 
-// staged runs f on a small fleet whose instances drain for drainLimit.
-func staged(t *testing.T, f func(t *testing.T, ctx context.Context, s *stager.Fleet)) {
+// withFleet runs f with a small fleet whose instances have the drain timeout drainTimeout.
+func withFleet(t *testing.T, f func(t *testing.T, ctx context.Context, s *stager.Fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		defer time.Sleep(time.Minute) // pgx says goodbye to broken connections by itself
+		defer time.Sleep(time.Minute) // lets pgx close broken connections in the background
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 		defer cancel()
 		s, err := stager.Start(ctx, stager.Plan{
 			ZoneLatency: time.Millisecond, CallerLatency: 3 * time.Millisecond,
-			Settings: func(l *loader.Settings) { l.Limits.Drain = drainLimit },
+			Settings: func(l *loader.Settings) { l.Limits.Drain = drainTimeout },
 		})
 		must.NoError(t, err)
 		defer s.Close()
@@ -47,65 +47,63 @@
 	return c
 }
 
-// mustLeave has the first instance leave and returns how long it took to end.
-func mustLeave(t *testing.T, s *stager.Fleet, during func()) time.Duration {
+// mustDrain drains the first instance, runs during, and returns the time until the instance ends.
+func mustDrain(t *testing.T, s *stager.Fleet, during func()) time.Duration {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	s.Instances[0].Events <- drainer.InstanceLeaving{}
 	during()
 	s.AwaitInstance(s.Instances[0])
-	return time.Since(began)
+	return time.Since(start)
 }
 
-// told reports whether an error is the one on which a driver connects anew: the
-// code of a shutdown, or a connection found closed before anything was sent.
-func told(err error) bool {
+// mayReconnect reports whether an error lets a driver reconnect and retry: the SQLSTATE of a
+// shutdown, or a connection that was closed before anything was sent.
+func mayReconnect(err error) bool {
 	var p *pgconn.PgError
-	return errors.As(err, &p) && p.Code == adminIsGoing || pgconn.SafeToRetry(err)
+	return errors.As(err, &p) && p.Code == adminShutdown || pgconn.SafeToRetry(err)
 }
 
-func mustBeTold(t *testing.T, err error) {
+func mustAllowReconnect(t *testing.T, err error) {
 	t.Helper()
-	must.True(t, told(err), must.Sprint(err))
+	must.True(t, mayReconnect(err), must.Sprint(err))
 }
 
-// A caller is connected and asks nothing. It is told to connect anew, the
-// instance ends at once, and no caller gets in any more.
-func TestLeavingEndsIdleCallers(t *testing.T) {
-	staged(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
+// Draining closes idle client connections at once with a shutdown error, and rejects new ones.
+func TestDrainClosesIdleClients(t *testing.T) {
+	withFleet(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
 		c := connect(t, ctx, s, 0)
-		took := mustLeave(t, s, func() {
+		elapsed := mustDrain(t, s, func() {
 			var p *pgconn.PgError
 			_, err := c.WaitForNotification(ctx)
 			must.True(t, errors.As(err, &p), must.Sprint(err))
-			must.Eq(t, adminIsGoing, p.Code)
+			must.Eq(t, adminShutdown, p.Code)
 		})
-		must.Less(t, 3*time.Second, took)
+		must.Less(t, 3*time.Second, elapsed)
 		_, err := s.Connect(ctx, s.Instances[0], stager.DefaultService, nil)
 		must.Error(t, err)
 	})
 }
 
-// A caller is in a transaction when the instance begins to leave, and takes
-// longer over it than the instance would need otherwise. It commits, and only
-// then is told to leave; the commit is there.
-func TestLeavingWaitsForTransactions(t *testing.T) {
-	staged(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
+// Draining waits for an open transaction, which can still commit, before it closes the
+// connection.
+func TestDrainWaitsForTransactions(t *testing.T) {
+	withFleet(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
 		c := connect(t, ctx, s, 0)
 		tx, err := c.Begin(ctx)
 		must.NoError(t, err)
 		_, err = tx.Exec(ctx, insert, "locker-1", "open")
 		must.NoError(t, err)
-		mustLeave(t, s, func() {
+		mustDrain(t, s, func() {
 			time.Sleep(10 * time.Second)
 			_, err = s.Connect(ctx, s.Instances[0], stager.DefaultService, nil)
-			must.Error(t, err, must.Sprint("a new caller was taken"))
+			must.Error(t, err, must.Sprint("a new client was accepted"))
 			_, err = tx.Exec(ctx, insert, "locker-2", "open")
 			must.NoError(t, err)
 			must.NoError(t, tx.Commit(ctx))
 		})
 		_, err = c.Exec(ctx, "SELECT 1")
-		mustBeTold(t, err)
+		mustAllowReconnect(t, err)
 		b := connect(t, ctx, s, 1)
 		defer b.Close(ctx)
 		var v string
@@ -113,55 +111,52 @@
 	})
 }
 
-// A caller leaves its transaction open for good. The instance ends at its limit
-// all the same, and the transaction is rolled back.
-func TestLeavingEndsAtTheLimit(t *testing.T) {
-	staged(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
+// A transaction still open at the drain timeout is rolled back, and the instance ends.
+func TestDrainTimeout(t *testing.T) {
+	withFleet(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
 		c := connect(t, ctx, s, 0)
 		tx, err := c.Begin(ctx)
 		must.NoError(t, err)
 		_, err = tx.Exec(ctx, insert, "locker-1", "open")
 		must.NoError(t, err)
-		took := mustLeave(t, s, func() {})
-		must.Between(t, drainLimit, took, drainLimit+3*time.Second)
+		elapsed := mustDrain(t, s, func() {})
+		must.Between(t, drainTimeout, elapsed, drainTimeout+3*time.Second)
 		must.Error(t, tx.Commit(ctx))
 	})
 }
 
-// Callers write without a pause while their instance leaves. Each moves to
-// another instance when it is told to. No request is cut: what is refused is
-// refused as not run, with the code of a shutdown, and what was acknowledged is
-// there, once.
-func TestLeavingUnderLoad(t *testing.T) {
-	staged(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
-		const callers = 10
-		// While a caller's requests follow each other this closely, it is not
-		// interrupted for busyFor after the instance has stopped accepting.
+// Draining under continuous writes interrupts no request: a refused write has not run and has
+// the SQLSTATE of a shutdown, and each acknowledged write is stored exactly once.
+func TestDrainUnderLoad(t *testing.T) {
+	withFleet(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
+		const clients = 10
+		// A client without pauses between its requests isn't disconnected until busyFor
+		// after the instance has stopped accepting.
 		const unreadyFor, busyFor = 2 * time.Second, 3 * time.Second
 		type result struct {
 			written int
-			told    time.Time
+			refused time.Time
 			err     error
 		}
 		stop, done := make(chan struct{}), make(chan result)
-		for k := range callers {
+		for k := range clients {
 			c := connect(t, ctx, s, 0)
 			go func() {
-				n, at, err := writeOn(ctx, s, c, k, stop)
-				done <- result{n, at, err}
+				written, refused, err := writeUntil(ctx, s, c, k, stop)
+				done <- result{written, refused, err}
 			}()
 		}
 		time.Sleep(time.Second)
-		began := time.Now()
-		took := mustLeave(t, s, func() {})
-		must.Less(t, 10*time.Second, took)
+		start := time.Now()
+		elapsed := mustDrain(t, s, func() {})
+		must.Less(t, 10*time.Second, elapsed)
 		time.Sleep(time.Second)
 		close(stop)
 		written := 0
-		for range callers {
+		for range clients {
 			r := <-done
 			must.NoError(t, r.err)
-			must.Between(t, unreadyFor+busyFor, r.told.Sub(began), unreadyFor+busyFor+time.Second)
+			must.Between(t, unreadyFor+busyFor, r.refused.Sub(start), unreadyFor+busyFor+time.Second)
 			written += r.written
 		}
 		c := connect(t, ctx, s, 1)
@@ -172,27 +167,28 @@
 	})
 }
 
-// writeOn writes a key after the other, each once, and again on another instance
-// only when it was told that it was not run.
-func writeOn(ctx context.Context, s *stager.Fleet, c *pgx.Conn, k int, stop <-chan struct{}) (written int, at time.Time, err error) {
-	defer func() { _ = c.Close(ctx) }()
+// writeUntil writes keys in sequence until stop closes. It reconnects to another instance and
+// repeats a write only if the error says that the write has not run. It returns the number
+// of writes and the time of the last refusal.
+func writeUntil(ctx context.Context, s *stager.Fleet, conn *pgx.Conn, client int, stop <-chan struct{}) (written int, refusedAt time.Time, err error) {
+	defer func() { _ = conn.Close(ctx) }()
 	for {
 		select {
 		case <-stop:
-			return written, at, nil
+			return written, refusedAt, nil
 		default:
 		}
-		_, err := c.Exec(ctx, insert, fmt.Sprintf("key-%d-%d", k, written), "x")
+		_, err := conn.Exec(ctx, insert, fmt.Sprintf("key-%d-%d", client, written), "x")
 		switch {
 		case err == nil:
 			written++
-		case told(err):
-			at = time.Now()
-			if c, err = s.Connect(ctx, s.Instances[1], stager.DefaultService, nil); err != nil {
-				return written, at, err
+		case mayReconnect(err):
+			refusedAt = time.Now()
+			if conn, err = s.Connect(ctx, s.Instances[1], stager.DefaultService, nil); err != nil {
+				return written, refusedAt, err
 			}
 		default:
-			return written, at, err
+			return written, refusedAt, err
 		}
 	}
 }
--- a/internal/runner/peers.go
+++ b/internal/runner/peers.go
@@ -21,46 +21,48 @@
 )
 
 type (
-	// peers is the part of an instance that talks with the others.
+	// peers is the communication of an instance with the others: gossip, configuration
+	// fetches and forwarded cancel requests.
 	peers struct {
-		instance  *Instance
-		published atomic.Pointer[gossiper.Snapshot]
-		held      atomic.Pointer[configurer.Held]
-		client    *gossiper.Client
-		post      func(context.Context, controller.Event)
+		instance          *Instance
+		published         atomic.Pointer[gossiper.Snapshot]
+		heldConfiguration atomic.Pointer[configurer.Held]
+		client            *gossiper.Client
+		post              func(context.Context, controller.Event)
 	}
 
-	// suspicions hands the detector's suspicions to the gossiper. The two
-	// packages can't know each other: the detector reads what peers report.
-	suspicions struct{}
+	// suspicionForwarder passes suspicions of the detector on to the gossiper, so that neither
+	// package imports the other.
+	suspicionForwarder struct{}
 
-	// uses tells every useInterval which services callers use.
-	uses struct{ next time.Time }
+	// usageTimer requests, every usageInterval, the services that clients use.
+	usageTimer struct{ next time.Time }
 
-	countUses struct{}
+	// collectUsage is the action that reports the services in use.
+	collectUsage struct{}
 
-	// reports counts and logs what the slices find wrong.
-	reports struct {
+	// eventLogger logs and counts configuration changes, draining targets and gossip failures.
+	eventLogger struct {
 		instance *Instance
-		// told are the peers whose refusal has been logged.
-		told map[string]bool
+		// refusalLogged contains the peers whose refusal has been logged.
+		refusalLogged map[string]bool
 	}
 )
 
-// useInterval is how soon a service's first caller makes its observations
-// flow at the full pace.
-const useInterval = 500 * time.Millisecond
+// usageInterval bounds the delay until a service is observed at the full rate after its
+// first client session.
+const usageInterval = 500 * time.Millisecond
 
-func (countUses) ActionName() string { return "count-uses" }
+func (collectUsage) ActionName() string { return "count-uses" }
 
-func (i *Instance) openPeers(post func(context.Context, controller.Event)) *peers {
+func (i *Instance) newPeers(post func(context.Context, controller.Event)) *peers {
 	p := &peers{instance: i, post: post}
-	p.client = &gossiper.Client{Links: &linker.Client{Network: i.Network, Secrets: p.secrets(), Versions: linker.CurrentVersions}}
+	p.client = &gossiper.Client{Links: &linker.Client{Network: i.Network, Secrets: p.linkSecrets(), Versions: linker.CurrentVersions}}
 	return p
 }
 
-// secrets are the token keys: peers derive a key of their own from each.
-func (p *peers) secrets() []linker.Secret {
+// linkSecrets returns the token keys, from which the link keys are derived.
+func (p *peers) linkSecrets() []linker.Secret {
 	var out []linker.Secret
 	for _, k := range p.instance.Settings.TokenKeys {
 		out = append(out, linker.Secret{Number: k.Number, Value: []byte(k.Secret)})
@@ -69,33 +71,33 @@
 }
 
 func (p *peers) self() lister.Instance {
-	s := p.instance.Settings
-	return lister.Instance{Name: s.Name, Kind: lister.KindEntry, Address: s.Peers, Zone: s.Zone, State: lister.StateLive}
+	settings := p.instance.Settings
+	return lister.Instance{Name: settings.Name, Kind: lister.KindEntry, Address: settings.Peers, Zone: settings.Zone, State: lister.StateLive}
 }
 
-func (p *peers) random(use string) *rand.Rand {
+func (p *peers) newRandom(purpose string) *rand.Rand {
 	seed := p.instance.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(p.instance.Settings.Name + "/" + use))
+	_, _ = h.Write([]byte(p.instance.Settings.Name + "/" + purpose))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
 func (p *peers) slices() []controller.Slice {
-	s, self := p.instance.Settings, p.self()
+	settings, self := p.instance.Settings, p.self()
 	return []controller.Slice{
-		&lister.Slice{Self: self, Random: p.random("lister")},
-		&configurer.Slice{Instance: s.Name, Zone: s.Zone, Random: p.random("configurer"), Held: &p.held},
+		&lister.Slice{Self: self, Random: p.newRandom("lister")},
+		&configurer.Slice{Instance: settings.Name, Zone: settings.Zone, Random: p.newRandom("configurer"), Held: &p.heldConfiguration},
 		&drainer.Slice{},
-		&observer.Slice{Instance: s.Name, Zone: s.Zone},
-		suspicions{},
+		&observer.Slice{Instance: settings.Name, Zone: settings.Zone},
+		suspicionForwarder{},
 		&gossiper.Slice{
-			Self: self, Run: rand.Uint32(), Random: p.random("gossiper"), Published: &p.published, Seeds: s.Seeds,
+			Self: self, Run: rand.Uint32(), Random: p.newRandom("gossiper"), Published: &p.published, Seeds: settings.Seeds,
 		},
-		&uses{},
-		&reports{instance: p.instance},
+		&usageTimer{},
+		&eventLogger{instance: p.instance},
 	}
 }
 
@@ -108,55 +110,55 @@
 	}
 }
 
-// server answers the other instances.
+// server returns the server for requests of other instances.
 func (p *peers) server() *linker.Server {
 	i := p.instance
 	return &linker.Server{
-		Address: i.Settings.Peers, Network: i.Network, Secrets: p.secrets(), Versions: linker.CurrentVersions,
+		Address: i.Settings.Peers, Network: i.Network, Secrets: p.linkSecrets(), Versions: linker.CurrentVersions,
 		Log: i.Log, Count: func(name string) { i.Metrics.Counter(name).Inc(1) },
-		Register: p.answers().Register,
+		Register: p.gossipServer().Register,
 	}
 }
 
-// answers are those to what the other instances ask.
-func (p *peers) answers() *gossiper.Server {
+// gossipServer returns the handlers for requests of other instances.
+func (p *peers) gossipServer() *gossiper.Server {
 	i := p.instance
 	return &gossiper.Server{
-		Exchange:      p.exchange,
+		Exchange:      p.answerExchange,
 		Announced:     func(ctx context.Context, w *wire.Announcement) { p.post(ctx, gossiper.FromAnnouncement(w)) },
-		Configuration: p.configuration,
+		Configuration: p.answerFetch,
 		Cancel: func(ctx context.Context, pid, secret uint32) error {
 			return i.sessions.cancels.CancelLocal(ctx, canceller.Key{PID: pid, Secret: secret})
 		},
 	}
 }
 
-func (p *peers) exchange(ctx context.Context, r *wire.ExchangeRequest) (*wire.Report, error) {
-	p.post(ctx, gossiper.FromRequest(r))
-	s := p.published.Load()
-	if s == nil {
-		s = &gossiper.Snapshot{Self: p.self()}
+func (p *peers) answerExchange(ctx context.Context, request *wire.ExchangeRequest) (*wire.Report, error) {
+	p.post(ctx, gossiper.FromRequest(request))
+	snapshot := p.published.Load()
+	if snapshot == nil {
+		snapshot = &gossiper.Snapshot{Self: p.self()}
 	}
-	return s.Report(time.Now(), r), nil
+	return snapshot.Report(time.Now(), request), nil
 }
 
-func (p *peers) configuration(r *wire.FetchRequest) *wire.FetchReply {
-	return gossiper.ToFetchReply(p.held.Load(), p.published.Load(), r)
+func (p *peers) answerFetch(request *wire.FetchRequest) *wire.FetchReply {
+	return gossiper.ToFetchReply(p.heldConfiguration.Load(), p.published.Load(), request)
 }
 
-// ForwardCancel implements canceller.Forwarder. Tags are short, so several
-// instances may carry one: each is asked, and the secret decides.
+// ForwardCancel implements canceller.Forwarder. Several instances may have the same tag:
+// it tries each, and the secret identifies the right one.
 func (p *peers) ForwardCancel(ctx context.Context, instance uint16, pid, secret uint32) error {
-	err := errors.Wrap(canceller.ErrUnknown, "no instance has the tag")
-	s := p.published.Load()
-	if s == nil {
+	err := errors.Wrap(canceller.ErrUnknown, "no peer has the tag of the cancel key")
+	snapshot := p.published.Load()
+	if snapshot == nil {
 		return err
 	}
-	for _, i := range s.Members {
-		if i.Name == s.Self.Name || canceller.Tag(i.Name) != instance {
+	for _, member := range snapshot.Members {
+		if member.Name == snapshot.Self.Name || canceller.Tag(member.Name) != instance {
 			continue
 		}
-		if err = p.client.Cancel(ctx, i.Address, pid, secret); err == nil {
+		if err = p.client.Cancel(ctx, member.Address, pid, secret); err == nil {
 			return nil
 		}
 	}
@@ -164,7 +166,7 @@
 }
 
 // Step implements controller.Slice.
-func (suspicions) Step(_ time.Time, e controller.Event) []controller.Action {
+func (suspicionForwarder) Step(_ time.Time, e controller.Event) []controller.Action {
 	d, ok := e.(detector.Suspected)
 	if !ok {
 		return nil
@@ -173,56 +175,56 @@
 }
 
 // Step implements controller.Slice.
-func (u *uses) Step(now time.Time, e controller.Event) []controller.Action {
+func (u *usageTimer) Step(now time.Time, e controller.Event) []controller.Action {
 	if _, ok := e.(controller.Tick); !ok || now.Before(u.next) {
 		return nil
 	}
-	u.next = now.Add(useInterval)
-	return []controller.Action{countUses{}}
+	u.next = now.Add(usageInterval)
+	return []controller.Action{collectUsage{}}
 }
 
 // Perform implements controller.Performer.
 func (p *peers) Perform(_ context.Context, a controller.Action) (controller.Event, bool) {
-	if _, ok := a.(countUses); !ok {
+	if _, ok := a.(collectUsage); !ok {
 		return nil, false
 	}
 	p.client.Links.Tidy(time.Now())
-	return observer.Used{Services: p.instance.used()}, true
+	return observer.Used{Services: p.instance.usedServices()}, true
 }
 
 // Step implements controller.Slice.
-func (r *reports) Step(_ time.Time, e controller.Event) []controller.Action {
+func (r *eventLogger) Step(_ time.Time, e controller.Event) []controller.Action {
 	i := r.instance
 	switch e := e.(type) {
 	case configurer.InForce:
-		_ = i.Log.Log("part", "configuration", "msg", "Document is in force.", "version", e.Version)
+		_ = i.Log.Log("part", "configuration", "msg", "Configuration applied.", "version", e.Version)
 	case configurer.Rejected:
 		i.Metrics.Counter("configuration-rejected").Inc(1)
-		_ = i.Log.Log("part", "configuration", "msg", "Document can't be read; what was in force stays.", "version", e.Version, "cause", e.Err)
+		_ = i.Log.Log("part", "configuration", "msg", "Configuration rejected; the previous version stays in effect.", "version", e.Version, "cause", e.Err)
 	case drainer.TargetLeaving:
 		i.Metrics.Counter("target-leaving." + e.Source).Inc(1)
-		_ = i.Log.Log("part", "drain", "msg", "Leaving state of a target has changed.", "service", e.Service, "member", e.Member, "leaving", e.Leaving, "source", e.Source)
+		_ = i.Log.Log("part", "drain", "msg", "Draining state of a target has changed.", "service", e.Service, "member", e.Member, "leaving", e.Leaving, "source", e.Source)
 	case gossiper.Exchanged:
-		r.exchanged(e)
+		r.recordExchange(e)
 	}
 	return nil
 }
 
-// exchanged counts failures, and logs once for each peer those that no retry
-// mends: a fleet whose keys or versions do not fit needs an operator.
-func (r *reports) exchanged(e gossiper.Exchanged) {
+// recordExchange counts failures. It logs mismatched keys and versions, once per peer, since
+// retries can't resolve them.
+func (r *eventLogger) recordExchange(e gossiper.Exchanged) {
 	if e.Err == nil {
-		delete(r.told, e.Peer.Name)
+		delete(r.refusalLogged, e.Peer.Name)
 		return
 	}
 	r.instance.Metrics.Counter("peer-failed.exchange").Inc(1)
-	final := errors.Is(e.Err, linker.ErrForeign) || errors.Is(e.Err, linker.ErrWireVersion)
-	if !final || r.told[e.Peer.Name] {
+	permanent := errors.Is(e.Err, linker.ErrForeign) || errors.Is(e.Err, linker.ErrWireVersion)
+	if !permanent || r.refusalLogged[e.Peer.Name] {
 		return
 	}
-	if r.told == nil {
-		r.told = map[string]bool{}
+	if r.refusalLogged == nil {
+		r.refusalLogged = map[string]bool{}
 	}
-	r.told[e.Peer.Name] = true
-	_ = r.instance.Log.Log("part", "peers", "msg", "Peer refuses this instance, or is refused.", "peer", e.Peer.Name, "address", e.Peer.Address, "cause", e.Err)
+	r.refusalLogged[e.Peer.Name] = true
+	_ = r.instance.Log.Log("part", "peers", "msg", "Link to a peer refused: keys or protocol versions differ.", "peer", e.Peer.Name, "address", e.Peer.Address, "cause", e.Err)
 }
--- a/internal/runner/peers_test.go
+++ b/internal/runner/peers_test.go
@@ -18,107 +18,104 @@
 	"github.com/shoenig/test/must"
 )
 
-// The balancer leads a caller's cancel to another instance than the one that
-// serves the caller. It is passed on, and ends the statement.
-func TestCancelThroughAnotherInstance(t *testing.T) {
-	staged(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
+// A cancel request that reaches another instance than the client's is forwarded and cancels
+// the statement.
+func TestCancelForwarding(t *testing.T) {
+	withFleet(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
 		c := connect(t, ctx, s, 0)
-		time.Sleep(10 * time.Second) // the list is read
+		time.Sleep(10 * time.Second) // until the instance list has been read
 		done := make(chan error, 1)
 		go func() {
 			_, err := c.Exec(ctx, "SELECT pg_sleep(60)", pgx.QueryExecModeSimpleProtocol)
 			done <- err
 		}()
 		time.Sleep(time.Second)
-		began := time.Now()
+		start := time.Now()
 		sendCancel(t, ctx, s, s.Instances[1], c.PgConn())
 		var p *pgconn.PgError
 		must.True(t, errors.As(<-done, &p))
 		must.Eq(t, "57014", p.Code)
-		must.Less(t, time.Second, time.Since(began))
+		must.Less(t, time.Second, time.Since(start))
 		must.NoError(t, c.Close(ctx))
 	})
 }
 
-func sendCancel(t *testing.T, ctx context.Context, s *stager.Fleet, to *stager.Entry, of *pgconn.PgConn) {
+func sendCancel(t *testing.T, ctx context.Context, s *stager.Fleet, instance *stager.Entry, target *pgconn.PgConn) {
 	t.Helper()
-	conn, err := s.Net.Host("10.0.9.2", "callers").Dial(ctx, net.JoinHostPort(to.IP, "5432"))
+	conn, err := s.Net.Host("10.0.9.2", "callers").Dial(ctx, net.JoinHostPort(instance.IP, "5432"))
 	must.NoError(t, err)
 	defer conn.Close()
-	ask, err := (&pgproto3.CancelRequest{ProcessID: of.PID(), SecretKey: of.SecretKey()}).Encode(nil)
+	request, err := (&pgproto3.CancelRequest{ProcessID: target.PID(), SecretKey: target.SecretKey()}).Encode(nil)
 	must.NoError(t, err)
-	_, err = conn.Write(ask)
+	_, err = conn.Write(request)
 	must.NoError(t, err)
 	_, _ = conn.Read(make([]byte, 1))
 }
 
-// read asks for one row without pause until stop closes, each time on the next
-// of the connections.
-func read(ctx context.Context, all []*pgx.Conn, stop <-chan struct{}) error {
+// readUntil reads a row repeatedly until stop closes, rotating over the connections.
+func readUntil(ctx context.Context, conns []*pgx.Conn, stop <-chan struct{}) error {
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
 			return nil
 		default:
 		}
-		if _, err := all[i%len(all)].Exec(ctx, "SELECT value FROM ledger WHERE key = 'locker-1'"); err != nil {
+		if _, err := conns[i%len(conns)].Exec(ctx, "SELECT value FROM ledger WHERE key = 'locker-1'"); err != nil {
 			return err
 		}
 	}
 }
 
-// A target begins to leave while callers read on every instance. The sign comes
-// from the platform's list, from the target, or from the operators' document. From 3 s on the
-// target runs nothing new, no read is refused, and when the sign ends it serves
-// again.
-func TestLeavingTargetGetsNoNewWork(t *testing.T) {
-	for name, mark := range map[string]func(t *testing.T, ctx context.Context, s *stager.Fleet, m *stager.Target, leaving bool){
-		"list": func(_ *testing.T, _ context.Context, s *stager.Fleet, m *stager.Target, leaving bool) {
-			row := lister.Instance{Name: m.Name, Kind: lister.KindTarget, Zone: m.Zone, State: lister.StateLive}
-			if leaving {
-				row.State = lister.StateLeaving
+// A target marked as draining by the platform's list, by itself or by the configuration gets
+// no new reads after 3 s, and serves reads again once unmarked. No read fails.
+func TestDrainingTargetGetsNoReads(t *testing.T) {
+	for name, setDraining := range map[string]func(t *testing.T, ctx context.Context, s *stager.Fleet, target *stager.Target, draining bool){
+		"list": func(_ *testing.T, _ context.Context, s *stager.Fleet, target *stager.Target, draining bool) {
+			instance := lister.Instance{Name: target.Name, Kind: lister.KindTarget, Zone: target.Zone, State: lister.StateLive}
+			if draining {
+				instance.State = lister.StateLeaving
 			}
-			s.Platform.Register(row)
+			s.Platform.Register(instance)
 		},
-		"target": func(_ *testing.T, _ context.Context, _ *stager.Fleet, m *stager.Target, leaving bool) {
-			m.Faults.SetLeaving(leaving)
+		"target": func(_ *testing.T, _ context.Context, _ *stager.Fleet, target *stager.Target, draining bool) {
+			target.Faults.SetLeaving(draining)
 		},
-		"operator": func(t *testing.T, ctx context.Context, s *stager.Fleet, m *stager.Target, leaving bool) {
-			was, err := s.Store.Get(ctx, configurer.Key)
+		"operator": func(t *testing.T, ctx context.Context, s *stager.Fleet, target *stager.Target, draining bool) {
+			previous, err := s.Store.Get(ctx, configurer.Key)
 			must.NoError(t, err)
-			d, err := configurer.Decode(was.Value)
+			document, err := configurer.Decode(previous.Value)
 			must.NoError(t, err)
-			for i := range d.Services[0].Members {
-				if n := &d.Services[0].Members[i]; n.Name == m.Name {
-					n.Leaving = leaving
+			for i := range document.Services[0].Members {
+				if member := &document.Services[0].Members[i]; member.Name == target.Name {
+					member.Leaving = draining
 				}
 			}
-			_, ok, err := s.Store.Swap(ctx, storer.Pair{Key: configurer.Key, Value: configurer.Encode(d), Revision: was.Revision}, 0)
+			_, ok, err := s.Store.Swap(ctx, storer.Pair{Key: configurer.Key, Value: configurer.Encode(document), Revision: previous.Revision}, 0)
 			must.NoError(t, err)
 			must.True(t, ok)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			staged(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
-				var all []*pgx.Conn
+			withFleet(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
+				var conns []*pgx.Conn
 				for k := range s.Instances {
 					c := connect(t, ctx, s, k)
 					defer c.Close(ctx)
-					all = append(all, c)
+					conns = append(conns, c)
 				}
-				_, err := all[0].Exec(ctx, insert, "locker-1", "open")
+				_, err := conns[0].Exec(ctx, insert, "locker-1", "open")
 				must.NoError(t, err)
 				target := s.Target("2")
 				stop, done := make(chan struct{}), make(chan error, 1)
-				go func() { done <- read(ctx, all, stop) }()
+				go func() { done <- readUntil(ctx, conns, stop) }()
 				time.Sleep(5 * time.Second)
 				must.Positive(t, reads(target, time.Now().Add(-time.Second)))
-				mark(t, ctx, s, target, true)
+				setDraining(t, ctx, s, target, true)
 				time.Sleep(3 * time.Second)
-				from := time.Now()
+				since := time.Now()
 				time.Sleep(5 * time.Second)
-				must.Zero(t, reads(target, from))
-				mark(t, ctx, s, target, false)
+				must.Zero(t, reads(target, since))
+				setDraining(t, ctx, s, target, false)
 				time.Sleep(10 * time.Second)
 				must.Positive(t, reads(target, time.Now().Add(-time.Second)))
 				close(stop)
@@ -128,7 +125,7 @@
 	}
 }
 
-// reads counts the callers' statements that a target ran since a moment.
+// reads returns the number of client reads that a target has run since a time.
 func reads(t *stager.Target, since time.Time) int {
 	n := 0
 	for _, r := range t.Journal() {
@@ -139,37 +136,36 @@
 	return n
 }
 
-// The platform's list shows that the primary's machine leaves, while callers
-// write on every instance. Another member takes over as planned: no write is
-// refused, and from 3 s on the old primary runs none.
-func TestLeavingPrimaryIsReplaced(t *testing.T) {
-	staged(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
-		const callers = 3
+// A primary marked as draining is replaced by a planned promotion within 3 s, without a
+// failed write.
+func TestDrainingPrimaryIsReplaced(t *testing.T) {
+	withFleet(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
+		const clients = 3
 		stop, done := make(chan struct{}), make(chan error)
-		for k := range callers {
+		for k := range clients {
 			c := connect(t, ctx, s, k)
 			go func() {
-				_, _, err := writeOn(ctx, s, c, k, stop)
+				_, _, err := writeUntil(ctx, s, c, k, stop)
 				done <- err
 			}()
 		}
 		time.Sleep(5 * time.Second)
-		old := s.Target("1")
-		must.Positive(t, writes(old, time.Now().Add(-time.Second)))
-		s.Platform.Register(lister.Instance{Name: old.Name, Kind: lister.KindTarget, Zone: old.Zone, State: lister.StateLeaving})
+		oldPrimary := s.Target("1")
+		must.Positive(t, writes(oldPrimary, time.Now().Add(-time.Second)))
+		s.Platform.Register(lister.Instance{Name: oldPrimary.Name, Kind: lister.KindTarget, Zone: oldPrimary.Zone, State: lister.StateLeaving})
 		time.Sleep(3 * time.Second)
-		from := time.Now()
+		since := time.Now()
 		time.Sleep(3 * time.Second)
-		must.Zero(t, writes(old, from))
-		must.Positive(t, writes(s.Target("2"), from)+writes(s.Target("3"), from))
+		must.Zero(t, writes(oldPrimary, since))
+		must.Positive(t, writes(s.Target("2"), since)+writes(s.Target("3"), since))
 		close(stop)
-		for range callers {
+		for range clients {
 			must.NoError(t, <-done)
 		}
 	})
 }
 
-// writes counts the callers' statements that a target ran since a moment.
+// writes returns the number of successful client writes that a target has run since a time.
 func writes(t *stager.Target, since time.Time) int {
 	n := 0
 	for _, r := range t.Journal() {
--- a/internal/runner/pools.go
+++ b/internal/runner/pools.go
@@ -17,221 +17,217 @@
 )
 
 const (
-	refreshEvery = 50 * time.Millisecond
-	groupQueue   = 64
+	refreshInterval = 50 * time.Millisecond
+	poolExitBuffer  = 64
 )
 
 type (
-	// group is what the instance keeps for one service: its connections, its
-	// admission and its retries.
+	// group has the connection pool, the admission control and the retry budget of one service.
 	group struct {
-		pool    *pooler.Pool
-		gate    *admitter.Gate
-		retries *retrier.Budget
-		cancel  context.CancelFunc
-		// used is set by the first caller.
+		pool      *pooler.Pool
+		admission *admitter.Gate
+		retries   *retrier.Budget
+		cancel    context.CancelFunc
+		// used is set by the first client session.
 		used atomic.Bool
 	}
 
-	// groupTable is what traffic looks groups up in. It is never changed once
-	// published.
+	// groupTable indexes the groups for client sessions. It is immutable once published.
 	groupTable struct {
 		byName    map[string]*group
 		byAddress map[string]*group
 	}
 
-	// groups are those of all services. Traffic looks them up; run owns them.
-	groups struct {
+	// groupManager creates and removes the groups. Only the goroutine of runGroups uses it.
+	groupManager struct {
 		instance *Instance
 		control  *controller.Controller
 		random   *rand.Rand
 
-		byName  map[string]*group
-		version int64 // of the configuration that byName follows
-		ended   chan error
-		running int
+		byName       map[string]*group
+		version      int64 // of the configuration that byName reflects
+		poolExits    chan error
+		runningPools int
 	}
 )
 
-// addShares gives control the slice that agrees on shares.
-func (i *Instance) addShares(control *controller.Controller) {
-	control.Slices = append(control.Slices, &sharer.Slice{Instance: i.Settings.Name, Random: i.random()})
+// addShareSlice adds the slice that divides each service's connections among the instances.
+func (i *Instance) addShareSlice(control *controller.Controller) {
+	control.Slices = append(control.Slices, &sharer.Slice{Instance: i.Settings.Name, Random: i.newRandom()})
 	control.Performers = append(control.Performers, &sharer.Performer{Store: i.Store, Network: i.Network, SetShare: i.setShare})
 }
 
-// runGroups keeps a group for each service of the configuration in force, and
-// tells its pool where connections are likely to be needed.
+// runGroups maintains a group for each service of the current configuration, and updates
+// the pools' preferred targets.
 func (i *Instance) runGroups(ctx context.Context, control *controller.Controller) error {
-	g := &groups{instance: i, control: control, random: i.random(), byName: map[string]*group{}, ended: make(chan error, groupQueue)}
-	t := time.NewTicker(refreshEvery)
-	defer t.Stop()
+	manager := &groupManager{instance: i, control: control, random: i.newRandom(), byName: map[string]*group{}, poolExits: make(chan error, poolExitBuffer)}
+	ticker := time.NewTicker(refreshInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-t.C:
+		case <-ticker.C:
 			if table := i.table.Load(); table != nil && table.Document != nil {
-				g.refresh(ctx, table)
+				manager.refresh(ctx, table)
 			}
-			g.report(ctx)
-		case <-g.ended:
-			g.running--
+			manager.reportLoad(ctx)
+		case <-manager.poolExits:
+			manager.runningPools--
 		case <-ctx.Done():
-			for ; g.running > 0; g.running-- {
-				<-g.ended
+			for ; manager.runningPools > 0; manager.runningPools-- {
+				<-manager.poolExits
 			}
 			return ctx.Err()
 		}
 	}
 }
 
-// refresh tells the pools where traffic is likely to go, and follows a change of
-// the configuration.
-func (g *groups) refresh(ctx context.Context, t *router.Table) {
-	configured := t.Version != g.version
-	g.version = t.Version
-	for _, c := range t.Document.Services {
-		s := t.Group(c.Name)
-		v := g.byName[c.Name]
-		if v == nil {
-			v = g.open(ctx, s)
-			g.byName[c.Name] = v
+// refresh updates the pools' preferred targets, and applies a changed configuration.
+func (g *groupManager) refresh(ctx context.Context, table *router.Table) {
+	changed := table.Version != g.version
+	g.version = table.Version
+	for _, service := range table.Document.Services {
+		routed := table.Group(service.Name)
+		entry := g.byName[service.Name]
+		if entry == nil {
+			entry = g.openGroup(ctx, routed)
+			g.byName[service.Name] = entry
 		}
-		if configured {
-			v.gate.Configure(s.Service)
+		if changed {
+			entry.admission.Configure(routed.Service)
 		}
-		v.pool.Want(places(s, g.instance.Settings.Zone, router.HomeOf(g.instance.Settings.Name)))
+		entry.pool.Want(preferredTargets(routed, g.instance.Settings.Zone, router.HomeOf(g.instance.Settings.Name)))
 	}
-	if configured {
-		g.publish(t)
+	if changed {
+		g.publish(table)
 	}
 }
 
-// publish shows traffic the groups of the configuration in force.
-func (g *groups) publish(t *router.Table) {
-	m := &groupTable{byName: map[string]*group{}, byAddress: map[string]*group{}}
-	for _, s := range t.Document.Services {
-		m.byName[s.Name] = g.byName[s.Name]
-		for _, member := range s.Members {
-			m.byAddress[member.Address] = g.byName[s.Name]
+// publish makes the groups of the current configuration available to client sessions, and
+// closes the others.
+func (g *groupManager) publish(table *router.Table) {
+	published := &groupTable{byName: map[string]*group{}, byAddress: map[string]*group{}}
+	for _, service := range table.Document.Services {
+		published.byName[service.Name] = g.byName[service.Name]
+		for _, member := range service.Members {
+			published.byAddress[member.Address] = g.byName[service.Name]
 		}
 	}
-	for name, v := range g.byName {
-		if m.byName[name] == nil {
-			v.cancel()
+	for name, entry := range g.byName {
+		if published.byName[name] == nil {
+			entry.cancel()
 			delete(g.byName, name)
 		}
 	}
-	g.instance.groups.Store(m)
-	for name, v := range g.byName { // a share may have come before the pool
-		v.pool.SetShare(g.instance.shares.get(name))
+	g.instance.groups.Store(published)
+	for name, entry := range g.byName { // a share may have been decided before its pool existed
+		entry.pool.SetShare(g.instance.shares.get(name))
 	}
 }
 
-func (g *groups) open(ctx context.Context, s *router.Group) *group {
+func (g *groupManager) openGroup(ctx context.Context, routed *router.Group) *group {
 	i := g.instance
 	ctx, cancel := context.WithCancel(ctx)
-	p := &pooler.Pool{Network: i.Network, Count: i.count}
-	v := &group{pool: p, gate: &admitter.Gate{Pool: p, Random: rand.New(rand.NewPCG(g.random.Uint64(), 0))}, retries: &retrier.Budget{}, cancel: cancel}
-	p.Resized = v.gate.Resized
-	v.gate.Configure(s.Service)
-	g.running++
-	go func() { g.ended <- p.Run(ctx) }()
-	return v
+	pool := &pooler.Pool{Network: i.Network, Count: i.incrementCounter}
+	opened := &group{pool: pool, admission: &admitter.Gate{Pool: pool, Random: rand.New(rand.NewPCG(g.random.Uint64(), 0))}, retries: &retrier.Budget{}, cancel: cancel}
+	pool.Resized = opened.admission.Resized
+	opened.admission.Configure(routed.Service)
+	g.runningPools++
+	go func() { g.poolExits <- pool.Run(ctx) }()
+	return opened
 }
 
-// report tells the control loop how much of each share is used.
-func (g *groups) report(ctx context.Context) {
-	for name, v := range g.byName {
-		u := v.pool.Use()
-		g.control.Post(ctx, sharer.Load{Service: name, Use: u, Pressed: v.gate.Waiting() > 0 || u.Starved})
+// reportLoad posts the use of each share to the control loop.
+func (g *groupManager) reportLoad(ctx context.Context) {
+	for name, entry := range g.byName {
+		use := entry.pool.Use()
+		g.control.Post(ctx, sharer.Load{Service: name, Use: use, Pressed: entry.admission.Waiting() > 0 || use.Starved})
 	}
 }
 
-// shares keeps those that were decided before their pools were made.
-type shares struct {
+// shareTable holds the newest share of each service, also before its pool exists.
+type shareTable struct {
 	mutex  sync.Mutex
 	byName map[string]pooler.Share
 }
 
-func (s *shares) get(service string) pooler.Share {
+func (s *shareTable) get(service string) pooler.Share {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.byName[service]
 }
 
-func (s *shares) set(service string, v pooler.Share) {
+func (s *shareTable) set(service string, share pooler.Share) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.byName == nil {
 		s.byName = map[string]pooler.Share{}
 	}
-	if v.Number >= s.byName[service].Number {
-		s.byName[service] = v
+	if share.Number >= s.byName[service].Number {
+		s.byName[service] = share
 	}
 }
 
-// setShare gives a pool its share.
-func (i *Instance) setShare(l sharer.Limit) {
-	i.shares.set(l.Service, l.Share)
-	if v := i.group(l.Service); v != nil {
-		v.pool.SetShare(l.Share)
+// setShare records a service's share and applies it to the pool.
+func (i *Instance) setShare(limit sharer.Limit) {
+	i.shares.set(limit.Service, limit.Share)
+	if entry := i.group(limit.Service); entry != nil {
+		entry.pool.SetShare(limit.Share)
 	}
 }
 
-// places returns where connections of a group are likely to be needed: the
-// primary, the own zone's replica, then the other replicas in the order in which
-// routing prefers them. While no primary is
-// known, only the own zone's member is kept: a share of two, idle at two replicas,
-// would otherwise never be used to ask the third member, which is the primary.
-func places(g *router.Group, zone string, home uint64) []pooler.Place {
-	var own, others []pooler.Place
+// preferredTargets returns the targets to keep connections to, in order of preference: the
+// primary, replicas in the own zone, then the other replicas in routing order. Without a known
+// primary it returns only the members in the own zone: idle connections to both replicas would
+// exhaust a share of two, leaving none to query the third member, which is the primary.
+func preferredTargets(g *router.Group, zone string, home uint64) []pooler.Place {
+	var ownZone, others []pooler.Place
 	for k := range g.Service.Members {
 		i := router.Order(home, k, len(g.Service.Members))
-		m := g.Service.Members[i]
+		member := g.Service.Members[i]
 		switch {
 		case i == g.Primary:
-		case m.Zone == zone:
-			own = append(own, pooler.Place{Address: m.Address})
+		case member.Zone == zone:
+			ownZone = append(ownZone, pooler.Place{Address: member.Address})
 		default:
-			others = append(others, pooler.Place{Address: m.Address})
+			others = append(others, pooler.Place{Address: member.Address})
 		}
 	}
 	if g.Primary >= 0 {
 		primary := pooler.Place{Address: g.Service.Members[g.Primary].Address, Term: g.Members[g.Primary].Status.Term}
-		return append(append([]pooler.Place{primary}, own...), others...)
+		return append(append([]pooler.Place{primary}, ownZone...), others...)
 	}
-	return own
+	return ownZone
 }
 
-// group returns what the instance keeps for a service; nil for a service that
-// was configured only just now.
+// group returns the group of a service; nil if it hasn't been created yet.
 func (i *Instance) group(service string) *group {
-	if m := i.groups.Load(); m != nil {
-		return m.byName[service]
+	if table := i.groups.Load(); table != nil {
+		return table.byName[service]
 	}
 	return nil
 }
 
-// used returns the services that callers have come for.
-func (i *Instance) used() []string {
-	var out []string
-	if m := i.groups.Load(); m != nil {
-		for n, v := range m.byName {
-			if v.used.Load() {
-				out = append(out, n)
+// usedServices returns the services that have had a client session.
+func (i *Instance) usedServices() []string {
+	var names []string
+	if table := i.groups.Load(); table != nil {
+		for name, entry := range table.byName {
+			if entry.used.Load() {
+				names = append(names, name)
 			}
 		}
 	}
-	return out
+	return names
 }
 
-func (i *Instance) count(name string) { i.Metrics.Counter(name).Inc(1) }
+func (i *Instance) incrementCounter(name string) { i.Metrics.Counter(name).Inc(1) }
 
-// ask runs a control statement over the connections of the group that has a
-// member at the address.
-func (i *Instance) ask(ctx context.Context, address, sql string, u commander.Urgency) ([][][]byte, error) {
-	if m := i.groups.Load(); m != nil {
-		if v := m.byAddress[address]; v != nil {
-			return v.pool.Ask(ctx, address, sql, u)
+// runControlStatement runs a control statement on the member at an address, over the
+// connections of its group.
+func (i *Instance) runControlStatement(ctx context.Context, address, sql string, urgency commander.Urgency) ([][][]byte, error) {
+	if table := i.groups.Load(); table != nil {
+		if entry := table.byAddress[address]; entry != nil {
+			return entry.pool.Ask(ctx, address, sql, urgency)
 		}
 	}
 	return nil, commander.ErrBusy
--- a/internal/runner/pools_test.go
+++ b/internal/runner/pools_test.go
@@ -10,18 +10,18 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestPlaces(t *testing.T) {
+func TestPreferredTargets(t *testing.T) {
 	g := &router.Group{
 		Service: &configurer.Service{Members: []configurer.Member{{Address: "a", Zone: "a"}, {Address: "b", Zone: "b"}, {Address: "c", Zone: "c"}}},
 		Members: make([]router.Member, 3), Primary: 1,
 	}
 	g.Members[1].Status = commander.Status{Role: commander.RolePrimary, Term: 7}
 	t.Run("primary, own replica, others", func(t *testing.T) {
-		must.Eq(t, []pooler.Place{{Address: "b", Term: 7}, {Address: "c"}, {Address: "a"}}, places(g, "c", 0))
+		must.Eq(t, []pooler.Place{{Address: "b", Term: 7}, {Address: "c"}, {Address: "a"}}, preferredTargets(g, "c", 0))
 	})
-	// The third member may be the primary: a share of two must be free to ask.
+	// The third member may be the primary; a share of two must leave a connection to query it.
 	t.Run("no primary known", func(t *testing.T) {
 		g.Primary = -1
-		must.Eq(t, []pooler.Place{{Address: "c"}}, places(g, "c", 0))
+		must.Eq(t, []pooler.Place{{Address: "c"}}, preferredTargets(g, "c", 0))
 	})
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -1,4 +1,4 @@
-// Package runner puts an entry instance together from its parts and runs it.
+// Package runner assembles a proxy instance from its components and runs it.
 package runner
 
 import (
@@ -23,21 +23,20 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Instance is one entry instance. Set the exported fields, then call Run.
+// Instance is one proxy instance. Set the exported fields, then call Run.
 type Instance struct {
 	Settings *loader.Settings
 	Network  networker.Network
 	Log      log.Logger
 	Metrics  tally.Scope
-	// Register has what Metrics reports, for the page; nil shows none.
+	// Register holds the metrics for the status pages; nil if they show none.
 	Register *reporter.Register
-	// Store and List reach the platform.
+	// Store and List are clients of the platform's key-value store and instance list.
 	Store storer.Store
 	List  lister.List
-	// Seed drives the instance's random numbers; 0 takes one from the system.
+	// Seed seeds the random number generators; 0 means a random seed.
 	Seed uint64
-	// Events are taken over by control at its next tick, for a program or a test
-	// around the instance; nil for none.
+	// Events are passed to the control loop at its next tick; nil for none.
 	Events <-chan controller.Event
 
 	table  atomic.Pointer[router.Table]
@@ -47,54 +46,54 @@
 	sessions sessions
 
 	groups atomic.Pointer[groupTable]
-	shares shares
+	shares shareTable
 }
 
-// Run serves until the context ends.
+// Run serves until the context ends or the instance has drained.
 func (i *Instance) Run(ctx context.Context) error {
 	if err := i.prepare(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	orders := &commander.Postgres{Network: i.Network, Application: i.Settings.Name, Source: i.ask}
-	defer orders.Close()
+	members := &commander.Postgres{Network: i.Network, Application: i.Settings.Name, Source: i.runControlStatement}
+	defer members.Close()
 	control := &controller.Controller{}
-	p := i.openPeers(control.Post)
-	defer p.client.Links.Close()
+	peers := i.newPeers(control.Post)
+	defer peers.client.Links.Close()
 	*control = controller.Controller{
-		Slices: append(p.slices(), &router.Slice{Published: &i.table}),
-		Performers: append(p.performers(),
-			&observer.Asker{Commander: orders},
+		Slices: append(peers.slices(), &router.Slice{Published: &i.table}),
+		Performers: append(peers.performers(),
+			&observer.Asker{Commander: members},
 		),
 		Unknown: func(a controller.Action) {
 			_ = i.Log.Log("part", "control", "msg", "No performer for an action.", "action", a.ActionName())
 		},
 	}
-	terms, promotions := i.terms(orders)
-	control.Slices = append(control.Slices, terms...)
+	failover, promotions := i.failoverSlices(members)
+	control.Slices = append(control.Slices, failover...)
 	control.Performers = append(control.Performers, promotions)
-	i.addShares(control)
+	i.addShareSlice(control)
 	control.Open()
-	i.sessions.open(i, func(e controller.Event) { control.Post(ctx, e) })
-	i.sessions.cancels.Forwarder = p
-	callers, err := i.greeter()
+	i.sessions.initialize(i, func(e controller.Event) { control.Post(ctx, e) })
+	i.sessions.cancels.Forwarder = peers
+	clients, err := i.newGreeter()
 	if err != nil {
 		return err
 	}
-	control.Slices = append(control.Slices, i.drain.open(i, callers, cancel), &i.drain)
+	control.Slices = append(control.Slices, i.drain.initialize(i, clients, cancel), &i.drain)
 	control.Performers = append(control.Performers, &i.drain)
-	ended := make(chan error, 5)
-	go func() { ended <- errors.Wrap(control.Run(ctx), "control") }()
-	go func() { ended <- errors.Wrap(callers.Run(ctx), "callers") }()
-	go func() { ended <- errors.Wrap(i.pages(ctx, control, callers).Run(ctx), "pages") }()
-	go func() { ended <- errors.Wrap(p.server().Run(ctx), "peers") }()
+	done := make(chan error, 5)
+	go func() { done <- errors.Wrap(control.Run(ctx), "control") }()
+	go func() { done <- errors.Wrap(clients.Run(ctx), "callers") }()
+	go func() { done <- errors.Wrap(i.statusPages(ctx, control, clients).Run(ctx), "pages") }()
+	go func() { done <- errors.Wrap(peers.server().Run(ctx), "peers") }()
 	_ = i.Log.Log("part", "instance", "msg", "Instance is serving.", "name", i.Settings.Name, "availability-zone", i.Settings.Zone, "callers", i.Settings.Callers)
-	go func() { ended <- errors.Wrap(i.runGroups(ctx, control), "groups") }()
-	first := <-ended
+	go func() { done <- errors.Wrap(i.runGroups(ctx, control), "groups") }()
+	first := <-done
 	cancel()
-	for range cap(ended) - 1 {
-		<-ended
+	for range cap(done) - 1 {
+		<-done
 	}
 	if i.drain.drained.Load() {
 		return nil
@@ -114,35 +113,35 @@
 	return i.sealer.Check()
 }
 
-// open makes the session of a caller.
-func (i *Instance) open(parameters map[string]string) (*relayer.Session, *refuser.Refusal) {
-	t := i.table.Load()
-	if t == nil {
+// openSession creates the session of a client, or returns why it is refused.
+func (i *Instance) openSession(parameters map[string]string) (*relayer.Session, *refuser.Refusal) {
+	table := i.table.Load()
+	if table == nil {
 		return nil, refuser.New(refuser.NoConfiguration, "instance %s", i.Settings.Name)
 	}
 	service := parameters["database"]
 	if service == "" {
 		service = parameters["user"]
 	}
-	if t.Document.Service(service) == nil {
+	if table.Document.Service(service) == nil {
 		return nil, refuser.New(refuser.NoService, "service %q", service)
 	}
-	v := i.group(service)
-	if v == nil { // the document came into force this moment
+	entry := i.group(service)
+	if entry == nil { // configured, but not created yet
 		return nil, refuser.New(refuser.NoConfiguration, "service %q", service)
 	}
-	v.used.Store(true)
-	var floor orderer.Position
+	entry.used.Store(true)
+	var minPosition orderer.Position
 	if token := parameters[relayer.ParameterToken]; token != "" {
 		var err error
-		if floor, err = i.sealer.Open(service, token); err != nil {
+		if minPosition, err = i.sealer.Open(service, token); err != nil {
 			return nil, refuser.New(refuser.BadToken, "%v", err)
 		}
 	}
-	s := &relayer.Session{
+	session := &relayer.Session{
 		Service: service, User: parameters["user"], Zone: i.Settings.Zone, Kind: parameters[relayer.ParameterKind],
-		Floor: floor, Table: i.table.Load, Pool: v.gate, Retries: v.retries, Sealer: i.sealer, Log: i.Log,
-		Count: i.count,
+		Floor: minPosition, Table: i.table.Load, Pool: entry.admission, Retries: entry.retries, Sealer: i.sealer, Log: i.Log,
+		Count: i.incrementCounter,
 	}
-	return s, i.equip(s, parameters)
+	return session, i.initSession(session, parameters)
 }
--- a/internal/runner/sessions.go
+++ b/internal/runner/sessions.go
@@ -12,7 +12,7 @@
 	"github.com/oriolegw/oriolegw/pkg/refuser"
 )
 
-// sessions is what the callers of an instance share.
+// sessions is the state shared by the client sessions of an instance.
 type sessions struct {
 	post      func(controller.Event)
 	explainer router.Explainer
@@ -20,39 +20,39 @@
 	cancels   canceller.Table
 }
 
-// Explainer tells where the newest requests went, and why.
+// Explainer returns the record of recent routing decisions and their reasons.
 func (i *Instance) Explainer() *router.Explainer { return &i.sessions.explainer }
 
-// open prepares what callers share, before the first of them.
-func (s *sessions) open(i *Instance, post func(controller.Event)) {
+// initialize must be called before the first session.
+func (s *sessions) initialize(i *Instance, post func(controller.Event)) {
 	s.post = post
 	s.prober.Network, s.prober.Application = i.Network, i.Settings.Name
 	s.cancels.Tag = canceller.Tag(i.Settings.Name)
 }
 
-// equip gives a caller's session what it needs beside its own state.
-func (i *Instance) equip(s *relayer.Session, parameters map[string]string) *refuser.Refusal {
+// initSession sets the fields of a session that refer to the instance, and registers its
+// cancel key.
+func (i *Instance) initSession(s *relayer.Session, parameters map[string]string) *refuser.Refusal {
 	s.Settle(parameters)
 	s.Connected = time.Now()
 	s.HasToken = parameters[relayer.ParameterToken] != ""
-	s.Leaver, s.Home = &i.drain.leaver, router.HomeOf(i.Settings.Name)
+	s.Leaver, s.Home = &i.drain.clientLeaver, router.HomeOf(i.Settings.Name)
 	s.Explainer, s.Prober = &i.sessions.explainer, &i.sessions.prober
 	s.Want = func(service string) { i.sessions.post(router.Wanted{Service: service}) }
-	k, err := i.sessions.cancels.Add(s)
+	key, err := i.sessions.cancels.Add(s)
 	if err != nil {
 		return refuser.New(refuser.TooManySessions, "%v", err)
 	}
-	s.Network, s.PID, s.Secret = i.Network, k.PID, k.Secret
-	s.Ended = func() { i.sessions.cancels.Remove(k) }
+	s.Network, s.PID, s.Secret = i.Network, key.PID, key.Secret
+	s.Ended = func() { i.sessions.cancels.Remove(key) }
 	return nil
 }
 
-// Cancels is the table of the callers' keys. Set its Forwarder before Run, so
-// that a cancel finds its request on any instance.
+// Cancels returns the table of the clients' cancel keys.
 func (i *Instance) Cancels() *canceller.Table { return &i.sessions.cancels }
 
-// cancel carries out a caller's cancel. The protocol has no answer to it.
-func (i *Instance) cancel(ctx context.Context, pid, secret uint32) {
+// cancelRequest handles a client's cancel request, to which the protocol has no reply.
+func (i *Instance) cancelRequest(ctx context.Context, pid, secret uint32) {
 	if err := i.sessions.cancels.Cancel(ctx, canceller.Key{PID: pid, Secret: secret}); err != nil {
 		i.Metrics.Counter("cancels.failed").Inc(1)
 	}
--- a/internal/runner/status_test.go
+++ b/internal/runner/status_test.go
@@ -15,7 +15,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// An operator asks the status page how much of a group's budget the instance holds.
+// The status page shows a group's open connections and the instance's share.
 func TestStatusShowsConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
--- a/internal/runner/terms.go
+++ b/internal/runner/terms.go
@@ -13,11 +13,11 @@
 	"github.com/oriolegw/oriolegw/internal/promoter"
 )
 
-// inbox emits events that came from outside of control.
-type inbox struct{ events <-chan controller.Event }
+// externalEvents passes the events of Instance.Events to the other slices.
+type externalEvents struct{ events <-chan controller.Event }
 
 // Step implements controller.Slice.
-func (n *inbox) Step(_ time.Time, e controller.Event) []controller.Action {
+func (n *externalEvents) Step(_ time.Time, e controller.Event) []controller.Action {
 	if _, tick := e.(controller.Tick); !tick {
 		return nil
 	}
@@ -32,11 +32,11 @@
 	}
 }
 
-// announcer logs and counts what the slices of terms decide.
-type announcer struct{ instance *Instance }
+// failoverLogger logs and counts suspected members and promotions.
+type failoverLogger struct{ instance *Instance }
 
-// random returns the instance's source of random numbers.
-func (i *Instance) random() *rand.Rand {
+// newRandom returns a random number generator seeded by Instance.Seed.
+func (i *Instance) newRandom() *rand.Rand {
 	seed := i.Seed
 	if seed == 0 {
 		var b [8]byte
@@ -46,20 +46,21 @@
 	return rand.New(rand.NewPCG(seed, seed))
 }
 
-// terms returns the slices that watch over primaries and replace them.
-func (i *Instance) terms(orders commander.Commander) ([]controller.Slice, controller.Performer) {
-	random := i.random()
+// failoverSlices returns the slices and the performer that detect failed primaries and
+// promote replicas. The fencing owner is unique for each process of an instance.
+func (i *Instance) failoverSlices(members commander.Commander) ([]controller.Slice, controller.Performer) {
+	random := i.newRandom()
 	owner := i.Settings.Name + "/" + strconv.FormatUint(random.Uint64(), 36)
 	return []controller.Slice{
 		&detector.Slice{Zone: i.Settings.Zone},
 		&promoter.Slice{Name: i.Settings.Name, Owner: owner, Random: random},
-		&announcer{instance: i},
-		&inbox{events: i.Events},
-	}, &promoter.Performer{Commander: orders, Store: i.Store}
+		&failoverLogger{instance: i},
+		&externalEvents{events: i.Events},
+	}, &promoter.Performer{Commander: members, Store: i.Store}
 }
 
 // Step implements controller.Slice.
-func (a *announcer) Step(_ time.Time, e controller.Event) []controller.Action {
+func (a *failoverLogger) Step(_ time.Time, e controller.Event) []controller.Action {
 	switch e := e.(type) {
 	case detector.Suspected:
 		if e.On {
@@ -86,8 +87,8 @@
 	return nil
 }
 
-func (a *announcer) count(name string) { a.instance.Metrics.Counter(name).Inc(1) }
+func (a *failoverLogger) count(name string) { a.instance.Metrics.Counter(name).Inc(1) }
 
-func (a *announcer) log(text string, pairs ...any) {
+func (a *failoverLogger) log(text string, pairs ...any) {
 	_ = a.instance.Log.Log(append([]any{"part", "terms", "msg", text}, pairs...)...)
 }
--- a/internal/runner/terms_test.go
+++ b/internal/runner/terms_test.go
@@ -8,23 +8,21 @@
 	"github.com/shoenig/test/must"
 )
 
-func ownerOf(t *testing.T, seed uint64) string {
+func promotionOwner(t *testing.T, seed uint64) string {
 	i := &Instance{Settings: &loader.Settings{Name: "entry"}, Seed: seed}
-	slices, _ := i.terms(nil)
+	slices, _ := i.failoverSlices(nil)
 	for _, s := range slices {
 		if p, ok := s.(*promoter.Slice); ok {
 			return p.Owner
 		}
 	}
-	t.Fatal("no promoter among the slices")
+	t.Fatal("no promoter.Slice found")
 	return ""
 }
 
-// An instance is replaced by a new process of its name while an order of the old
-// one to promote a member is still under way. The new process fences the same term
-// and chooses another member. Were both one owner, the late order would be obeyed
-// as well, and the term had two primaries.
-func TestProcessesOfOneNameAreTwoOwners(t *testing.T) {
-	must.NotEq(t, ownerOf(t, 1), ownerOf(t, 2))
-	must.StrHasPrefix(t, "entry/", ownerOf(t, 1))
+// Two processes with the same instance name are different fencing owners; otherwise a delayed
+// promotion of the old process could create a second primary in the same term.
+func TestRestartedInstanceIsNewFencingOwner(t *testing.T) {
+	must.NotEq(t, promotionOwner(t, 1), promotionOwner(t, 2))
+	must.StrHasPrefix(t, "entry/", promotionOwner(t, 1))
 }
