--- a/internal/loader/entry.go
+++ b/internal/loader/entry.go
@@ -9,7 +9,7 @@
 	"github.com/oriolegw/oriolegw/internal/limiter"
 )
 
-// EntrySettings is the settings file of a proxy instance on the hosting platform.
+// EntrySettings is the settings file of oriolegw-edge, the proxy for the hosting platform.
 type EntrySettings struct {
 	Name string
 	Zone string
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -1,5 +1,5 @@
-// Package loader reads and validates the settings file of a proxy instance: JSON with
-// comments.
+// Package loader reads and validates the settings files of oriolegw and oriolegw-edge: JSON
+// with comments.
 package loader
 
 import (
@@ -11,8 +11,8 @@
 )
 
 type (
-	// Settings is the settings file of an instance. Everything that may change at run time
-	// is in the configuration document instead.
+	// Settings is the settings file of oriolegw. What may change at run time is in the
+	// configuration document instead.
 	Settings struct {
 		Name string
 		Zone string
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -1,4 +1,4 @@
-// Package runner assembles a proxy instance from its components and runs it.
+// Package runner assembles an oriolegw instance from its components and runs it.
 package runner
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Instance is one proxy instance. Set the exported fields, then call Run.
+// Instance is one oriolegw instance. Set the exported fields, then call Run.
 type Instance struct {
 	Settings *loader.Settings
 	Network  networker.Network
