--- a/internal/dispatcher/read.go
+++ b/internal/dispatcher/read.go
@@ -10,134 +10,132 @@
 	"github.com/oriolegw/oriolegw/pkg/orderer"
 )
 
-// read answers a read outside a transaction. While it waits for a connection, a proof
-// may come or grow too old; so what it may do is settled when it has one.
-func (x *exchange) read(ctx context.Context) messenger.Reply {
+// read runs a read outside a transaction. What the read requires is resolved again once a
+// connection is available: the tracker's knowledge may have changed during the wait.
+func (x *execution) read(ctx context.Context) messenger.Reply {
 	for {
-		c, err := x.borrow(ctx, x.freshest)
+		c, err := x.checkout(ctx, x.readCandidates)
 		if err != nil {
-			return x.refuseLent(err)
+			return x.refuseCheckout(err)
 		}
 		var reply messenger.Reply
-		again := true
+		retry := true
 		switch {
-		case x.fresh():
-			reply, again = x.readAfter(c)
+		case x.resolveMinPosition():
+			reply, retry = x.readAtPosition(c)
 		case c.Member == x.backend.Group.Primary():
-			reply, again = x.readPrimary(c)
+			reply, retry = x.readFromPrimary(c)
 		default:
 			x.backend.Pool.Return(c)
 		}
-		if !again {
+		if !retry {
 			return reply
 		}
 	}
 }
 
-// fresh finds out which position a log must hold to answer. It is false when only the
-// primary itself can tell.
-func (x *exchange) fresh() bool {
-	x.need = orderer.Position{}
+// resolveMinPosition determines the position that a log must hold to answer the read. It is
+// false when only the primary may answer.
+func (x *execution) resolveMinPosition() bool {
+	x.minPosition = orderer.Position{}
 	if x.route.Rule == tracker.RulePrimary {
 		return false
 	}
-	need, ok := x.backend.Group.Need(x.arrived, x.route, x.session.floor)
-	x.need = need
+	minPosition, ok := x.backend.Group.Need(x.arrived, x.route, x.session.floor)
+	x.minPosition = minPosition
 	return ok
 }
 
-// freshest chooses among the members that may answer a read now.
-func (x *exchange) freshest() []string {
-	if x.fresh() {
-		return x.readers()
+// readCandidates returns the members that may answer the read now.
+func (x *execution) readCandidates() []string {
+	if x.resolveMinPosition() {
+		return x.replicaCandidates()
 	}
-	return x.primary()
+	return x.primaryCandidates()
 }
 
-// readPrimary reads inside a transaction of its own. A member that has lost the
-// lead refuses every statement of a transaction that may write, so an answer shows
-// that the member led when it ran the read: without that, an old primary that was
-// cut off from its replicas would answer with what others have overwritten.
-func (x *exchange) readPrimary(c *lender.Conn) (messenger.Reply, bool) {
-	commands, lead := x.commands(c,
+// readFromPrimary reads inside a transaction of its own. A member that is no longer primary
+// refuses statements of a read-write transaction, so a former primary that was partitioned
+// from its replicas can't answer with stale data.
+func (x *execution) readFromPrimary(c *lender.Conn) (messenger.Reply, bool) {
+	commands, index := x.commands(c,
 		[]messenger.Command{{Kind: messenger.KindBegin}}, []messenger.Command{{Kind: messenger.KindRollback}})
-	asked := x.session.server.Clock()
-	replies, _, err := x.send(c, commands, x.patience())
+	sentAt := x.session.server.Clock()
+	replies, _, err := x.send(c, commands, x.attemptDeadline())
 	if err != nil {
-		return x.unanswered(c, err)
+		return x.handleNoAnswer(c, err)
 	}
-	begun, r := replies[lead-1], replies[lead]
-	if begun.Code == messenger.CodeNone {
-		x.backend.Group.Prove(tracker.Proof{At: asked, Position: begun.Position})
+	beginReply, r := replies[index-1], replies[index]
+	if beginReply.Code == messenger.CodeNone {
+		x.backend.Group.Prove(tracker.Proof{At: sentAt, Position: beginReply.Position})
 	} else if r.Code == messenger.CodeNone {
-		r = begun
+		r = beginReply
 	}
-	return x.settleRead(c, r)
+	return x.handleReadReply(c, r)
 }
 
-// readAfter reads at a member whose log holds what the read needs; the member itself
-// checks that it does.
-func (x *exchange) readAfter(c *lender.Conn) (messenger.Reply, bool) {
-	commands, lead := x.commands(c, nil, nil)
-	commands[lead].After = x.need
-	replies, _, err := x.send(c, commands, x.patience())
+// readAtPosition reads at a member whose log holds minPosition; the member checks that.
+func (x *execution) readAtPosition(c *lender.Conn) (messenger.Reply, bool) {
+	commands, index := x.commands(c, nil, nil)
+	commands[index].After = x.minPosition
+	replies, _, err := x.send(c, commands, x.attemptDeadline())
 	if err != nil {
-		return x.unanswered(c, err)
+		return x.handleNoAnswer(c, err)
 	}
-	return x.settleRead(c, replies[lead])
+	return x.handleReadReply(c, replies[index])
 }
 
-// unanswered deals with a read that got no answer in the time of this try.
-func (x *exchange) unanswered(c *lender.Conn, err error) (messenger.Reply, bool) {
+// handleNoAnswer handles a read attempt that got no answer in time.
+func (x *execution) handleNoAnswer(c *lender.Conn, err error) (messenger.Reply, bool) {
 	member := c.Member
-	x.giveUp(c, err)
+	x.abandon(c, err)
 	x.backend.suspect(member)
-	return x.lateRead(x.retry(member, ReasonNoAnswer))
+	return x.retryOrRefuse(x.recordFailedAttempt(member, ReasonNoAnswer))
 }
 
-// patience is how long this try of a read waits for its answer.
-func (x *exchange) patience() time.Time {
-	if x.tries > 1 {
+// attemptDeadline returns until when this attempt of a read waits for its answer.
+func (x *execution) attemptDeadline() time.Time {
+	if x.attempts > 1 {
 		return x.deadline()
 	}
-	p := time.Now().Add(time.Duration(patiencePart * float64(x.route.Timeout)))
-	if p.After(x.deadline()) {
+	until := time.Now().Add(time.Duration(readAttemptFraction * float64(x.route.Timeout)))
+	if until.After(x.deadline()) {
 		return x.deadline()
 	}
-	return p
+	return until
 }
 
-// lateRead answers a read that got no answer, unless there is time to try again.
-// Nothing of a read is kept, so the caller may be told to come back.
-func (x *exchange) lateRead(again bool) (messenger.Reply, bool) {
-	if again {
+// retryOrRefuse refuses an unanswered read unless it is retried. A read has no effect, so the
+// caller may be told to retry.
+func (x *execution) retryOrRefuse(retry bool) (messenger.Reply, bool) {
+	if retry {
 		return messenger.Reply{}, true
 	}
 	return x.refuse(ReasonNoAnswer), false
 }
 
-// settleRead takes a member's answer to a read: passes it on, or reports that
-// another member has to be asked.
-func (x *exchange) settleRead(c *lender.Conn, r messenger.Reply) (messenger.Reply, bool) {
+// handleReadReply handles a member's reply to a read. It reports whether the read must be
+// retried.
+func (x *execution) handleReadReply(c *lender.Conn, r messenger.Reply) (messenger.Reply, bool) {
 	member := c.Member
 	stamp := x.session.server.Clock()
 	switch r.Code {
 	case messenger.CodeNone:
 		x.backend.Pool.Return(c)
-		return x.done(member, r), false
+		return x.complete(member, r), false
 	case messenger.CodeBehind:
-		x.backend.Group.Behind(stamp, member, x.need)
+		x.backend.Group.Behind(stamp, member, x.minPosition)
 	case messenger.CodeNotPrimary:
-		x.backend.lost(member)
+		x.backend.handleNotPrimary(member)
 	case messenger.CodeUnknownStatement:
 		c.Forget()
 	}
 	x.backend.Pool.Return(c)
-	if x.retry(member, reasonOfCode(r.Code)) {
+	if x.recordFailedAttempt(member, reasonForCode(r.Code)) {
 		return messenger.Reply{}, true
 	}
 	if r.Code == messenger.CodeFailed || r.Code == messenger.CodeTimeout {
-		return x.done(member, r), false
+		return x.complete(member, r), false
 	}
-	return x.refuse(reasonOfCode(r.Code)), false
+	return x.refuse(reasonForCode(r.Code)), false
 }
--- a/internal/dispatcher/server.go
+++ b/internal/dispatcher/server.go
@@ -1,6 +1,6 @@
-// Package dispatcher serves callers' sessions: it takes each statement, decides
-// which member may run it, and turns what members answer into promises to the
-// caller. It knows no protocol.
+// Package dispatcher serves callers' sessions: it routes each statement to a member of the
+// group, retries where that is safe, and reports the outcome to the caller. It is
+// independent of the wire protocol.
 package dispatcher
 
 import (
@@ -20,32 +20,28 @@
 const (
 	// startTimeout bounds the wait for a caller's first message.
 	startTimeout = 5 * time.Second
-	// callerWriteTimeout bounds the sending of an answer to a caller that has stopped
-	// reading.
+	// callerWriteTimeout bounds sending a reply to a caller that has stopped reading.
 	callerWriteTimeout = 5 * time.Second
-	// endInterval is how often a session looks whether the leaving server waits for it.
-	endInterval = 100 * time.Millisecond
-	// defaultTransactionIdle is used until a configuration says how long a
-	// transaction may rest.
-	defaultTransactionIdle = 3 * time.Second
-	// shortestComeBack is the least that a refused caller is told to wait: the time of
-	// a few statements.
-	shortestComeBack = 50 * time.Millisecond
-	// changeComeBack is what a caller is told while the group has no primary: about
-	// what a promotion takes.
-	changeComeBack = time.Second
-	// longestComeBack is the most that a caller is told to wait: half of the shortest
-	// deadline of the users' requests with a try to spare, 6 s.
-	longestComeBack = 3 * time.Second
+	// shutdownPollInterval is how often a session checks for the end of a shutdown phase.
+	shutdownPollInterval = 100 * time.Millisecond
+	// defaultTransactionIdleTimeout applies until a configuration sets the limit.
+	defaultTransactionIdleTimeout = 3 * time.Second
+	// minRetryAfter is the smallest retry hint, before the part for queued statements.
+	minRetryAfter = 50 * time.Millisecond
+	// failoverRetryAfter is the retry hint while the group has no primary: about the
+	// duration of a promotion.
+	failoverRetryAfter = time.Second
+	// maxRetryAfter leaves callers time for another attempt within their own timeout.
+	maxRetryAfter = 3 * time.Second
 )
 
 type (
-	// Backend is a group as sessions use it.
+	// Backend is the state of a group that sessions share.
 	Backend struct {
 		Group *tracker.Group
 		Pool  *lender.Pool
-		// Suspect is told of a member that did not answer or lost the lead, so that
-		// it is looked at.
+		// Suspect reports a member that did not answer or is no longer primary, so that
+		// it is checked.
 		Suspect func(member string)
 	}
 
@@ -57,46 +53,44 @@
 		Clock   func() tracker.Stamp
 		// Configuration returns the version in force, nil before the first.
 		Configuration func() *tracker.Configuration
-		// Current, when set, reports that the version in force is not older than InForce
-		// allows, as far as this instance can know.
+		// Current, when set, reports whether the version in force is known to be no older
+		// than InForce.
 		Current func() bool
-		// InForce is how soon a change of the configuration must be in force.
+		// InForce is the time within which a configuration change must take effect.
 		InForce time.Duration
-		// Backend returns a group's; it makes one for a group not seen before.
+		// Backend returns the backend of a group, creating it on first use.
 		Backend func(group string) *Backend
 		// Decide logs a decision; Trace logs a served statement.
 		Decide func(part string, fields ...any)
 		Trace  func(fields ...any)
-		// Count, Refused, Retried and Served feed the metrics.
+		// Count, Refused, Retried and Served update the metrics.
 		Count            func(name string)
 		Refused, Retried func(reason Reason)
-		// Limited, when set, is told of each operation refused for a customer's limit.
+		// Limited, when set, is called for each operation refused by a customer's limit.
 		Limited func(customer string)
 		Served  func(r tracker.Route, took time.Duration)
 
-		// started is when Run was called.
 		started  time.Time
 		sessions sync.WaitGroup
 		mutex    sync.Mutex
-		open     map[*session]struct{}
-		// leaving is 0, then mayEndNow once idle sessions end, then mustEndNow once
-		// open transactions do too.
-		leaving atomic.Int32
+		active   map[*session]struct{}
+		// shutdownPhase is 0 while serving, then phaseCloseIdle, then phaseCloseAll.
+		shutdownPhase atomic.Int32
 	}
 )
 
 const (
-	mayEndNow  = 1
-	mustEndNow = 2
+	phaseCloseIdle = 1
+	phaseCloseAll  = 2
 
-	// CountAccepted and those that follow are what Count is told.
+	// The names of the counters passed to Server.Count.
 	CountAccepted   = "callers-accepted"
 	CountCut        = "callers-cut"
 	CountMalformed  = "callers-malformed"
 	CountStatements = "statements"
 )
 
-// Run accepts callers until the context ends, and returns when all sessions have.
+// Run accepts callers until the context ends, and returns when all sessions have ended.
 func (s *Server) Run(ctx context.Context) error {
 	s.started = time.Now()
 	l, err := s.Network.Listen(s.Address)
@@ -110,68 +104,68 @@
 		if err != nil {
 			break
 		}
-		s.start(ctx, c)
+		s.startSession(ctx, c)
 	}
 	s.End(true)
 	s.sessions.Wait()
 	return ctx.Err()
 }
 
-func (s *Server) start(ctx context.Context, c net.Conn) {
+func (s *Server) startSession(ctx context.Context, c net.Conn) {
 	s.count(CountAccepted)
 	x := &session{
 		server: s, net: c, statements: s.Codec.Statements(c),
 		values: lender.Values{}, prepared: map[string]lender.Prepared{},
 	}
 	s.mutex.Lock()
-	if s.open == nil {
-		s.open = map[*session]struct{}{}
+	if s.active == nil {
+		s.active = map[*session]struct{}{}
 	}
-	s.open[x] = struct{}{}
+	s.active[x] = struct{}{}
 	s.mutex.Unlock()
 	s.sessions.Add(1)
 	go func() {
 		defer s.sessions.Done()
 		x.run(ctx)
 		s.mutex.Lock()
-		delete(s.open, x)
+		delete(s.active, x)
 		s.mutex.Unlock()
 	}()
 }
 
-// Sessions returns how many callers are connected.
+// Sessions returns the number of connected callers.
 func (s *Server) Sessions() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.open)
+	return len(s.active)
 }
 
-// End has sessions end: those outside a transaction at once, or, with all, those
-// inside one as well. A statement that is being answered is answered first.
+// End closes the sessions outside a transaction or, with all, every session. A statement in
+// progress is answered first.
 func (s *Server) End(all bool) {
 	if all {
-		s.leaving.Store(mustEndNow)
+		s.shutdownPhase.Store(phaseCloseAll)
 	} else {
-		s.leaving.CompareAndSwap(0, mayEndNow)
+		s.shutdownPhase.CompareAndSwap(0, phaseCloseIdle)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for x := range s.open {
+	for x := range s.active {
 		_ = x.net.SetReadDeadline(time.Now())
 	}
 }
 
-func (s *Server) mayEnd() bool  { return s.leaving.Load() >= mayEndNow }
-func (s *Server) mustEnd() bool { return s.leaving.Load() >= mustEndNow }
+func (s *Server) closesIdle() bool { return s.shutdownPhase.Load() >= phaseCloseIdle }
+func (s *Server) closesAll() bool  { return s.shutdownPhase.Load() >= phaseCloseAll }
 
-func (s *Server) transactionIdle() time.Duration {
+func (s *Server) transactionIdleTimeout() time.Duration {
 	if c := s.Configuration(); c != nil && c.TransactionIdle > 0 {
 		return c.TransactionIdle
 	}
-	return defaultTransactionIdle
+	return defaultTransactionIdleTimeout
 }
 
-// rollBack ends what is open on a connection and gives it back.
+// rollBack rolls back the connection's transaction in the background and returns it to the pool.
 func (s *Server) rollBack(b *Backend, c *lender.Conn) {
 	s.sessions.Add(1)
 	go func() {
@@ -184,9 +178,9 @@
 	}()
 }
 
-// finish waits for a late answer that nobody needs, so that the member isn't cut
-// off at work, and gives the connection back.
-func (s *Server) finish(b *Backend, c *lender.Conn, until time.Time) {
+// awaitLateReply waits in the background for a reply that is no longer needed, so that the
+// member isn't interrupted, and returns the connection to the pool.
+func (s *Server) awaitLateReply(b *Backend, c *lender.Conn, until time.Time) {
 	go func() {
 		if err := c.Finish(until); err != nil {
 			c.Close()
@@ -195,26 +189,26 @@
 	}()
 }
 
-func (s *Server) decide(part string, fields ...any) { s.Decide(part, fields...) }
-func (s *Server) count(name string)                 { s.Count(name) }
-func (s *Server) refused(reason Reason)             { s.Refused(reason) }
-func (s *Server) retried(reason Reason)             { s.Retried(reason) }
+func (s *Server) logDecision(part string, fields ...any) { s.Decide(part, fields...) }
+func (s *Server) count(name string)                      { s.Count(name) }
+func (s *Server) countRefused(reason Reason)             { s.Refused(reason) }
+func (s *Server) countRetried(reason Reason)             { s.Retried(reason) }
 
-func (s *Server) served(r tracker.Route, took time.Duration) { s.Served(r, took) }
+func (s *Server) recordServed(r tracker.Route, took time.Duration) { s.Served(r, took) }
 
-// lost takes in that a member says it is not the primary.
-func (b *Backend) lost(member string) {
+// handleNotPrimary records that a member replied that it is not the primary.
+func (b *Backend) handleNotPrimary(member string) {
 	b.Group.Lost(member)
 	b.Suspect(member)
 }
 
 func (b *Backend) suspect(member string) { b.Suspect(member) }
 
-// comeBack is when a refused caller should try again.
-func (b *Backend) comeBack() time.Duration {
+// retryAfter returns the retry hint for a refused caller.
+func (b *Backend) retryAfter() time.Duration {
 	if b.Group.Primary() == "" {
-		return changeComeBack
+		return failoverRetryAfter
 	}
 	_, _, waiting, _ := b.Pool.Load()
-	return shortestComeBack + time.Duration(waiting)*busyPause
+	return minRetryAfter + time.Duration(waiting)*minBusyBackoff
 }
--- a/internal/dispatcher/session.go
+++ b/internal/dispatcher/session.go
@@ -21,108 +21,106 @@
 		net        net.Conn
 		statements messenger.Statements
 		database   string
-		// key is the digest of what the caller presented, where it did.
-		key      identifier.Key
-		hasKey   bool
-		values   lender.Values
-		prepared map[string]lender.Prepared
-		floor    tracker.Floor
-		state    messenger.State
-		tx       *transaction
-		buffer   []byte
-		// last is the ID of the caller's last statement.
-		last string
+		// key is the digest of the key that the caller presented, if hasKey is set.
+		key         identifier.Key
+		hasKey      bool
+		values      lender.Values
+		prepared    map[string]lender.Prepared
+		floor       tracker.Floor
+		state       messenger.State
+		tx          *transaction
+		writeBuffer []byte
+		// lastID is the ID of the caller's latest statement.
+		lastID string
 	}
 
-	// transaction is what is open on behalf of the caller. It takes a connection
-	// with its first statement, so that a caller who pauses after opening it holds
-	// none.
+	// transaction is a caller's open transaction. It takes a connection only with its first
+	// statement, so that a caller that is idle after BEGIN holds none.
 	transaction struct {
 		access
 		readOnly bool
-		// keyLost is when the caller's key turned out not to be the customer's any more; 0
-		// while it is.
-		keyLost tracker.Stamp
-		arrived tracker.Stamp
-		conn    *lender.Conn
-		wrote   bool
+		// keyRevokedAt is when the caller's key was found to be revoked; 0 while it is valid.
+		keyRevokedAt tracker.Stamp
+		arrived      tracker.Stamp
+		conn         *lender.Conn
+		wrote        bool
 	}
 )
 
-// run serves the caller until it leaves or the server does.
+// run serves the caller until it disconnects or the server shuts down.
 func (s *session) run(ctx context.Context) {
-	defer s.leave()
-	if !s.open() {
+	defer s.close()
+	if !s.handshake() {
 		return
 	}
 	for {
-		q, ok := s.next()
+		q, ok := s.nextStatement()
 		if !ok {
 			return
 		}
-		s.last = q.ID
+		s.lastID = q.ID
 		reply := s.handle(ctx, q)
-		s.buffer = s.server.Codec.AppendReply(s.buffer[:0], reply)
+		s.writeBuffer = s.server.Codec.AppendReply(s.writeBuffer[:0], reply)
 		_ = s.net.SetWriteDeadline(time.Now().Add(callerWriteTimeout))
-		if _, err := s.net.Write(s.buffer); err != nil {
-			s.server.decide("statement", "id", q.ID, "outcome", "answer-not-delivered", "code", reply.Code, "database", s.database, "cause", err)
+		if _, err := s.net.Write(s.writeBuffer); err != nil {
+			s.server.logDecision("statement", "id", q.ID, "outcome", "answer-not-delivered", "code", reply.Code, "database", s.database, "cause", err)
 			return
 		}
 	}
 }
 
-// open answers the caller's first message.
-func (s *session) open() bool {
+// handshake answers the caller's first message.
+func (s *session) handshake() bool {
 	_ = s.net.SetDeadline(time.Now().Add(startTimeout))
 	start, err := s.statements.Start()
 	if err != nil {
 		s.server.count(CountMalformed)
-		s.answerStart(s.refuse("session", "", messenger.CodeMalformed, reasonOfCode(messenger.CodeMalformed), "want a start message"))
+		s.replyStart(s.refuse("session", "", messenger.CodeMalformed, reasonForCode(messenger.CodeMalformed), "want a start message"))
 		return false
 	}
 	s.database, s.key, s.hasKey = start.Database, start.Key, start.HasKey
 	c := s.server.Configuration()
 	if c == nil {
-		// Nothing was known for as long as the instance runs, so it may take as long again.
-		again := min(max(time.Since(s.server.started), shortestComeBack), longestComeBack)
-		s.answerStart(s.refuse("session", "", messenger.CodeBusy, ReasonNoConfiguration, retryText(ReasonNoConfiguration, again)))
+		// The time without a configuration so far is the estimate of how long it will last.
+		again := min(max(time.Since(s.server.started), minRetryAfter), maxRetryAfter)
+		s.replyStart(s.refuse("session", "", messenger.CodeBusy, ReasonNoConfiguration, retryDetail(ReasonNoConfiguration, again)))
 		return false
 	}
-	if _, reply, ok := s.access("session", ""); !ok {
-		s.answerStart(reply)
+	if _, reply, ok := s.authorize("session", ""); !ok {
+		s.replyStart(reply)
 		return false
 	}
-	return s.answerStart(messenger.Reply{})
+	return s.replyStart(messenger.Reply{})
 }
 
-func (s *session) answerStart(r messenger.Reply) bool {
+func (s *session) replyStart(r messenger.Reply) bool {
 	_, err := s.net.Write(s.server.Codec.AppendStarted(nil, r))
 	return err == nil
 }
 
-// refuse answers what is rejected here and reaches no member: it counts the reason and
-// writes a line, so that each refusal a caller has seen can be found.
+// refuse answers a request that is rejected without asking a member. It counts and logs the
+// refusal.
 func (s *session) refuse(part, id string, code messenger.Code, reason Reason, detail string, fields ...any) messenger.Reply {
-	s.server.refused(reason)
-	s.server.decide(part, append([]any{"id", id, "outcome", "refused", "reason", reason, "database", s.database, "caller", s.net.RemoteAddr(), "detail", detail}, fields...)...)
+	s.server.countRefused(reason)
+	s.server.logDecision(part, append([]any{"id", id, "outcome", "refused", "reason", reason, "database", s.database, "caller", s.net.RemoteAddr(), "detail", detail}, fields...)...)
 	return s.reply(code, detail)
 }
 
-// malformed answers a statement that is not understood, or not in this state.
-func (s *session) malformed(q messenger.Statement, detail string) messenger.Reply {
-	return s.refuse("statement", q.ID, messenger.CodeMalformed, reasonOfCode(messenger.CodeMalformed), detail)
+// refuseMalformed answers a statement that can't be parsed or isn't allowed in this state.
+func (s *session) refuseMalformed(q messenger.Statement, detail string) messenger.Reply {
+	return s.refuse("statement", q.ID, messenger.CodeMalformed, reasonForCode(messenger.CodeMalformed), detail)
 }
 
-// retryText tells a caller that nothing has run, and when to come back.
-func retryText(reason Reason, again time.Duration) string {
+// retryDetail says that nothing has run, and when to retry.
+func retryDetail(reason Reason, again time.Duration) string {
 	return fmt.Sprintf("%s, not run, retry in %d ms", reason, again.Milliseconds())
 }
 
-// next reads the next statement. It is false when the session ends: the caller
-// left, or the server is leaving and no transaction is open.
-func (s *session) next() (messenger.Statement, bool) {
+// nextStatement reads the next statement. It is false when the session ends: the caller
+// disconnected, or the server is shutting down and no transaction is open.
+func (s *session) nextStatement() (messenger.Statement, bool) {
 	for {
-		if s.server.mayEnd() && s.state == messenger.StateIdle && !s.statements.Buffered() {
+		if s.server.closesIdle() && s.state == messenger.StateIdle && !s.statements.Buffered() {
 			return messenger.Statement{}, false
 		}
 		_ = s.net.SetReadDeadline(s.readDeadline())
@@ -131,20 +129,19 @@
 			return q, true
 		}
 		if !lender.IsTimeout(err) {
-			s.noteEnd(err)
+			s.logDisconnect(err)
 			return messenger.Statement{}, false
 		}
-		if s.server.mustEnd() && !s.statements.Buffered() {
+		if s.server.closesAll() && !s.statements.Buffered() {
 			return messenger.Statement{}, false
 		}
-		s.expire()
+		s.expireIdleTransaction()
 	}
 }
 
-// noteEnd tells how a caller left, unless it closed between transactions. A connection that
-// broke may have been cut on the way: which requests that hit, and in which state, must be
-// found afterwards.
-func (s *session) noteEnd(err error) {
+// logDisconnect logs how a caller disconnected, except for a regular close outside a
+// transaction.
+func (s *session) logDisconnect(err error) {
 	cut := !errors.Is(err, io.EOF)
 	if !cut && s.state == messenger.StateIdle {
 		return
@@ -158,42 +155,40 @@
 	if s.tx != nil && s.tx.conn != nil {
 		member = s.tx.conn.Member
 	}
-	s.server.decide("session", "id", s.last, "outcome", outcome, "database", s.database, "caller", s.net.RemoteAddr(),
+	s.server.logDecision("session", "id", s.lastID, "outcome", outcome, "database", s.database, "caller", s.net.RemoteAddr(),
 		"in-transaction", s.state != messenger.StateIdle, "member", member, "cause", err)
 }
 
-// readDeadline bounds the wait for the caller inside a transaction, whose
-// connection others wait for. Server.wake moves it when the server leaves.
+// readDeadline bounds the wait for the caller inside a transaction, which holds a
+// connection. Server.End moves it at shutdown.
 func (s *session) readDeadline() time.Time {
-	if s.server.mayEnd() {
-		return time.Now().Add(endInterval)
+	if s.server.closesIdle() {
+		return time.Now().Add(shutdownPollInterval)
 	}
 	if s.tx != nil && s.tx.conn != nil {
-		return time.Now().Add(s.server.transactionIdle())
+		return time.Now().Add(s.server.transactionIdleTimeout())
 	}
 	return time.Time{}
 }
 
-// expire rolls back a transaction that has rested for too long. The caller learns
-// it with its next statement: a message between statements would be taken for the
-// answer to one.
-func (s *session) expire() {
-	if s.tx == nil || s.tx.conn == nil || s.server.mayEnd() && !s.server.mustEnd() {
+// expireIdleTransaction rolls back a transaction that was idle for too long. The caller is
+// informed by the reply to its next statement: an unrequested message would be taken for a
+// reply.
+func (s *session) expireIdleTransaction() {
+	if s.tx == nil || s.tx.conn == nil || s.server.closesIdle() && !s.server.closesAll() {
 		return
 	}
-	s.server.refused(ReasonRestedTooLong)
-	s.server.decide("transaction", "outcome", "aborted", "reason", ReasonRestedTooLong, "database", s.database, "member", s.tx.conn.Member)
-	s.fail()
+	s.server.countRefused(ReasonRestedTooLong)
+	s.server.logDecision("transaction", "outcome", "aborted", "reason", ReasonRestedTooLong, "database", s.database, "member", s.tx.conn.Member)
+	s.failTransaction()
 }
 
-// leave frees what the session holds.
-func (s *session) leave() {
+func (s *session) close() {
 	s.endTransaction()
 	_ = s.net.Close()
 }
 
-// endTransaction rolls back and gives the connection back, without the caller
-// waiting for it.
+// endTransaction rolls the transaction back in the background.
 func (s *session) endTransaction() {
 	t := s.tx
 	s.tx = nil
@@ -203,8 +198,8 @@
 	s.server.rollBack(t.backend, t.conn)
 }
 
-// fail leaves the caller in a transaction that can only be rolled back.
-func (s *session) fail() {
+// failTransaction ends the transaction at the member; the caller can only roll it back.
+func (s *session) failTransaction() {
 	s.endTransaction()
 	s.state = messenger.StateFailed
 }
@@ -213,10 +208,10 @@
 func (s *session) handle(ctx context.Context, q messenger.Statement) messenger.Reply {
 	s.server.count(CountStatements)
 	if q.Kind == messenger.KindUnknown {
-		return s.malformed(q, "statement not understood")
+		return s.refuseMalformed(q, "statement not understood")
 	}
 	if s.state == messenger.StateFailed {
-		return s.handleFailed(q)
+		return s.handleInFailedTransaction(q)
 	}
 	switch q.Kind {
 	case messenger.KindSet:
@@ -236,17 +231,17 @@
 		return s.reply(messenger.CodeNone, "")
 	case messenger.KindCommit:
 		if s.tx == nil {
-			return s.malformed(q, "no transaction is open")
+			return s.refuseMalformed(q, "no transaction is open")
 		}
 		return s.commit(ctx, q)
 	default:
-		return s.work(ctx, q)
+		return s.execute(ctx, q)
 	}
 }
 
-// handleFailed answers inside a transaction that has failed: only its end is
-// possible, and the end is a rollback.
-func (s *session) handleFailed(q messenger.Statement) messenger.Reply {
+// handleInFailedTransaction answers a statement in a failed transaction, which only a
+// rollback or commit ends; both roll back.
+func (s *session) handleInFailedTransaction(q messenger.Statement) messenger.Reply {
 	switch q.Kind {
 	case messenger.KindRollback:
 		s.state = messenger.StateIdle
@@ -265,9 +260,9 @@
 
 func (s *session) begin(q messenger.Statement) messenger.Reply {
 	if s.tx != nil {
-		return s.malformed(q, "a transaction is open")
+		return s.refuseMalformed(q, "a transaction is open")
 	}
-	a, reply, ok := s.access("statement", q.ID)
+	a, reply, ok := s.authorize("statement", q.ID)
 	if !ok {
 		return reply
 	}
@@ -276,24 +271,24 @@
 	return s.reply(messenger.CodeNone, "")
 }
 
-// work runs a read or a write, alone or in the open transaction.
-func (s *session) work(ctx context.Context, q messenger.Statement) messenger.Reply {
-	x := &exchange{session: s, statement: q, arrived: s.server.Clock(), start: time.Now()}
+// execute runs a read or a write, alone or in the open transaction.
+func (s *session) execute(ctx context.Context, q messenger.Statement) messenger.Reply {
+	x := &execution{session: s, statement: q, arrived: s.server.Clock(), start: time.Now()}
 	x.command = messenger.Command{ID: q.ID, Kind: q.Kind, Text: q.Text}
 	x.writes = q.Kind == messenger.KindWrite
 	if q.Kind == messenger.KindExecute {
 		p, ok := s.prepared[q.Name]
 		if !ok {
-			return s.malformed(q, "no prepared statement of that name")
+			return s.refuseMalformed(q, "no prepared statement of that name")
 		}
 		x.prepared, x.writes = &p, p.Writes
 		x.command.Text, x.command.Rest = "", q.Rest
 	}
 	if s.tx != nil {
 		x.access = s.tx.access
-		return x.inTransaction(ctx)
+		return x.runInTransaction(ctx)
 	}
-	a, reply, ok := s.access("statement", q.ID)
+	a, reply, ok := s.authorize("statement", q.ID)
 	if !ok {
 		return reply
 	}
@@ -305,7 +300,7 @@
 }
 
 func (s *session) commit(ctx context.Context, q messenger.Statement) messenger.Reply {
-	x := &exchange{session: s, statement: q, arrived: s.server.Clock(), start: time.Now()}
+	x := &execution{session: s, statement: q, arrived: s.server.Clock(), start: time.Now()}
 	x.command = messenger.Command{ID: q.ID, Kind: q.Kind, Text: q.Text}
 	x.access = s.tx.access
 	return x.commit(ctx)
--- a/internal/dispatcher/transaction.go
+++ b/internal/dispatcher/transaction.go
@@ -9,61 +9,61 @@
 	"github.com/oriolegw/oriolegw/internal/tracker"
 )
 
-// inTransaction runs a statement of the open transaction.
-func (x *exchange) inTransaction(ctx context.Context) messenger.Reply {
+// runInTransaction runs a statement of the open transaction.
+func (x *execution) runInTransaction(ctx context.Context) messenger.Reply {
 	t := x.session.tx
-	if reply, ok := x.keyHeld(); !ok {
+	if reply, ok := x.checkKey(); !ok {
 		return reply
 	}
 	if t.conn == nil {
-		if reply, ok := x.bind(ctx); !ok {
+		if reply, ok := x.bindConnection(ctx); !ok {
 			return reply
 		}
 	}
-	commands, lead := x.commands(t.conn, nil, nil)
+	commands, index := x.commands(t.conn, nil, nil)
 	replies, _, err := x.send(t.conn, commands, x.deadline())
 	if err != nil {
 		t.conn.Close()
 		x.backend.suspect(t.conn.Member)
 		return x.abort(ReasonNoAnswer)
 	}
-	r := replies[lead]
+	r := replies[index]
 	if r.Code != messenger.CodeNone || r.State != messenger.StateOpen {
 		if r.Code == messenger.CodeNotPrimary {
-			x.backend.lost(t.conn.Member)
+			x.backend.handleNotPrimary(t.conn.Member)
 		}
-		return x.abort(reasonOfCode(r.Code))
+		return x.abort(reasonForCode(r.Code))
 	}
 	t.wrote = t.wrote || x.writes
-	return x.done(t.conn.Member, r)
+	return x.complete(t.conn.Member, r)
 }
 
-// bind gives the transaction its connection and opens it there. The opening has its
-// own round trip: were the statement sent with it and the opening refused, a write
-// could run by itself and be committed.
-func (x *exchange) bind(ctx context.Context) (messenger.Reply, bool) {
+// bindConnection assigns a connection to the transaction and opens the transaction there.
+// BEGIN takes a round trip of its own: sent together with a write and refused, it would
+// leave the write to be committed by itself.
+func (x *execution) bindConnection(ctx context.Context) (messenger.Reply, bool) {
 	t := x.session.tx
 	x.arrived = t.arrived
 	for {
-		choose := x.primary
+		candidates := x.primaryCandidates
 		if t.readOnly {
-			choose = x.freshest
+			candidates = x.readCandidates
 		}
-		c, err := x.borrow(ctx, choose)
+		c, err := x.checkout(ctx, candidates)
 		if err != nil {
-			return x.refuseLent(err), false
+			return x.refuseCheckout(err), false
 		}
-		open := messenger.Command{Kind: messenger.KindBegin}
+		begin := messenger.Command{Kind: messenger.KindBegin}
 		switch {
-		case t.readOnly && x.fresh():
-			open = messenger.Command{Kind: messenger.KindBeginReadOnly, After: x.need}
+		case t.readOnly && x.resolveMinPosition():
+			begin = messenger.Command{Kind: messenger.KindBeginReadOnly, After: x.minPosition}
 		case c.Member != x.backend.Group.Primary():
 			x.backend.Pool.Return(c)
 			continue
 		}
-		r, err := x.open(c, open)
+		r, err := x.sendBegin(c, begin)
 		if err != nil {
-			if x.retry(c.Member, ReasonNoAnswer) {
+			if x.recordFailedAttempt(c.Member, ReasonNoAnswer) {
 				continue
 			}
 			return x.refuse(ReasonNoAnswer), false
@@ -73,96 +73,94 @@
 			return messenger.Reply{}, true
 		}
 		if r.Code == messenger.CodeBehind {
-			x.backend.Group.Behind(x.session.server.Clock(), c.Member, x.need)
+			x.backend.Group.Behind(x.session.server.Clock(), c.Member, x.minPosition)
 		}
-		if !x.again(c, r) {
-			return x.refuse(reasonOfCode(r.Code)), false
+		if !x.releaseForRetry(c, r) {
+			return x.refuse(reasonForCode(r.Code)), false
 		}
 	}
 }
 
-// open opens a transaction on a connection. Without an answer the connection is gone.
-func (x *exchange) open(c *lender.Conn, open messenger.Command) (messenger.Reply, error) {
-	fit, _ := c.Fit(x.session.values, x.prepared, false)
-	asked := x.session.server.Clock()
-	replies, _, err := x.send(c, append(fit, open), time.Now().Add(beginTimeout))
+// sendBegin opens a transaction on a connection, and closes the connection without an answer.
+func (x *execution) sendBegin(c *lender.Conn, begin messenger.Command) (messenger.Reply, error) {
+	setup, _ := c.Fit(x.session.values, x.prepared, false)
+	sentAt := x.session.server.Clock()
+	replies, _, err := x.send(c, append(setup, begin), time.Now().Add(beginTimeout))
 	if err != nil {
 		c.Close()
 		x.backend.Pool.Return(c)
 		x.backend.suspect(c.Member)
 		return messenger.Reply{}, err
 	}
-	r := replies[len(fit)]
-	if r.Code == messenger.CodeNone && open.Kind == messenger.KindBegin {
-		x.backend.Group.Prove(tracker.Proof{At: asked, Position: r.Position})
+	r := replies[len(setup)]
+	if r.Code == messenger.CodeNone && begin.Kind == messenger.KindBegin {
+		x.backend.Group.Prove(tracker.Proof{At: sentAt, Position: r.Position})
 	}
 	return r, nil
 }
 
-// commit ends the open transaction. Without an answer its outcome is unknown, unless
-// it wrote nothing.
-func (x *exchange) commit(ctx context.Context) messenger.Reply {
+// commit ends the open transaction. Without an answer the outcome is unknown, unless the
+// transaction wrote nothing.
+func (x *execution) commit(ctx context.Context) messenger.Reply {
 	s, t := x.session, x.session.tx
-	if reply, ok := x.keyHeld(); !ok {
-		return s.ended(reply)
+	if reply, ok := x.checkKey(); !ok {
+		return s.finishTransaction(reply)
 	}
 	if t.conn == nil {
-		if reply, ok := x.bind(ctx); !ok {
-			return s.ended(reply)
+		if reply, ok := x.bindConnection(ctx); !ok {
+			return s.finishTransaction(reply)
 		}
 	}
-	asked := s.server.Clock()
+	sentAt := s.server.Clock()
 	r, err := x.sendCommit(t)
 	if err != nil {
 		member := t.conn.Member
 		t.conn.Close()
 		x.backend.suspect(member)
 		if !t.wrote {
-			return s.ended(x.abort(ReasonNoAnswer))
+			return s.finishTransaction(x.abort(ReasonNoAnswer))
 		}
-		return s.ended(x.unknown(member, err))
+		return s.finishTransaction(x.outcomeUnknown(member, err))
 	}
 	switch {
 	case r.Code == messenger.CodeNone:
 		if t.wrote {
-			x.committed(asked, r)
+			x.recordCommit(sentAt, r)
 		}
 	case r.Code == messenger.CodeNotPrimary:
-		x.backend.lost(t.conn.Member)
-		return s.ended(x.abort(reasonOfCode(r.Code)))
+		x.backend.handleNotPrimary(t.conn.Member)
+		return s.finishTransaction(x.abort(reasonForCode(r.Code)))
 	case r.Code.NotRun() || r.Code == messenger.CodeAborted:
-		return s.ended(x.abort(reasonOfCode(r.Code)))
+		return s.finishTransaction(x.abort(reasonForCode(r.Code)))
 	}
 	member, idle := t.conn.Member, r.State == messenger.StateIdle
 	if idle {
 		s.tx = nil
 		x.backend.Pool.Return(t.conn)
 	}
-	return s.ended(x.done(member, r))
+	return s.finishTransaction(x.complete(member, r))
 }
 
-// sendCommit sends the commit, again while the member has no room for it: it is the
-// last that the transaction asks for, and frees its connection. Any other statement that
-// finds no room ends the transaction. Tried again as well, it keeps work at a member that
-// is overloaded: on 83 instances, with crashes and late replicas, the urgent requests then
-// had a p99 of 2,415 instead of 1,970 ms.
-func (x *exchange) sendCommit(t *transaction) (messenger.Reply, error) {
-	var pause roomPause
+// sendCommit sends the commit, and again while the member is busy: it is the transaction's
+// last statement and frees its connection. Other statements of a transaction are not
+// retried, which would keep load on an overloaded member.
+func (x *execution) sendCommit(t *transaction) (messenger.Reply, error) {
+	var backoff busyBackoff
 	for {
 		replies, _, err := x.send(t.conn, []messenger.Command{x.command}, x.deadline())
 		if err != nil {
 			return messenger.Reply{}, err
 		}
 		r := replies[0]
-		if r.Code != messenger.CodeBusy || r.State != messenger.StateOpen || !x.retry(t.conn.Member, reasonOfCode(r.Code)) {
+		if r.Code != messenger.CodeBusy || r.State != messenger.StateOpen || !x.recordFailedAttempt(t.conn.Member, reasonForCode(r.Code)) {
 			return r, nil
 		}
-		pause.wait()
+		backoff.wait()
 	}
 }
 
-// ended closes the transaction whatever became of it.
-func (s *session) ended(r messenger.Reply) messenger.Reply {
+// finishTransaction closes the transaction, whatever its outcome.
+func (s *session) finishTransaction(r messenger.Reply) messenger.Reply {
 	s.endTransaction()
 	s.state = messenger.StateIdle
 	r.State = s.state
--- a/internal/dispatcher/write.go
+++ b/internal/dispatcher/write.go
@@ -8,16 +8,16 @@
 	"github.com/oriolegw/oriolegw/internal/tracker"
 )
 
-// write runs a write outside a transaction. Once it was sent it is never sent
-// again, unless the member says that it has not run it.
-func (x *exchange) write(ctx context.Context) messenger.Reply {
+// write runs a write outside a transaction. Once sent it is only sent again if the member
+// replies that it has not run it.
+func (x *execution) write(ctx context.Context) messenger.Reply {
 	for {
-		c, err := x.borrow(ctx, x.primary)
+		c, err := x.checkout(ctx, x.primaryCandidates)
 		if err != nil {
-			return x.refuseLent(err)
+			return x.refuseCheckout(err)
 		}
-		commands, lead := x.commands(c, nil, nil)
-		asked := x.session.server.Clock()
+		commands, index := x.commands(c, nil, nil)
+		sentAt := x.session.server.Clock()
 		replies, sent, err := x.send(c, commands, x.deadline())
 		if err != nil {
 			member := c.Member
@@ -27,44 +27,44 @@
 			x.backend.Pool.Return(c)
 			x.backend.suspect(member)
 			if sent {
-				return x.unknown(member, err)
+				return x.outcomeUnknown(member, err)
 			}
-			if !x.retry(member, ReasonNotSent) {
+			if !x.recordFailedAttempt(member, ReasonNotSent) {
 				return x.refuse(ReasonNoAnswer)
 			}
 			continue
 		}
-		r := replies[lead]
+		r := replies[index]
 		if r.Code.NotRun() {
-			if x.again(c, r) {
+			if x.releaseForRetry(c, r) {
 				continue
 			}
-			return x.refuse(reasonOfCode(r.Code))
+			return x.refuse(reasonForCode(r.Code))
 		}
 		x.backend.Pool.Return(c)
 		if r.Code == messenger.CodeNone {
-			x.committed(asked, r)
+			x.recordCommit(sentAt, r)
 		}
-		return x.done(c.Member, r)
+		return x.complete(c.Member, r)
 	}
 }
 
-// committed takes in that a commit was acknowledged.
-func (x *exchange) committed(asked tracker.Stamp, r messenger.Reply) {
+// recordCommit records an acknowledged commit's position.
+func (x *execution) recordCommit(sentAt tracker.Stamp, r messenger.Reply) {
 	x.session.floor = tracker.Floor{Position: r.Position, At: x.session.server.Clock()}
-	x.backend.Group.Prove(tracker.Proof{At: asked, Position: r.Position})
+	x.backend.Group.Prove(tracker.Proof{At: sentAt, Position: r.Position})
 }
 
-// again returns the connection of a statement that the primary has not run, and
-// reports whether there is time to try once more.
-func (x *exchange) again(c *lender.Conn, r messenger.Reply) bool {
+// releaseForRetry returns the connection of a statement that the primary has not run, and
+// reports whether there is time for another attempt.
+func (x *execution) releaseForRetry(c *lender.Conn, r messenger.Reply) bool {
 	member := c.Member
 	switch r.Code {
 	case messenger.CodeNotPrimary:
-		x.backend.lost(member)
+		x.backend.handleNotPrimary(member)
 	case messenger.CodeUnknownStatement:
 		c.Forget()
 	}
 	x.backend.Pool.Return(c)
-	return x.retry(member, reasonOfCode(r.Code))
+	return x.recordFailedAttempt(member, reasonForCode(r.Code))
 }
