--- a/internal/router/asker.go
+++ b/internal/router/asker.go
@@ -8,53 +8,50 @@
 )
 
 type (
-	// Wanted says that a caller needs a watermark taken from now on: its floor
-	// is unknown, or it accepts no age.
+	// Wanted reports that a caller needs a watermark taken from now on: the position of its
+	// last write is unknown, or it accepts no staleness.
 	Wanted struct{ Service string }
 
-	// Asker asks a group's members when a watermark is wanted, beside the
-	// questions that the observer asks at its own pace. It answers bursts of
-	// connects and of strict reads: all that come while a question is open, or
-	// shortly after one, share the next. Without it each would wait for half an
-	// observer's interval; asking once for each would let the callers of one
-	// instance overrun the targets.
+	// Asker queries a group's members when a watermark is wanted, in addition to the
+	// observer's periodic queries. Requests that arrive while a query is pending, or
+	// within minQueryInterval of one, share the next query, so that a burst of callers
+	// doesn't overload the members.
 	Asker struct {
-		groups map[string]*asking
+		groups map[string]*queryState
 	}
 
-	asking struct {
-		wanted bool
-		next   time.Time
+	queryState struct {
+		wanted      bool
+		nextAllowed time.Time
 	}
 )
 
-// askPause is the least time between two questions to a group. At 9 instances a
-// member answers at most 9 / 20 ms = 450 of them a second; a caller waits for
-// at most this much more than a round trip.
-const askPause = 20 * time.Millisecond
+// minQueryInterval bounds the rate of queries to a group, and what a caller waits in
+// addition to the round trip.
+const minQueryInterval = 20 * time.Millisecond
 
 // EventName implements controller.Event.
 func (Wanted) EventName() string { return "watermark-wanted" }
 
-// want notes a wish for a fresh watermark of a group.
-func (a *Asker) want(service string) {
+// request records that a fresh watermark of a group is wanted.
+func (a *Asker) request(service string) {
 	if a.groups == nil {
-		a.groups = map[string]*asking{}
+		a.groups = map[string]*queryState{}
 	}
 	if a.groups[service] == nil {
-		a.groups[service] = &asking{}
+		a.groups[service] = &queryState{}
 	}
 	a.groups[service].wanted = true
 }
 
-// due returns the questions that may be asked now. Members that don't answer
-// are left to the observer: a watermark needs a majority only.
-func (a *Asker) due(now time.Time, g *Group) []controller.Action {
-	q := a.groups[g.Service.Name]
-	if q == nil || !q.wanted || now.Before(q.next) {
+// dueQueries returns the queries that may be sent now. Members that don't respond are
+// left to the observer: a watermark needs a majority only.
+func (a *Asker) dueQueries(now time.Time, g *Group) []controller.Action {
+	state := a.groups[g.Service.Name]
+	if state == nil || !state.wanted || now.Before(state.nextAllowed) {
 		return nil
 	}
-	q.wanted, q.next = false, now.Add(askPause)
+	state.wanted, state.nextAllowed = false, now.Add(minQueryInterval)
 	var out []controller.Action
 	for i, m := range g.Service.Members {
 		if g.Members[i].Failures == 0 {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -16,15 +16,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// group is a slice with one group of three, fed by hand.
-type group struct {
+// fixture is a slice with one group of three members, whose events the test supplies.
+type fixture struct {
 	*Slice
 	now time.Time
 }
 
-func newGroup() *group {
+func newFixture() *fixture {
 	s := &Slice{Published: &atomic.Pointer[Table]{}}
-	g := &group{Slice: s, now: time.Unix(1000, 0)}
+	g := &fixture{Slice: s, now: time.Unix(1000, 0)}
 	d := &configurer.Document{Services: []configurer.Service{{Name: "jobs"}}}
 	for i, zone := range []string{"a", "b", "c"} {
 		d.Services[0].Members = append(d.Services[0].Members, configurer.Member{Name: zone, Address: fmt.Sprint(i), Zone: zone})
@@ -33,90 +33,93 @@
 	return g
 }
 
-// see gives an answer of member a, b or c, asked now.
-func (g *group) see(member string, role string, term, offset uint64) {
+// observeMember supplies a member's status, queried now.
+func (g *fixture) observeMember(member string, role string, term, offset uint64) {
 	p := orderer.Position{Term: term, Offset: offset}
 	g.Step(g.now, observer.Observed{Service: "jobs", Member: member, Started: g.now, Status: commander.Status{Role: role, Term: term, Received: p, Replayed: p}})
 }
 
-// round is what all three answer: a is the primary.
-func (g *group) round(a, b, c uint64) {
+// observeAll supplies the statuses of all three members; a is the primary.
+func (g *fixture) observeAll(a, b, c uint64) {
 	g.now = g.now.Add(100 * time.Millisecond)
-	g.see("a", commander.RolePrimary, 1, a)
-	g.see("b", commander.RoleReplica, 1, b)
-	g.see("c", commander.RoleReplica, 1, c)
+	g.observeMember("a", commander.RolePrimary, 1, a)
+	g.observeMember("b", commander.RoleReplica, 1, b)
+	g.observeMember("c", commander.RoleReplica, 1, c)
 }
 
-func (g *group) choose(r Request) Choice {
+func (g *fixture) choose(r Request) Choice {
 	return g.Published.Load().Group("jobs").Choose(g.now, r)
 }
 
-func at(offset uint64) orderer.Position { return orderer.Position{Term: 1, Offset: offset} }
+func position(offset uint64) orderer.Position { return orderer.Position{Term: 1, Offset: offset} }
 
 func TestChoose(t *testing.T) {
 	read := Request{Read: true, MaxAge: time.Second, Zone: "b"}
-	withFloor := func(o uint64) Request { r := read; r.Floor = at(o); return r }
+	withFloor := func(o uint64) Request { r := read; r.Floor = position(o); return r }
 	cases := map[string]struct {
-		feed    func(g *group)
+		observe func(g *fixture)
 		request Request
 		member  int
 		await   bool
 		why     string
 	}{
-		"a write":                     {request: Request{}, member: 0, why: whyWrite},
-		"a read that accepts no age":  {request: Request{Read: true}, member: 0, why: whyStrict},
-		"a read, replica in its zone": {request: read, member: 1, why: whyReplica},
-		"a read behind a floor":       {request: withFloor(11), member: 1, await: true, why: whyAwait},
-		"the near replica lags": {
-			feed:    func(g *group) { g.round(20, 5, 20) },
-			request: withFloor(15), member: 2, why: whyReplica,
+		"a write":                                         {request: Request{}, member: 0, why: reasonWrite},
+		"a read that accepts no staleness":                {request: Request{Read: true}, member: 0, why: reasonNoStaleness},
+		"a read, replica in its zone":                     {request: read, member: 1, why: reasonReplica},
+		"a read with a floor past the replicas' position": {request: withFloor(11), member: 1, await: true, why: reasonCatchUp},
+		"the replica in the zone lags": {
+			observe: func(g *fixture) { g.observeAll(20, 5, 20) },
+			request: withFloor(15), member: 2, why: reasonReplica,
 		},
 		"all replicas lag": {
-			feed: func(g *group) {
+			observe: func(g *fixture) {
 				for i := range uint64(12) {
-					g.round(20+i, 10, 10)
+					g.observeAll(20+i, 10, 10)
 				}
 			},
-			request: withFloor(31), member: 0, why: whyBehind,
+			request: withFloor(31), member: 0, why: reasonReplicasBehind,
 		},
-		"stated age reached by a lagging replica": {
-			feed: func(g *group) {
+		"lagging replica within the staleness bound": {
+			observe: func(g *fixture) {
 				for i := range uint64(5) {
-					g.round(20+i, 10, 20+i)
+					g.observeAll(20+i, 10, 20+i)
 				}
 			},
-			request: Request{Read: true, MaxAge: time.Minute, Zone: "b"}, member: 1, why: whyReplica,
+			request: Request{Read: true, MaxAge: time.Minute, Zone: "b"}, member: 1, why: reasonReplica,
 		},
-		"no majority within the age": {
-			feed:    func(g *group) { g.now = g.now.Add(2 * time.Second); g.see("b", commander.RoleReplica, 1, 10) },
-			request: read, member: -1, why: whyNoWitness,
+		"no majority within the staleness bound": {
+			observe: func(g *fixture) {
+				g.now = g.now.Add(2 * time.Second)
+				g.observeMember("b", commander.RoleReplica, 1, 10)
+			},
+			request: read, member: -1, why: reasonNoWatermark,
 		},
 		"floor of a newer term than the primary's": {
-			request: Request{Floor: orderer.Position{Term: 2, Offset: 1}}, member: -1, why: whyOldPrimary,
+			request: Request{Floor: orderer.Position{Term: 2, Offset: 1}}, member: -1, why: reasonOldPrimary,
 		},
-		"the near replica is leaving": {
-			feed:    func(g *group) { g.Step(g.now, drainer.TargetLeaving{Service: "jobs", Member: "b", Leaving: true}) },
-			request: read, member: 2, why: whyReplica,
+		"the replica in the zone is draining": {
+			observe: func(g *fixture) { g.Step(g.now, drainer.TargetLeaving{Service: "jobs", Member: "b", Leaving: true}) },
+			request: read, member: 2, why: reasonReplica,
 		},
-		"both replicas fail": {
-			feed: func(g *group) {
+		"both replicas are unresponsive": {
+			observe: func(g *fixture) {
 				for _, m := range []string{"b", "c"} {
 					g.Step(g.now, observer.Observed{Service: "jobs", Member: m, Err: errors.New("no answer")})
 				}
 			},
-			request: read, member: 0, why: whyBehind,
+			request: read, member: 0, why: reasonReplicasBehind,
 		},
-		"a replica that holds what the session has seen": {
-			feed:    func(g *group) { g.round(20, 11, 20) },
-			request: Request{Read: true, MaxAge: time.Minute, Zone: "b", Seen: at(15)}, member: 2, why: whyReplica,
+		"a replica that holds the newest position read": {
+			observe: func(g *fixture) { g.observeAll(20, 11, 20) },
+			request: Request{Read: true, MaxAge: time.Minute, Zone: "b", Seen: position(15)}, member: 2, why: reasonReplica,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			g := newGroup()
-			g.round(10, 10, 10)
-			if c.feed != nil {
-				c.feed(g)
+			g := newFixture()
+			g.observeAll(10, 10, 10)
+			if c.observe != nil {
+				c.observe(g)
 			}
 			got := g.choose(c.request)
 			must.Eq(t, c.member, got.Member, must.Sprint(got.Why))
@@ -126,23 +129,21 @@
 	}
 }
 
-// A caller wishes for a watermark, and the questions go out at the same moment of
-// the clock. Their answers are what it waits for.
-func TestSince(t *testing.T) {
-	g := newGroup()
-	g.round(10, 10, 10)
+// A watermark whose queries were sent at the very time of the request satisfies it.
+func TestSinceIncludesExactTime(t *testing.T) {
+	g := newFixture()
+	g.observeAll(10, 10, 10)
 	_, ok := g.groups["jobs"].Since(g.now)
 	must.True(t, ok)
 	_, ok = g.groups["jobs"].Since(g.now.Add(time.Nanosecond))
 	must.False(t, ok)
 }
 
-// Two replicas are equal, and the instance has few connections. It keeps to one
-// of them, so that no connection is given up for the other; instances with other
-// names keep to other ones, so that together they use all.
-func TestEqualReplicas(t *testing.T) {
-	g := newGroup()
-	g.round(10, 10, 10)
+// An instance keeps to one of two equal replicas, to reuse its connections, while instances
+// together use both.
+func TestInstanceKeepsToOneOfEqualReplicas(t *testing.T) {
+	g := newFixture()
+	g.observeAll(10, 10, 10)
 	used := map[int]bool{}
 	for _, name := range []string{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5", "entry-6"} {
 		r := Request{Read: true, MaxAge: time.Minute, Zone: "none", Home: HomeOf(name)}
@@ -156,11 +157,11 @@
 	must.Eq(t, map[int]bool{1: true, 2: true}, used)
 }
 
-// A replica comes back after failures. It gets part of the reads at first, and
-// its part grows; the others find another target all the while.
+// A recovered replica gets a growing fraction of the reads, and no read is left without a
+// target.
 func TestSlowStart(t *testing.T) {
-	g := newGroup()
-	g.round(10, 10, 10)
+	g := newFixture()
+	g.observeAll(10, 10, 10)
 	g.Step(g.now, observer.Observed{Service: "jobs", Member: "b", Err: errors.New("no answer")})
 	share := func() int {
 		n := 0
@@ -176,24 +177,24 @@
 	must.Eq(t, 0, share())
 	var shares []int
 	for range 3 {
-		g.round(10, 10, 10)
+		g.observeAll(10, 10, 10)
 		shares = append(shares, share())
 		g.now = g.now.Add(5 * time.Second)
 	}
 	must.Eq(t, []int{10, 60, 100}, shares)
 }
 
-// A minute of rounds is kept in few watermarks, and each stated age still finds
-// one that is not much younger.
-func TestThin(t *testing.T) {
-	g := newGroup()
+// An hour of watermarks is thinned to maxWatermarks, and each staleness bound still finds one
+// that is not much younger.
+func TestThinWatermarks(t *testing.T) {
+	g := newFixture()
 	for i := range uint64(36000) {
-		g.round(i, i, i)
+		g.observeAll(i, i, i)
 	}
 	w := g.Published.Load().Group("jobs")
 	must.LessEq(t, maxWatermarks, len(w.Watermarks))
 	for _, age := range []time.Duration{time.Second, 10 * time.Second, time.Minute, 30 * time.Minute} {
-		p, ok := w.freshness(g.now, age)
+		p, ok := w.positionForAge(g.now, age)
 		must.True(t, ok)
 		found := time.Duration(35999-p.Offset) * 100 * time.Millisecond
 		must.LessEq(t, age, found)
@@ -201,10 +202,9 @@
 	}
 }
 
-// Many callers want a watermark at once: their instance asks once, and again
-// only after a pause.
-func TestAsker(t *testing.T) {
-	g := newGroup()
+// Concurrent requests for a watermark share one query, repeated only after minQueryInterval.
+func TestWatermarkQueriesAreRateLimited(t *testing.T) {
+	g := newFixture()
 	count := func() (n int) {
 		for range 100 {
 			n += len(g.Step(g.now, Wanted{Service: "jobs"}))
@@ -212,21 +212,21 @@
 		return n
 	}
 	must.Eq(t, 3, count())
-	g.now = g.now.Add(askPause - time.Millisecond)
+	g.now = g.now.Add(minQueryInterval - time.Millisecond)
 	must.Eq(t, 0, count())
 	g.now = g.now.Add(time.Millisecond)
 	must.Eq(t, 3, len(g.Step(g.now, controller.Tick{})))
 	must.Eq(t, 0, len(g.Step(g.now, controller.Tick{})))
 }
 
-func TestExplainer(t *testing.T) {
+func TestExplainerKeepsNewestDecisions(t *testing.T) {
 	e := &Explainer{}
 	must.Eq(t, 0, len(e.Recent()))
-	for i := range explained + 3 {
+	for i := range explainerCapacity + 3 {
 		e.Add(Decision{Member: i})
 	}
 	r := e.Recent()
-	must.Eq(t, explained, len(r))
-	must.Eq(t, explained+2, r[0].Member)
-	must.Eq(t, 3, r[explained-1].Member)
+	must.Eq(t, explainerCapacity, len(r))
+	must.Eq(t, explainerCapacity+2, r[0].Member)
+	must.Eq(t, 3, r[explainerCapacity-1].Member)
 }
--- a/internal/router/table.go
+++ b/internal/router/table.go
@@ -1,5 +1,5 @@
-// Package router decides which target may serve a request. Control keeps a
-// table of what is known of each group; traffic reads immutable copies of it.
+// Package router decides which target serves a request. The control loop maintains a table
+// of each group's state; the request path reads immutable copies of it.
 package router
 
 import (
@@ -19,23 +19,21 @@
 )
 
 type (
-	// Table is what is known of all groups. It is never changed once published.
+	// Table holds the known state of all groups. It is immutable once published.
 	Table struct {
 		Version  int64
 		Document *configurer.Document
-		// Replaced is closed when a newer table has been published.
+		// Replaced is closed when a newer table is published.
 		Replaced chan struct{}
 
-		// shards hold the groups. A change copies the map of one shard only:
-		// with one map, each of some hundred observations a second copied all
-		// of 2,300 groups, which took a quarter of a core.
+		// shards hold the groups, so that a change copies the map of one shard only.
 		shards [observer.Shards]map[string]*Group
 	}
 
-	// Group is what is known of one group.
+	// Group is the known state of one group.
 	Group struct {
 		Service *configurer.Service
-		// Term is the newest term seen, Primary the index of its primary in
+		// Term is the newest term seen; Primary is the index of its primary in
 		// Service.Members, or -1.
 		Term    uint64
 		Primary int
@@ -44,30 +42,28 @@
 		Watermarks []Watermark
 	}
 
-	// Member is what is known of one target.
+	// Member is the known state of one target.
 	Member struct {
 		Status commander.Status
-		// Seen is when the question was sent that gave Status; zero is never.
+		// Seen is when the query that returned Status was sent; zero if there was none.
 		Seen time.Time
-		// Failures counts the questions in a row without answer.
+		// Failures counts consecutive unanswered queries.
 		Failures int
-		// Since is when the member answered again after failures; zero if it
-		// never failed.
+		// Since is when the member responded again after failures; zero if it never failed.
 		Since time.Time
-		// Leaving members get no reads.
+		// Leaving is set while the member is drained: it gets no reads.
 		Leaving bool
 	}
 
-	// Watermark says that every write acknowledged before Taken stands at or
-	// before Position.
+	// Watermark states that every write acknowledged before Taken is at or before Position.
 	Watermark struct {
 		Taken    time.Time
 		Position orderer.Position
 	}
 
-	// Slice keeps the table.
+	// Slice is the part of the control loop that maintains the table.
 	Slice struct {
-		// Published is where traffic reads the table.
+		// Published is the table that the request path reads.
 		Published *atomic.Pointer[Table]
 
 		version  int64
@@ -77,45 +73,44 @@
 	}
 )
 
-// maxWatermarks bounds what is kept of a group. With the spacing of thin it
-// reaches back for hours.
+// maxWatermarks bounds the watermarks kept of a group; thinWatermarks spaces them.
 const maxWatermarks = 64
 
 // Step implements controller.Slice.
 func (s *Slice) Step(now time.Time, e controller.Event) []controller.Action {
 	switch e := e.(type) {
 	case configurer.InForce:
-		s.apply(now, e)
-		s.replace(NewTable(s.version, s.document, s.groups))
+		s.applyConfiguration(now, e)
+		s.swapTable(NewTable(s.version, s.document, s.groups))
 	case observer.Observed:
 		if s.observe(now, e) {
 			s.publish(e.Service)
 		}
 	case drainer.TargetLeaving:
-		if s.leave(e) {
+		if s.setLeaving(e) {
 			s.publish(e.Service)
 		}
 	case Wanted:
-		s.asker.want(e.Service)
+		s.asker.request(e.Service)
 	case controller.Tick:
 	default:
 		return nil
 	}
-	return s.ask(now)
+	return s.pendingQueries(now)
 }
 
-// ask returns the questions for which callers wait.
-func (s *Slice) ask(now time.Time) []controller.Action {
+// pendingQueries returns the queries that callers wait for.
+func (s *Slice) pendingQueries(now time.Time) []controller.Action {
 	var out []controller.Action
 	for service := range s.asker.groups {
 		if g := s.groups[service]; g != nil {
-			out = append(out, s.asker.due(now, g)...)
+			out = append(out, s.asker.dueQueries(now, g)...)
 		}
 	}
 	return out
 }
 
-func (s *Slice) leave(e drainer.TargetLeaving) bool {
+func (s *Slice) setLeaving(e drainer.TargetLeaving) bool {
 	g := s.groups[e.Service]
 	if g == nil {
 		return false
@@ -131,7 +126,7 @@
 	return false
 }
 
-func (s *Slice) apply(now time.Time, e configurer.InForce) {
+func (s *Slice) applyConfiguration(now time.Time, e configurer.InForce) {
 	s.version, s.document = e.Version, e.Document
 	old := s.groups
 	s.groups = map[string]*Group{}
@@ -139,7 +134,7 @@
 		v := &e.Document.Services[i]
 		g := &Group{Service: v, Primary: -1, Members: make([]Member, len(v.Members))}
 		if o := old[v.Name]; o != nil {
-			// What a watermark says of the past stays true whoever the members are.
+			// Watermarks stay valid when the members change.
 			g.Term, g.Watermarks = o.Term, o.Watermarks
 			for j, m := range v.Members {
 				for k, n := range o.Service.Members {
@@ -149,7 +144,7 @@
 				}
 			}
 		}
-		g.derive(now)
+		g.deriveState(now)
 		s.groups[v.Name] = g
 	}
 }
@@ -166,7 +161,7 @@
 		next := g.clone()
 		n := &next.Members[i]
 		if errors.Is(e.Err, commander.ErrBusy) {
-			return false // the question was never sent
+			return false // the query was never sent
 		}
 		if e.Err != nil {
 			n.Failures++
@@ -175,11 +170,11 @@
 				n.Since = now
 			}
 			n.Failures = 0
-			if !e.Started.Before(n.Seen) { // not an answer that was overtaken
+			if !e.Started.Before(n.Seen) { // ignore an answer older than the known status
 				n.Status, n.Seen = e.Status, e.Started
 			}
 		}
-		next.derive(now)
+		next.deriveState(now)
 		s.groups[e.Service] = next
 		return true
 	}
@@ -193,8 +188,8 @@
 	return &n
 }
 
-// derive finds the primary of the newest term, and the newest watermark.
-func (g *Group) derive(now time.Time) {
+// deriveState updates the term, the primary of that term, and the watermarks.
+func (g *Group) deriveState(now time.Time) {
 	g.Primary = -1
 	for _, m := range g.Members {
 		g.Term = max(g.Term, m.Status.Term)
@@ -204,19 +199,18 @@
 			g.Primary = i
 		}
 	}
-	if w, ok := g.watermark(); ok {
+	if w, ok := g.majorityWatermark(); ok {
 		if n := len(g.Watermarks); n == 0 || g.Watermarks[n-1].Taken.Before(w.Taken) {
 			g.Watermarks = append(slices.Clip(g.Watermarks), w)
 		}
-		g.Watermarks = thin(now, g.Watermarks)
+		g.Watermarks = thinWatermarks(now, g.Watermarks)
 	}
 }
 
-// thin drops one watermark when there are too many: the one whose neighbours are
-// closest together for their age. A stated age of half an hour then still finds
-// one that is little younger, where the newest 64 would reach back for seconds
-// and count every replica that lags more as too old.
-func thin(now time.Time, w []Watermark) []Watermark {
+// thinWatermarks drops one watermark when there are too many: the one whose neighbours are
+// closest together relative to their age. Spacing then grows with age, so that large and
+// small staleness bounds both find a suitable one.
+func thinWatermarks(now time.Time, w []Watermark) []Watermark {
 	if len(w) <= maxWatermarks {
 		return w
 	}
@@ -230,15 +224,14 @@
 	return slices.Delete(slices.Clone(w), drop, drop+1)
 }
 
-// watermark reads the newest answers of a majority. An acknowledged write is
-// held by a majority, so any other majority, asked after the acknowledgement,
-// has a member that holds it: the largest position among them is at or past
-// it. No clocks of two machines are compared, and the primary is not needed,
-// so an old primary that believes in itself can't make replicas look fresh.
-func (g *Group) watermark() (Watermark, bool) {
+// majorityWatermark derives a watermark from the most recently queried majority. An
+// acknowledged write is held by a majority, so any majority queried later has a member that
+// holds it, and the largest position among them is at or past it. This needs neither
+// synchronized clocks nor the primary, so a former primary can't make replicas look fresh.
+func (g *Group) majorityWatermark() (Watermark, bool) {
 	var w Watermark
 	need := g.Service.Quorum()
-	for taken := range g.byAge() {
+	for taken := range g.byRecency() {
 		m := g.Members[taken]
 		if m.Seen.IsZero() {
 			return w, false
@@ -252,8 +245,8 @@
 	return w, false
 }
 
-// byAge yields member indexes, the most recently asked first.
-func (g *Group) byAge() func(func(int) bool) {
+// byRecency yields member indexes, the most recently queried first.
+func (g *Group) byRecency() func(func(int) bool) {
 	return func(yield func(int) bool) {
 		used := make([]bool, len(g.Members))
 		for range g.Members {
@@ -271,12 +264,12 @@
 	}
 }
 
-// Group returns what is known of a group; nil when there is none of the name.
+// Group returns a group's state, or nil if there is no such group.
 func (t *Table) Group(service string) *Group {
 	return t.shards[observer.Shard(service)][service]
 }
 
-// NewTable makes a table of groups, by service.
+// NewTable returns a table of the groups, keyed by service.
 func NewTable(version int64, document *configurer.Document, groups map[string]*Group) *Table {
 	t := &Table{Version: version, Document: document, Replaced: make(chan struct{})}
 	for n, g := range groups {
@@ -289,16 +282,16 @@
 	return t
 }
 
-// publish makes the table that has what is now known of one group.
+// publish publishes a table with one group's current state.
 func (s *Slice) publish(service string) {
 	t := &Table{Version: s.version, Document: s.document, Replaced: make(chan struct{}), shards: s.Published.Load().shards}
 	h := &t.shards[observer.Shard(service)]
 	*h = maps.Clone(*h)
 	(*h)[service] = s.groups[service]
-	s.replace(t)
+	s.swapTable(t)
 }
 
-func (s *Slice) replace(t *Table) {
+func (s *Slice) swapTable(t *Table) {
 	if old := s.Published.Swap(t); old != nil {
 		close(old.Replaced)
 	}
