--- a/internal/ranker/ranker.go
+++ b/internal/ranker/ranker.go
@@ -1,5 +1,5 @@
-// Package ranker orders instances for a key, so that all who know the same ones agree
-// without a message.
+// Package ranker orders instances for a key by rendezvous hashing: instances that know the
+// same list agree on the order without communication.
 package ranker
 
 import (
@@ -9,21 +9,20 @@
 	"slices"
 )
 
-// Rank orders a list for a key by rendezvous hashing: each entry has its own hash with the
-// key, and the largest comes first. A list that differs in one entry changes the order for
-// that entry only, 1 in len(list) of the keys.
+// Rank orders a list for a key, by the hash of each entry's name with the key. Adding or
+// removing an entry doesn't change the order of the others.
 func Rank[T any](key string, list []T, name func(T) string) []T {
-	return byScore(list, name, func(_ T, n string) uint64 { return mix(key, n) })
+	return sortByScore(list, name, func(_ T, n string) uint64 { return hashPair(key, n) })
 }
 
-// Weighted is Rank for entries of different weight, above 0: an entry of twice the weight
-// comes first for twice as many keys. When a weight changes, only keys of that entry move.
+// Weighted is Rank for entries with positive weights: an entry of twice the weight is first
+// for twice as many keys. A change of weight moves keys only from or to that entry.
 func Weighted[T any](key string, list []T, name func(T) string, weight func(T) float64) []T {
-	return byScore(list, name, func(x T, n string) float64 { return weight(x) / -math.Log(unit(mix(key, n))) })
+	return sortByScore(list, name, func(x T, n string) float64 { return weight(x) / -math.Log(toUnitInterval(hashPair(key, n))) })
 }
 
-// byScore returns a list in the order of scores, the largest first; equal ones by name.
-func byScore[T any, S cmp.Ordered](list []T, name func(T) string, score func(x T, name string) S) []T {
+// sortByScore returns a list ordered by descending score, then by name.
+func sortByScore[T any, S cmp.Ordered](list []T, name func(T) string, score func(x T, name string) S) []T {
 	type scored struct {
 		score S
 		name  string
@@ -37,19 +36,19 @@
 	slices.SortFunc(order, func(a, b scored) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.name, b.name))
 	})
-	out := make([]T, len(order))
+	sorted := make([]T, len(order))
 	for i, x := range order {
-		out[i] = x.entry
+		sorted[i] = x.entry
 	}
-	return out
+	return sorted
 }
 
-// unit maps a hash to a number between 0 and 1, both excluded.
-func unit(hash uint64) float64 { return (float64(hash>>11) + 0.5) / (1 << 53) }
+// toUnitInterval maps a hash to the open interval (0, 1).
+func toUnitInterval(hash uint64) float64 { return (float64(hash>>11) + 0.5) / (1 << 53) }
 
-// mix hashes a name with a key. The last bytes of an FNV hash barely reach its high bits,
-// and names differ in their last bytes: they are mixed once more.
-func mix(key, name string) uint64 {
+// hashPair hashes a key and a name. The finalizer spreads the last bytes, in which names
+// differ, into the high bits, which FNV alone hardly does.
+func hashPair(key, name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(key))
 	_, _ = h.Write([]byte{0})
--- a/internal/ranker/ranker_test.go
+++ b/internal/ranker/ranker_test.go
@@ -9,10 +9,10 @@
 	"github.com/shoenig/test/must"
 )
 
-func self(name string) string { return name }
+func identity(name string) string { return name }
 
-// An entry of four times the weight comes first for four times as many keys, and one whose
-// weight changes takes keys from others or gives them up; the others' order stays.
+// An entry's weight determines for how many keys it is first, and a change of its weight
+// doesn't reorder the others.
 func TestWeighted(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	weights := map[string]float64{"a": 4, "b": 1, "c": 1, "d": 1, "e": 1}
@@ -20,16 +20,16 @@
 	const keys = 8000
 	for k := range keys {
 		key := fmt.Sprint(k)
-		before := ranker.Weighted(key, names, self, func(n string) float64 { return weights[n] })
+		before := ranker.Weighted(key, names, identity, func(n string) float64 { return weights[n] })
 		first[before[0]]++
-		after := ranker.Weighted(key, names, self, func(n string) float64 {
+		after := ranker.Weighted(key, names, identity, func(n string) float64 {
 			if n == "a" {
 				return 1
 			}
 			return weights[n]
 		})
-		others := func(n string) bool { return n == "a" }
-		must.Eq(t, slices.DeleteFunc(before, others), slices.DeleteFunc(after, others))
+		changed := func(n string) bool { return n == "a" }
+		must.Eq(t, slices.DeleteFunc(before, changed), slices.DeleteFunc(after, changed))
 	}
 	must.Between(t, keys/2-300, first["a"], keys/2+300)
 	for _, n := range names[1:] {
@@ -37,14 +37,14 @@
 	}
 }
 
-// All that know the same entries agree, whatever order they know them in.
-func TestRankIgnoresOrder(t *testing.T) {
+// The order doesn't depend on the order of the input.
+func TestRankIgnoresInputOrder(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	for k := range 50 {
 		key := fmt.Sprint(k)
-		want := ranker.Rank(key, names, self)
-		turned := slices.Clone(names)
-		slices.Reverse(turned)
-		must.Eq(t, want, ranker.Rank(key, turned, self))
+		want := ranker.Rank(key, names, identity)
+		reversed := slices.Clone(names)
+		slices.Reverse(reversed)
+		must.Eq(t, want, ranker.Rank(key, reversed, identity))
 	}
 }
--- a/internal/retrier/retrier.go
+++ b/internal/retrier/retrier.go
@@ -1,55 +1,51 @@
-// Package retrier bounds how many tries of requests follow a first try that
-// failed.
+// Package retrier limits retries to a fraction of the requests.
 package retrier
 
 import "sync"
 
 const (
-	// DefaultPart is how many retries each first try pays for. A target that
-	// fails everything then sees 1.1 times the load of its callers; without a
-	// bound, each request that is tried until its deadline makes it ten times
-	// and more, and the target that was a little too slow is kept down.
+	// DefaultPart is the number of retries that each first attempt allows. It bounds the
+	// extra load on a target that fails everything to 10%.
 	DefaultPart = 0.1
-	// DefaultReserve is how many retries an instance may make beyond that: as
-	// many as it has requests in flight when a target is lost, so that those of
-	// a quiet group are retried too. The two users' instances hold 2 to 12
-	// connections of a group.
+	// DefaultReserve is the number of retries that an instance may make beyond that, so
+	// that a group with little traffic gets its requests in flight retried when a target
+	// is lost.
 	DefaultReserve = 12
 )
 
-// Budget counts tries of one group on one instance. It needs no clock: what it
-// bounds is a ratio. Set the exported fields before its use. A nil Budget bounds
-// nothing.
+// Budget is the retry budget of one group on one instance. It is a ratio of retries to first
+// attempts, so it needs no clock. Set the exported fields before use. A nil Budget allows
+// every retry.
 type Budget struct {
-	// Part is how much of a retry a first try pays for; 0 means DefaultPart.
+	// Part is the number of retries that a first attempt allows; 0 means DefaultPart.
 	Part float64
-	// Reserve is how many retries can be saved up; 0 means DefaultReserve.
+	// Reserve is the largest number of unused retries; 0 means DefaultReserve.
 	Reserve float64
 
-	mutex  sync.Mutex
-	spent  float64
-	opened bool
+	mutex       sync.Mutex
+	spent       float64
+	initialized bool
 }
 
-// First notes a first try.
+// First records a first attempt.
 func (b *Budget) First() {
 	if b == nil {
 		return
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.open()
+	b.applyDefaults()
 	b.spent = max(0, b.spent-b.Part)
 }
 
-// Retry reports whether a further try may be made, and counts it if so.
+// Retry reports whether a retry is allowed, and counts it if so.
 func (b *Budget) Retry() bool {
 	if b == nil {
 		return true
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.open()
+	b.applyDefaults()
 	if b.spent+1 > b.Reserve {
 		return false
 	}
@@ -57,11 +53,11 @@
 	return true
 }
 
-func (b *Budget) open() {
-	if b.opened {
+func (b *Budget) applyDefaults() {
+	if b.initialized {
 		return
 	}
-	b.opened = true
+	b.initialized = true
 	if b.Part == 0 {
 		b.Part = DefaultPart
 	}
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -8,10 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Every request fails at its target and each caller's request would be tried
-// until its deadline. The target sees a tenth more tries than requests, and not
-// a multiple, however long the failure lasts.
-func TestRetriesStayAFixedPart(t *testing.T) {
+// While every request fails, retries add about a tenth to the load, however long it lasts.
+func TestRetryRatioIsBounded(t *testing.T) {
 	b := &retrier.Budget{}
 	retries := 0
 	for range 10000 {
@@ -25,9 +23,8 @@
 	must.Between(t, 990, retries, 1000+retrier.DefaultReserve)
 }
 
-// A quiet group loses its primary with two requests in flight: both are retried,
-// though hardly any first tries have paid for it.
-func TestQuietGroupRetries(t *testing.T) {
+// Requests in flight are retried although few first attempts have filled the budget.
+func TestReserveAllowsRetriesAtLowTraffic(t *testing.T) {
 	b := &retrier.Budget{}
 	b.First()
 	b.First()
