--- a/internal/admitter/admitter.go
+++ b/internal/admitter/admitter.go
@@ -1,6 +1,6 @@
-// Package admitter decides which requests of a group are let in, which wait, for
-// how long, and which are turned away. Queue and Limit decide without clock,
-// network or goroutine; Gate puts them between traffic and the pool.
+// Package admitter is the admission control of a group: it admits, queues or refuses
+// requests. Queue and Limit decide without clock, network or goroutines; Gate connects
+// them to the connection pool.
 package admitter
 
 import (
@@ -15,7 +15,7 @@
 	ClassRead Class = iota
 	// ClassWrite is a write outside a transaction.
 	ClassWrite
-	// ClassTransaction keeps its connection until the caller ends it.
+	// ClassTransaction holds its connection until the caller ends the transaction.
 	ClassTransaction
 
 	classes = 3
@@ -25,22 +25,22 @@
 const DefaultCustomer = ""
 
 type (
-	// Class is what a request does with a connection, and so for how long.
+	// Class groups requests by how long they hold a connection.
 	Class int
 
-	// Request is one request that wants a connection.
+	// Request is a request for a connection.
 	Request struct {
-		// ID is unique among the requests that wait or run.
+		// ID is unique among the waiting and running requests.
 		ID       uint64
 		Customer string
 		Class    Class
-		// Target is the address of the member that it was routed to.
+		// Target is the address of the member that the request was routed to.
 		Target string
-		// Deadline is when it no longer makes sense to wait.
+		// Deadline is when the request stops waiting.
 		Deadline time.Time
 	}
 
-	// Decision is the fate of one request: admitted when Refusal is nil.
+	// Decision admits a request, or refuses it if Refusal is set.
 	Decision struct {
 		ID      uint64
 		Refusal *refuser.Refusal
@@ -48,7 +48,7 @@
 
 	// Outcome is how an admitted request ended.
 	Outcome struct {
-		// Held is how long it kept its connection.
+		// Held is how long the request kept its connection.
 		Held time.Duration
 		// Failed is set when the target was lost or gave no answer.
 		Failed bool
--- a/internal/admitter/gate.go
+++ b/internal/admitter/gate.go
@@ -12,42 +12,41 @@
 )
 
 type (
-	// Gate is one group's admission: what it lets in gets a connection of the
-	// pool. Set the exported fields, then call Configure, then Borrow and Return.
+	// Gate is one group's admission control in front of its pool. Set the exported fields,
+	// then call Configure before Borrow and Return.
 	Gate struct {
 		Pool *pooler.Pool
-		// Random spreads the times at which refused callers come back.
+		// Random adds jitter to the retry hints of refused callers.
 		Random *rand.Rand
 
-		mutex   sync.Mutex
-		queue   Queue
-		users   map[string]string
-		nextID  uint64
-		waiters map[uint64]chan *refuser.Refusal
-		lent    map[*pooler.Conn]lent
+		mutex     sync.Mutex
+		queue     Queue
+		users     map[string]string
+		nextID    uint64
+		waiters   map[uint64]chan *refuser.Refusal
+		checkouts map[*pooler.Conn]checkout
 	}
 
-	// Order is what the relayer asks for.
+	// Order describes the connection that a request needs.
 	Order struct {
 		Place pooler.Place
-		// User is the caller's user, which belongs to a customer.
+		// User is the caller's user, which determines the customer.
 		User  string
 		Class Class
 	}
 
-	lent struct {
+	checkout struct {
 		id    uint64
 		since time.Time
 	}
 )
 
-// Configure takes in the customers of the service in force. Requests that run
-// keep the share that they were admitted with.
+// Configure applies a service's customers and their shares. Running requests are unaffected.
 func (g *Gate) Configure(s *configurer.Service) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.waiters == nil {
-		g.waiters, g.lent = map[uint64]chan *refuser.Refusal{}, map[*pooler.Conn]lent{}
+		g.waiters, g.checkouts = map[uint64]chan *refuser.Refusal{}, map[*pooler.Conn]checkout{}
 	}
 	g.users = map[string]string{}
 	shares := map[string]int{}
@@ -59,28 +58,28 @@
 	}
 	g.queue.Random = g.Random
 	g.queue.SetShares(shares)
-	g.deliver(g.queue.Resize(g.Pool.Lendable()))
+	g.notify(g.queue.Resize(g.Pool.Lendable()))
 }
 
-// Resized tells the gate that the pool can lend more or fewer connections.
+// Resized applies a change of the number of connections that the pool can lend.
 func (g *Gate) Resized() {
 	n := g.Pool.Lendable()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.deliver(g.queue.Resize(n))
+	g.notify(g.queue.Resize(n))
 }
 
-// Waiting returns how many requests wait for a connection.
+// Waiting returns the number of requests that wait for a connection.
 func (g *Gate) Waiting() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.queue.Waiting()
 }
 
-// Borrow waits for the request's turn and lends it a connection. The error is a
-// *refuser.Refusal when the request was turned away, or one of the pool.
+// Borrow waits until the request is admitted and lends it a connection. The error is a
+// *refuser.Refusal if the request was refused, or an error of the pool.
 func (g *Gate) Borrow(ctx context.Context, o Order) (*pooler.Conn, error) {
-	id, err := g.enter(ctx, o)
+	id, err := g.awaitAdmission(ctx, o)
 	if err != nil {
 		return nil, err
 	}
@@ -88,72 +87,71 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if err != nil {
-		g.deliver(g.queue.Done(time.Now(), id, Outcome{Failed: true}))
+		g.notify(g.queue.Done(time.Now(), id, Outcome{Failed: true}))
 		return nil, err
 	}
 	if o.Class == ClassTransaction {
 		g.Pool.Lengthen(c)
 	}
-	g.lent[c] = lent{id: id, since: time.Now()}
+	g.checkouts[c] = checkout{id: id, since: time.Now()}
 	return c, nil
 }
 
-// Return gives a connection back.
+// Return returns a connection to the pool.
 func (g *Gate) Return(c *pooler.Conn) {
 	g.mutex.Lock()
-	l := g.lent[c]
-	delete(g.lent, c)
+	l := g.checkouts[c]
+	delete(g.checkouts, c)
 	g.mutex.Unlock()
 	failed := c.Broken
 	g.Pool.Return(c)
 	now := time.Now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.deliver(g.queue.Done(now, l.id, Outcome{Held: now.Sub(l.since), Failed: failed}))
+	g.notify(g.queue.Done(now, l.id, Outcome{Held: now.Sub(l.since), Failed: failed}))
 }
 
-// DropIdle closes the connections that are not lent.
+// DropIdle closes the idle connections.
 func (g *Gate) DropIdle() { g.Pool.DropIdle() }
 
-// enter waits until the request is admitted.
-func (g *Gate) enter(ctx context.Context, o Order) (uint64, error) {
+// awaitAdmission waits until the request is admitted or refused.
+func (g *Gate) awaitAdmission(ctx context.Context, o Order) (uint64, error) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(maxWait)
 	}
 	g.mutex.Lock()
 	g.nextID++
-	id, verdict := g.nextID, make(chan *refuser.Refusal, 1)
-	g.waiters[id] = verdict
-	g.deliver(g.queue.Arrive(time.Now(), Request{
+	id, decision := g.nextID, make(chan *refuser.Refusal, 1)
+	g.waiters[id] = decision
+	g.notify(g.queue.Arrive(time.Now(), Request{
 		ID: id, Customer: g.users[o.User], Class: o.Class, Target: o.Place.Address, Deadline: deadline,
 	}))
 	g.mutex.Unlock()
 	timer := time.NewTimer(min(time.Until(deadline), maxWait))
 	defer timer.Stop()
 	select {
-	case f := <-verdict:
+	case f := <-decision:
 		return id, asError(f)
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return id, g.leave(id, verdict)
+	return id, g.cancelWait(id, decision)
 }
 
-// leave ends the wait of a request whose time is up, unless its turn has come in
-// the same moment.
-func (g *Gate) leave(id uint64, verdict chan *refuser.Refusal) error {
+// cancelWait ends the wait of a request whose time is up, unless it was decided meanwhile.
+func (g *Gate) cancelWait(id uint64, decision chan *refuser.Refusal) error {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.deliver(g.queue.Expire(time.Now()))
+	g.notify(g.queue.Expire(time.Now()))
 	select {
-	case f := <-verdict:
+	case f := <-decision:
 		return asError(f)
 	default:
 	}
 	g.queue.Withdraw(id)
 	delete(g.waiters, id)
-	return refuser.New(refuser.QueueTimeout, "the caller's time is up")
+	return refuser.New(refuser.QueueTimeout, "the caller's deadline has passed")
 }
 
 func asError(f *refuser.Refusal) error {
@@ -163,8 +161,8 @@
 	return f
 }
 
-// deliver tells the waiting what was decided; the mutex is held.
-func (g *Gate) deliver(decisions []Decision) {
+// notify passes decisions to the waiting requests. The mutex must be held.
+func (g *Gate) notify(decisions []Decision) {
 	for _, d := range decisions {
 		if w := g.waiters[d.ID]; w != nil {
 			w <- d.Refusal
--- a/internal/admitter/limit.go
+++ b/internal/admitter/limit.go
@@ -6,109 +6,105 @@
 )
 
 const (
-	// startLimit is the limit of a target that is new or has come back. Load on
-	// it grows by one request a window, so a cold cache is met gently.
-	startLimit = 2
-	// windowSamples ends a window; windowLength ends a slack one.
-	windowSamples = 16
-	windowLength  = 500 * time.Millisecond
-	// Between growBelow and shrinkAbove times the usual latency the limit rests.
-	// The gap is the hysteresis: a target at its knee gives 1.5 to 2 times its
-	// unloaded latency (one request waits for one slot), and a limit that moved
-	// on that would swing forever.
-	growBelow   = 1.5
-	shrinkAbove = 2.0
-	// slack is added to both, for latencies so small that jitter doubles them.
-	slack = time.Millisecond
-	// shrinkBy is the factor of one step down, failBy that after a lost answer.
-	shrinkBy = 0.75
-	failBy   = 0.5
-	// baselineDrift lets the usual latency rise by 1% a window, so that a lasting
-	// change of the work becomes usual after some minutes and not before.
-	baselineDrift = 1.01
+	// initialLimit is the limit of a new or recovered target. It grows by one request per
+	// window, to spare cold caches.
+	initialLimit = 2
+	// A window ends after windowSamples samples or maxWindowDuration.
+	windowSamples     = 16
+	maxWindowDuration = 500 * time.Millisecond
+	// The limit is kept while the latency is between these multiples of the baseline. The
+	// gap is the hysteresis that keeps a target at its capacity, where a request waits for
+	// one slot, from oscillating.
+	increaseBelowRatio = 1.5
+	decreaseAboveRatio = 2.0
+	// latencyTolerance is added to both bounds, so that jitter of very small latencies
+	// doesn't matter.
+	latencyTolerance = time.Millisecond
+	// decreaseFactor applies to a slow window, failureFactor to one with a failure.
+	decreaseFactor = 0.75
+	failureFactor  = 0.5
+	// baselineGrowth bounds the rise of the baseline per window, so that a lasting change
+	// of the workload becomes the baseline only after minutes.
+	baselineGrowth = 1.01
 )
 
-// Limit finds how many requests a target takes at once, from its latency.
-//
-// It answers a target that slows down: without it every instance keeps as many
-// requests at the target as it has connections, the wait moves from here, where
-// it is fair and can be refused, to the target's own queue, where it is neither.
-// It steps up by one only when the limit was reached, and down by a quarter when
-// the median of a window is over twice the usual. The median, since one caller
-// that reads slowly, or one heavy statement, must not look like a slow target.
+// Limit is an adaptive concurrency limit of a target, derived from its latency, so that
+// excess requests wait in the fair queue here and not at the target. It rises by one when
+// it was reached, and falls by a factor when a window's median latency is above the
+// baseline. The median ignores single slow requests.
 type Limit struct {
-	// Ceiling bounds the limit; it is what the pool can lend.
+	// Ceiling is the largest limit: the number of connections that the pool can lend.
 	Ceiling int
 
-	limit    float64
-	baseline [classes]time.Duration
-	samples  [classes][]time.Duration
-	count    int
-	started  time.Time
-	reached  bool
-	failures int
+	limit       float64
+	baseline    [classes]time.Duration
+	samples     [classes][]time.Duration
+	sampleCount int
+	windowStart time.Time
+	saturated   bool
+	failures    int
 }
 
-// Now returns how many requests may be at the target at once, at least 1.
+// Now returns how many requests may be in flight at the target, at least 1.
 func (l *Limit) Now() int {
 	if l.limit == 0 {
-		l.limit = startLimit
+		l.limit = initialLimit
 	}
 	return max(1, min(int(l.limit), l.Ceiling))
 }
 
-// Reach notes that the limit kept a request waiting.
-func (l *Limit) Reach() { l.reached = true }
+// Reach records that the limit kept a request waiting.
+func (l *Limit) Reach() { l.saturated = true }
 
-// Sample takes in the end of a request. Transactions tell nothing of the
-// target, since their callers decide how long they last.
+// Sample records the end of a request. The duration of transactions is ignored: it depends
+// on their callers.
 func (l *Limit) Sample(now time.Time, c Class, o Outcome) {
-	if l.started.IsZero() {
-		l.started = now
+	if l.windowStart.IsZero() {
+		l.windowStart = now
 	}
 	if o.Failed {
 		l.failures++
 	} else if c != ClassTransaction {
 		l.samples[c] = append(l.samples[c], o.Held)
-		l.count++
+		l.sampleCount++
 	}
-	if l.count >= windowSamples || now.Sub(l.started) >= windowLength {
-		l.turn(now)
+	if l.sampleCount >= windowSamples || now.Sub(l.windowStart) >= maxWindowDuration {
+		l.closeWindow(now)
 	}
 }
 
-// turn ends a window.
-func (l *Limit) turn(now time.Time) {
+// closeWindow adjusts the limit and starts a new window.
+func (l *Limit) closeWindow(now time.Time) {
 	limit := float64(l.Now())
-	slow, fast := false, l.count > 0
+	slow, fast := false, l.sampleCount > 0
 	for c := range l.samples {
 		if len(l.samples[c]) == 0 {
 			continue
 		}
 		m := median(l.samples[c])
-		usual := l.learn(c, m)
-		slow = slow || m > scale(usual, shrinkAbove)+slack
-		fast = fast && m < scale(usual, growBelow)+slack
+		baseline := l.updateBaseline(c, m)
+		slow = slow || m > scale(baseline, decreaseAboveRatio)+latencyTolerance
+		fast = fast && m < scale(baseline, increaseBelowRatio)+latencyTolerance
 		l.samples[c] = l.samples[c][:0]
 	}
 	switch {
 	case l.failures > 0:
-		limit *= failBy
+		limit *= failureFactor
 	case slow:
-		limit *= shrinkBy
-	case fast && l.reached:
+		limit *= decreaseFactor
+	case fast && l.saturated:
 		limit++
 	}
 	l.limit = min(max(1, limit), float64(max(1, l.Ceiling)))
-	l.count, l.failures, l.reached, l.started = 0, 0, false, now
+	l.sampleCount, l.failures, l.saturated, l.windowStart = 0, 0, false, now
 }
 
-// learn returns the usual median of a class.
-func (l *Limit) learn(c int, m time.Duration) time.Duration {
+// updateBaseline updates the baseline latency of a class with a window's median and returns it.
+func (l *Limit) updateBaseline(c int, m time.Duration) time.Duration {
 	if b := l.baseline[c]; b == 0 || m < b {
 		l.baseline[c] = m
 	} else {
-		l.baseline[c] = min(m, scale(b, baselineDrift))
+		l.baseline[c] = min(m, scale(b, baselineGrowth))
 	}
 	return l.baseline[c]
 }
--- a/internal/admitter/queue.go
+++ b/internal/admitter/queue.go
@@ -9,117 +9,104 @@
 )
 
 const (
-	// maxWait bounds the wait for a connection, whatever the caller's deadline:
-	// a caller on the road has given up by then and asked again, and the first
-	// request would only take the place of the second.
+	// maxWait bounds the wait for a connection, whatever the deadline: a caller that times
+	// out and retries must not compete with its own earlier request.
 	maxWait = 2 * time.Second
-	// maxQueue bounds the requests that one customer has waiting. At 20
-	// connections and 5 ms a request, 128 are 32 ms of the group's work.
-	maxQueue = 128
-	// transactionPart is the part of the connections that transactions may hold
-	// while short work uses the group. At a half, the rest still turns over in
-	// milliseconds; above it, two idle callers inside BEGIN stop a small share.
-	transactionPart = 2
-	// firstGuess is the cost of a request of a class of which none has ended.
-	firstGuess = 5 * time.Millisecond
-	// guessWeight is the part of the newest sample in the guessed cost.
-	guessWeight = 0.1
+	// maxQueuedPerCustomer bounds the waiting requests of one customer.
+	maxQueuedPerCustomer = 128
+	// transactionDivisor: transactions may hold 1/transactionDivisor of the connections, so
+	// that idle ones can't block short requests.
+	transactionDivisor = 2
+	// initialCostEstimate is the estimated cost of a class before its first request ended.
+	initialCostEstimate = 5 * time.Millisecond
+	// costSampleWeight is the weight of the newest sample in the moving average of the cost.
+	costSampleWeight = 0.1
 
 	minRetryAfter = 20 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 )
 
 type (
-	// Queue decides for one group on one instance.
-	//
-	// Among customers it is start-time fair queuing: each has a virtual time
-	// that rises by the connection time it used over its share, and the customer
-	// with the least goes first. It answers one customer with 20 times the load
-	// of the others: in a plain queue they wait behind all of its backlog; here
-	// behind what is running. A free connection is never kept back from
-	// whoever can use it, so an idle customer's part is used by the others.
-	//
-	// Within a customer the classes are chosen by the same rule, so reads don't
-	// wait behind a backlog of transactions; and transactions together hold at
-	// most a part of the connections while there is other work.
+	// Queue is the admission queue of one group on one instance. Among customers it is
+	// start-time fair queuing by connection time over share, so that a customer's backlog
+	// delays only its own requests, and it is work-conserving: unused shares are used by
+	// others. Within a customer, the classes are chosen by the same rule.
 	Queue struct {
-		// Capacity is how many connections can be lent at once.
+		// Capacity is the number of connections that can be lent at once.
 		Capacity int
-		// Random spreads the times at which refused callers come back. Without
-		// it they come back together, as the same burst.
+		// Random adds jitter to retry hints, so that refused callers don't return as one burst.
 		Random *rand.Rand
 
 		shares    map[string]int
 		customers map[string]*customer
-		// order holds the customers as they came, so that equal input gives
-		// equal decisions.
-		order   []*customer
-		targets map[string]*target
-		running map[uint64]running
-		turns   fairer.Turns
-		waiting int
-		holding [classes]int
-		guess   [classes]time.Duration
+		// order holds the customers in order of arrival, for deterministic decisions.
+		order          []*customer
+		targets        map[string]*target
+		running        map[uint64]runningRequest
+		scheduler      fairer.Turns
+		waitingCount   int
+		runningByClass [classes]int
+		costEstimates  [classes]time.Duration
 	}
 
 	customer struct {
 		fairer.Flow
 		name  string
 		share float64
-		// turn is the lanes' virtual time: a class that was idle starts there,
-		// and has no claim on the time that it did not use.
-		turn   float64
-		lanes  [classes]lane
-		queued int
-		used   int
+		// virtualTime is that of the class queues: a class that was idle starts there, with no
+		// claim on the time that it did not use.
+		virtualTime  float64
+		classQueues  [classes]classQueue
+		queued       int
+		runningCount int
 	}
 
-	lane struct {
-		finish float64
-		queue  []waiting
+	classQueue struct {
+		virtualFinish float64
+		requests      []waitingRequest
 	}
 
 	target struct {
-		limit  Limit
-		inside int
+		limit    Limit
+		inFlight int
 	}
 
-	waiting struct {
+	waitingRequest struct {
 		Request
 		arrived time.Time
 	}
 
-	running struct {
+	runningRequest struct {
 		request Request
 		cost    time.Duration
 	}
 )
 
-// Arrive takes in a request and returns what is decided by it.
+// Arrive adds a request and returns the decisions that follow.
 func (q *Queue) Arrive(now time.Time, r Request) []Decision {
-	q.open()
+	q.createMaps()
 	c := q.customer(r.Customer)
 	if limit := now.Add(maxWait); r.Deadline.After(limit) {
 		r.Deadline = limit
 	}
-	wait := q.estimate(c, r.Class)
+	wait := q.estimateWait(c, r.Class)
 	switch {
-	case c.queued >= maxQueue:
-		return refuse(r.ID, q.comeBack(refuser.New(refuser.QueueFull, "%d requests of the customer are waiting", c.queued), wait))
+	case c.queued >= maxQueuedPerCustomer:
+		return refuse(r.ID, q.withRetryAfter(refuser.New(refuser.QueueFull, "%d requests of the customer are waiting", c.queued), wait))
 	case now.Add(wait).After(r.Deadline):
-		// It would be refused in the end: now, the caller can still use the time.
-		return refuse(r.ID, q.comeBack(refuser.New(refuser.Overload, "the wait would be about %v", wait.Round(time.Millisecond)), wait))
+		// It would miss its deadline anyway: refuse it while the caller has time left.
+		return refuse(r.ID, q.withRetryAfter(refuser.New(refuser.Overload, "the estimated wait is %v", wait.Round(time.Millisecond)), wait))
 	}
-	l := &c.lanes[r.Class]
-	l.queue = append(l.queue, waiting{Request: r, arrived: now})
+	l := &c.classQueues[r.Class]
+	l.requests = append(l.requests, waitingRequest{Request: r, arrived: now})
 	c.queued++
-	q.waiting++
+	q.waitingCount++
 	return q.dispatch()
 }
 
-// Done takes in the end of an admitted request.
+// Done records the end of an admitted request and returns the decisions that follow.
 func (q *Queue) Done(now time.Time, id uint64, o Outcome) []Decision {
-	q.open()
+	q.createMaps()
 	u, ok := q.running[id]
 	if !ok {
 		return nil
@@ -127,57 +114,56 @@
 	delete(q.running, id)
 	r := u.request
 	c, t := q.customer(r.Customer), q.target(r.Target)
-	c.used--
-	t.inside--
-	q.holding[r.Class]--
-	c.account(r.Class, o.Held-u.cost)
+	c.runningCount--
+	t.inFlight--
+	q.runningByClass[r.Class]--
+	c.charge(r.Class, o.Held-u.cost)
 	t.limit.Ceiling = max(1, q.Capacity)
 	t.limit.Sample(now, r.Class, o)
-	if q.guess[r.Class] == 0 {
-		q.guess[r.Class] = o.Held
+	if q.costEstimates[r.Class] == 0 {
+		q.costEstimates[r.Class] = o.Held
 	} else {
-		q.guess[r.Class] += scale(o.Held-q.guess[r.Class], guessWeight)
+		q.costEstimates[r.Class] += scale(o.Held-q.costEstimates[r.Class], costSampleWeight)
 	}
 	return q.dispatch()
 }
 
 // Expire refuses the requests whose deadline has passed.
 func (q *Queue) Expire(now time.Time) []Decision {
-	q.open()
+	q.createMaps()
 	var out []Decision
 	for _, c := range q.order {
-		for k := range c.lanes {
-			l := &c.lanes[k]
-			kept := l.queue[:0]
-			for _, w := range l.queue {
+		for k := range c.classQueues {
+			l := &c.classQueues[k]
+			kept := l.requests[:0]
+			for _, w := range l.requests {
 				if now.Before(w.Deadline) {
 					kept = append(kept, w)
 					continue
 				}
-				out = append(out, Decision{ID: w.ID, Refusal: q.late(c, w, now)})
+				out = append(out, Decision{ID: w.ID, Refusal: q.refusalAfterWait(c, w, now)})
 			}
-			c.queued -= len(l.queue) - len(kept)
-			q.waiting -= len(l.queue) - len(kept)
-			l.queue = kept
+			c.queued -= len(l.requests) - len(kept)
+			q.waitingCount -= len(l.requests) - len(kept)
+			l.requests = kept
 		}
 	}
 	return out
 }
 
-func (q *Queue) late(c *customer, w waiting, now time.Time) *refuser.Refusal {
+func (q *Queue) refusalAfterWait(c *customer, w waitingRequest, now time.Time) *refuser.Refusal {
 	waited := now.Sub(w.arrived).Round(time.Millisecond)
 	if q.Capacity == 0 {
 		return refuser.New(refuser.NoShare, "waited %v for a share of the connections", waited)
 	}
-	return q.comeBack(refuser.New(refuser.QueueTimeout, "waited %v", waited), q.estimate(c, w.Class))
+	return q.withRetryAfter(refuser.New(refuser.QueueTimeout, "waited %v", waited), q.estimateWait(c, w.Class))
 }
 
-// Withdraw takes out a request whose caller has gone. It is false for one that
-// is not waiting any more.
+// Withdraw removes a waiting request. It is false if the request is not waiting any more.
 func (q *Queue) Withdraw(id uint64) bool {
 	for _, c := range q.order {
-		for k := range c.lanes {
-			for i, w := range c.lanes[k].queue {
+		for k := range c.classQueues {
+			for i, w := range c.classQueues[k].requests {
 				if w.ID == id {
 					q.remove(c, k, i)
 					return true
@@ -188,14 +174,14 @@
 	return false
 }
 
-// Resize changes how many connections can be lent.
+// Resize sets the number of connections that can be lent.
 func (q *Queue) Resize(capacity int) []Decision {
-	q.open()
+	q.createMaps()
 	q.Capacity = capacity
 	return q.dispatch()
 }
 
-// SetShares sets the weights of customers; one that is not listed has 1.
+// SetShares sets the weights of customers; the default is 1.
 func (q *Queue) SetShares(shares map[string]int) {
 	q.shares = shares
 	for _, c := range q.order {
@@ -203,18 +189,18 @@
 	}
 }
 
-// Waiting returns how many requests wait.
-func (q *Queue) Waiting() int { return q.waiting }
+// Waiting returns the number of waiting requests.
+func (q *Queue) Waiting() int { return q.waitingCount }
 
-// Limit returns how many requests may be at a target at once.
+// Limit returns how many requests may be in flight at a target.
 func (q *Queue) Limit(address string) int {
-	q.open()
+	q.createMaps()
 	return q.target(address).limit.Now()
 }
 
-func (q *Queue) open() {
+func (q *Queue) createMaps() {
 	if q.customers == nil {
-		q.customers, q.targets, q.running = map[string]*customer{}, map[string]*target{}, map[uint64]running{}
+		q.customers, q.targets, q.running = map[string]*customer{}, map[string]*target{}, map[uint64]runningRequest{}
 	}
 }
 
@@ -237,63 +223,63 @@
 	return t
 }
 
-// dispatch admits what can run now.
+// dispatch admits the requests that can run now.
 func (q *Queue) dispatch() []Decision {
 	var out []Decision
 	for len(q.running) < q.Capacity {
-		c, k, i := q.next()
+		c, k, i := q.nextRequest()
 		if c == nil {
 			return out
 		}
 		r := q.remove(c, k, i).Request
-		cost := q.cost(r.Class)
-		q.turns.Start(&c.Flow)
-		l := &c.lanes[r.Class]
-		l.finish = max(l.finish, c.turn)
-		c.turn = l.finish
-		c.account(r.Class, cost)
-		c.used++
-		q.holding[r.Class]++
-		q.target(r.Target).inside++
-		q.running[r.ID] = running{request: r, cost: cost}
+		cost := q.costEstimate(r.Class)
+		q.scheduler.Start(&c.Flow)
+		l := &c.classQueues[r.Class]
+		l.virtualFinish = max(l.virtualFinish, c.virtualTime)
+		c.virtualTime = l.virtualFinish
+		c.charge(r.Class, cost)
+		c.runningCount++
+		q.runningByClass[r.Class]++
+		q.target(r.Target).inFlight++
+		q.running[r.ID] = runningRequest{request: r, cost: cost}
 		out = append(out, Decision{ID: r.ID})
 	}
 	return out
 }
 
-// next finds the request to run: of the customer with the least virtual time,
-// of its class with the least, the first whose target has room.
-func (q *Queue) next() (best *customer, k, i int) {
+// nextRequest returns the position of the request to run next: of the customer with the least
+// virtual time, from its class with the least, the first whose target is below its limit.
+func (q *Queue) nextRequest() (best *customer, k, i int) {
 	for _, c := range q.order {
-		if c.queued == 0 || (best != nil && !c.before(best)) {
+		if c.queued == 0 || (best != nil && !c.precedes(best)) {
 			continue
 		}
-		if ck, ci, ok := q.first(c); ok {
+		if ck, ci, ok := q.firstAdmissible(c); ok {
 			best, k, i = c, ck, ci
 		}
 	}
 	return best, k, i
 }
 
-func (c *customer) before(d *customer) bool {
+func (c *customer) precedes(d *customer) bool {
 	if c.Finish() != d.Finish() {
 		return c.Finish() < d.Finish()
 	}
 	return c.name < d.name
 }
 
-func (q *Queue) first(c *customer) (class, index int, ok bool) {
-	for k := range c.lanes {
-		if len(c.lanes[k].queue) == 0 || (ok && c.lanes[k].finish >= c.lanes[class].finish) {
+func (q *Queue) firstAdmissible(c *customer) (class, index int, ok bool) {
+	for k := range c.classQueues {
+		if len(c.classQueues[k].requests) == 0 || (ok && c.classQueues[k].virtualFinish >= c.classQueues[class].virtualFinish) {
 			continue
 		}
-		if Class(k) == ClassTransaction && !q.transactionFits() {
+		if Class(k) == ClassTransaction && !q.admitsTransaction() {
 			continue
 		}
-		for i, w := range c.lanes[k].queue {
+		for i, w := range c.classQueues[k].requests {
 			t := q.target(w.Target)
 			t.limit.Ceiling = max(1, q.Capacity)
-			if t.inside < t.limit.Now() {
+			if t.inFlight < t.limit.Now() {
 				class, index, ok = k, i, true
 				break
 			}
@@ -303,60 +289,59 @@
 	return class, index, ok
 }
 
-// transactionFits keeps part of the connections for short work. A single
-// connection is lent to either.
-func (q *Queue) transactionFits() bool {
-	return q.holding[ClassTransaction] < max(1, q.Capacity/transactionPart)
+// admitsTransaction reports whether another transaction may run, keeping part of the
+// connections for short requests. A single connection is lent to either.
+func (q *Queue) admitsTransaction() bool {
+	return q.runningByClass[ClassTransaction] < max(1, q.Capacity/transactionDivisor)
 }
 
-func (q *Queue) remove(c *customer, k, i int) waiting {
-	l := &c.lanes[k]
-	w := l.queue[i]
-	l.queue = append(l.queue[:i], l.queue[i+1:]...)
+func (q *Queue) remove(c *customer, k, i int) waitingRequest {
+	l := &c.classQueues[k]
+	w := l.requests[i]
+	l.requests = append(l.requests[:i], l.requests[i+1:]...)
 	c.queued--
-	q.waiting--
+	q.waitingCount--
 	return w
 }
 
-// account adds connection time to a customer's virtual time. The guess made at
-// admission is settled when the true time is known.
-func (c *customer) account(k Class, d time.Duration) {
+// charge adds connection time to a customer's virtual time. The estimate charged at admission
+// is corrected when the request ends.
+func (c *customer) charge(k Class, d time.Duration) {
 	c.Charge(float64(d), c.share)
-	c.lanes[k].finish += float64(d)
+	c.classQueues[k].virtualFinish += float64(d)
 }
 
-func (q *Queue) cost(k Class) time.Duration {
-	if q.guess[k] == 0 {
-		return firstGuess
+func (q *Queue) costEstimate(k Class) time.Duration {
+	if q.costEstimates[k] == 0 {
+		return initialCostEstimate
 	}
-	return q.guess[k]
+	return q.costEstimates[k]
 }
 
-// estimate guesses how long a new request of the customer would wait: the work
-// of its own class that is before it, over the customer's part of the
-// connections. Other customers' backlogs don't count, since they don't delay it.
-func (q *Queue) estimate(c *customer, k Class) time.Duration {
+// estimateWait estimates the wait of a new request of the customer: the work queued before it
+// over the customer's share of the connections. Other customers' backlogs don't delay it.
+func (q *Queue) estimateWait(c *customer, k Class) time.Duration {
 	var shares float64
 	for _, d := range q.order {
-		if d.queued > 0 || d.used > 0 || d == c {
+		if d.queued > 0 || d.runningCount > 0 || d == c {
 			shares += d.share
 		}
 	}
 	part := max(float64(q.Capacity)*c.share/shares, 0.1)
 	var ahead time.Duration
-	for i := range c.lanes {
-		n := len(c.lanes[i].queue)
+	for i := range c.classQueues {
+		n := len(c.classQueues[i].requests)
 		if Class(i) != k {
-			n = min(n, len(c.lanes[k].queue)) // the classes take turns
+			n = min(n, len(c.classQueues[k].requests)) // the classes alternate
 		}
-		ahead += time.Duration(n) * q.cost(Class(i))
+		ahead += time.Duration(n) * q.costEstimate(Class(i))
 	}
 	return scale(ahead, 1/part)
 }
 
-// comeBack says when a refused caller should return: when the backlog before it
-// is gone, with up to half of that added at random.
-func (q *Queue) comeBack(f *refuser.Refusal, wait time.Duration) *refuser.Refusal {
+// withRetryAfter sets a refusal's retry hint: when the backlog is gone, plus up to half of
+// that as jitter.
+func (q *Queue) withRetryAfter(f *refuser.Refusal, wait time.Duration) *refuser.Refusal {
 	wait = min(max(wait, minRetryAfter), maxRetryAfter)
 	if q.Random != nil {
 		wait += time.Duration(q.Random.Int64N(int64(wait)/2 + 1))
