--- a/internal/sharer/budget_test.go
+++ b/internal/sharer/budget_test.go
@@ -16,17 +16,17 @@
 
 const (
 	budget = 20
-	// pace is between two requests of a caller.
-	pace = 25 * time.Millisecond
+	// requestInterval is the time between two requests of a client.
+	requestInterval = 25 * time.Millisecond
 )
 
-// fleet is Keyhold's: nine instances, one group of three members, 20 connections.
+// fleet is nine instances in front of one group of three members.
 type fleet struct {
 	*stager.Fleet
-	ctx    context.Context
-	served map[string]int // requests served lately, by instance
-	done   chan struct{}
-	open   int
+	ctx        context.Context
+	served     map[string]int // recently served requests, by instance
+	clientDone chan struct{}
+	clients    int
 }
 
 func withFleet(t *testing.T, seed uint64, test func(t *testing.T, f *fleet)) {
@@ -43,26 +43,26 @@
 			}},
 		})
 		must.NoError(t, err)
-		f := &fleet{Fleet: s, ctx: ctx, served: map[string]int{}, done: make(chan struct{})}
-		defer f.end(cancel)
+		f := &fleet{Fleet: s, ctx: ctx, served: map[string]int{}, clientDone: make(chan struct{})}
+		defer f.stop(cancel)
 		time.Sleep(5 * time.Second)
 		test(t, f)
-		t.Logf("seed %d: at most %d connections of %d", seed, f.peak(), budget)
-		must.LessEq(t, budget, f.peak(), must.Sprintf("seed %d", seed))
+		t.Logf("seed %d: at most %d connections of %d", seed, f.peakConnections(), budget)
+		must.LessEq(t, budget, f.peakConnections(), must.Sprintf("seed %d", seed))
 	})
 }
 
-func (f *fleet) end(cancel context.CancelFunc) {
+func (f *fleet) stop(cancel context.CancelFunc) {
 	cancel()
-	for ; f.open > 0; f.open-- {
-		<-f.done
+	for ; f.clients > 0; f.clients-- {
+		<-f.clientDone
 	}
 	f.Close()
-	time.Sleep(time.Minute) // what the callers' drivers still try
+	time.Sleep(time.Minute) // for retries by the clients' drivers
 }
 
-// state tells how the budget is shared out, for a failure's message.
-func (f *fleet) state() string {
+// describe returns the division of the budget, for failure messages.
+func (f *fleet) describe() string {
 	p, err := f.Store.Get(f.ctx, "oriolegw/shares/"+stager.DefaultService)
 	out := fmt.Sprintf("%v %s", err, p.Value)
 	for _, m := range f.Members {
@@ -72,26 +72,26 @@
 	return out
 }
 
-func (f *fleet) peak() int { return f.Members[0].Counter.Peak() }
+func (f *fleet) peakConnections() int { return f.Members[0].Counter.Peak() }
 
-// call keeps callers on every instance, which read and write without pause, come
-// back after any error and leave a transaction open now and then.
-func (f *fleet) call(perInstance int) {
+// startClients runs clients on every instance that read and write, reconnect after errors and
+// sometimes leave a transaction open.
+func (f *fleet) startClients(perInstance int) {
 	for _, e := range f.Instances {
 		for k := range perInstance {
-			f.open++
+			f.clients++
 			go func() {
 				for f.ctx.Err() == nil {
-					f.session(e, k)
+					f.runClientSession(e, k)
 					time.Sleep(50 * time.Millisecond)
 				}
-				f.done <- struct{}{}
+				f.clientDone <- struct{}{}
 			}()
 		}
 	}
 }
 
-func (f *fleet) session(e *stager.Entry, k int) {
+func (f *fleet) runClientSession(e *stager.Entry, k int) {
 	ctx, cancel := context.WithTimeout(f.ctx, 20*time.Second)
 	defer cancel()
 	c, err := f.Connect(ctx, e, stager.DefaultService, nil)
@@ -112,7 +112,7 @@
 		if _, err := c.Exec(ctx, sql); err != nil {
 			return
 		}
-		time.Sleep(pace)
+		time.Sleep(requestInterval)
 	}
 }
 
@@ -132,28 +132,25 @@
 			if err == nil {
 				break
 			}
-			must.True(t, time.Now().Before(deadline), must.Sprintf("%s: %v\n%s", e.Name, err, f.state()))
+			must.True(t, time.Now().Before(deadline), must.Sprintf("%s: %v\n%s", e.Name, err, f.describe()))
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
 }
 
-// Nine instances under load from the start. Each gets a share, and the sum at the
-// members stays within the budget without anybody who hands shares out.
+// Each of nine instances under load gets a share, and their sum stays within the budget.
 func TestNineInstancesShareTheBudget(t *testing.T) {
 	withFleet(t, 1, func(t *testing.T, f *fleet) {
-		f.call(3)
+		f.startClients(3)
 		time.Sleep(20 * time.Second)
 		f.mustServeAll(t, 10*time.Second)
 	})
 }
 
-// Instances crash and come back with empty memories, one every few seconds. Each
-// takes over its predecessor's share only after the members have ended what the
-// predecessor had open.
-func TestInstancesAreReplaced(t *testing.T) {
+// Restarted instances take over their predecessors' shares without exceeding the budget.
+func TestRestartedInstancesReplacePredecessors(t *testing.T) {
 	withFleet(t, 2, func(t *testing.T, f *fleet) {
-		f.call(1)
+		f.startClients(1)
 		for i := range 20 {
 			e := f.Instances[i*4%9]
 			f.KillInstance(e)
@@ -165,16 +162,13 @@
 	})
 }
 
-// Three instances stall for 80 seconds with connections open and requests on
-// their way, as paused ones do; their leases lapse and the others take their
-// shares. When they wake they find their connections closed and new ones
-// refused, and get shares again.
+// Paused instances whose leases expire are evicted, and get shares again when they resume.
 func TestPausedInstancesAreEvicted(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, f *fleet) {
-		f.call(1)
+		f.startClients(1)
 		time.Sleep(5 * time.Second)
 		for _, e := range f.Instances[:3] {
-			f.pause(e)
+			f.pauseInstance(e)
 		}
 		time.Sleep(80 * time.Second)
 		f.Net.HealAll()
@@ -183,18 +177,17 @@
 	})
 }
 
-func (f *fleet) pause(e *stager.Entry) {
+func (f *fleet) pauseInstance(e *stager.Entry) {
 	for _, zone := range append([]string{"platform", "callers"}, f.Plan.Zones...) {
 		f.Net.Cut(e.IP, zone)
 	}
 }
 
-// A zone is cut off from the others and from the store for 80 seconds, and goes
-// on with what it holds. Its leases lapse. After the heal nobody has opened more
-// than the budget allows, and all serve.
-func TestZoneCut(t *testing.T) {
+// A partition of a zone that outlasts its leases must not lead to more connections than the
+// budget, and all instances serve after it heals.
+func TestZonePartition(t *testing.T) {
 	withFleet(t, 4, func(t *testing.T, f *fleet) {
-		f.call(1)
+		f.startClients(1)
 		time.Sleep(5 * time.Second)
 		for _, z := range []string{"b", "c", "platform"} {
 			f.Net.Cut("a", z)
@@ -206,11 +199,11 @@
 	})
 }
 
-// The store is down for 40 seconds, so that every lease lapses. Everybody keeps
-// what they hold, and nobody takes another for dead when it is back.
-func TestStoreDown(t *testing.T) {
+// An outage of the store that outlasts all leases leaves the shares as they are, and no instance
+// evicts another after it.
+func TestStoreOutage(t *testing.T) {
 	withFleet(t, 5, func(t *testing.T, f *fleet) {
-		f.call(1)
+		f.startClients(1)
 		time.Sleep(5 * time.Second)
 		f.Store.SetFaults(func(x *storer.Faults) { x.Down = true })
 		time.Sleep(40 * time.Second)
@@ -226,21 +219,20 @@
 	})
 }
 
-// Faults at random: instances killed, paused and restarted, members frozen,
-// zones cut, the store down, slow, or losing answers; any of them together.
+// Random combinations of faults of instances, members, network and store keep the budget.
 func TestBudgetUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			withFleet(t, 100+seed, func(t *testing.T, f *fleet) {
-				f.call(1)
-				f.strike(rand.New(rand.NewPCG(seed, 7)))
-				must.LessEq(t, budget, f.peak(), must.Sprintf("seed %d", seed))
+				f.startClients(1)
+				f.injectRandomFaults(rand.New(rand.NewPCG(seed, 7)))
+				must.LessEq(t, budget, f.peakConnections(), must.Sprintf("seed %d", seed))
 			})
 		})
 	}
 }
 
-func (f *fleet) strike(random *rand.Rand) {
+func (f *fleet) injectRandomFaults(random *rand.Rand) {
 	for range 15 {
 		e := f.Instances[random.IntN(9)]
 		m := f.Members[random.IntN(3)]
@@ -249,7 +241,7 @@
 			f.KillInstance(e)
 			f.StartInstance(e)
 		case 2:
-			f.pause(e)
+			f.pauseInstance(e)
 		case 3:
 			f.Net.Cut(f.Plan.Zones[random.IntN(3)], "platform")
 		case 4:
--- a/internal/sharer/ledger.go
+++ b/internal/sharer/ledger.go
@@ -8,18 +8,18 @@
 )
 
 type (
-	// Ledger is how a group's budget is shared out: one value of the store, which
+	// Ledger is the division of a group's budget among instances: one value in the store that
 	// changes only by compare-and-swap.
 	Ledger struct {
 		Holders []Holder
 	}
 
-	// Holder is one instance's part.
+	// Holder is one instance's share.
 	Holder struct {
-		// Instance is the instance's name, Process one run of it.
+		// Instance is the instance's name; Process identifies one run of it.
 		Instance string
 		Process  string
-		// Application is the name of its connections at the group's members.
+		// Application is the application name of its connections at the group's members.
 		Application string
 		Connections int
 	}
@@ -36,7 +36,7 @@
 	}
 )
 
-// Total returns how many connections are shared out.
+// Total returns how many connections all holders have.
 func (l Ledger) Total() int {
 	n := 0
 	for _, h := range l.Holders {
@@ -53,9 +53,9 @@
 	return l.Holders[i], true
 }
 
-// with returns a ledger in which the application's part is replaced.
-func (l Ledger) with(h Holder) Ledger {
-	l = l.without(h.Application)
+// withHolder returns a ledger in which the holder with its application name is replaced.
+func (l Ledger) withHolder(h Holder) Ledger {
+	l = l.withoutApplication(h.Application)
 	l.Holders = append(l.Holders, h)
 	slices.SortFunc(l.Holders, func(a, b Holder) int {
 		if a.Application < b.Application {
@@ -66,7 +66,7 @@
 	return l
 }
 
-func (l Ledger) without(application string) Ledger {
+func (l Ledger) withoutApplication(application string) Ledger {
 	var out Ledger
 	for _, h := range l.Holders {
 		if h.Application != application {
@@ -76,8 +76,8 @@
 	return out
 }
 
-// encode writes a ledger as JSON.
-func encode(l Ledger) []byte {
+// encodeLedger encodes a ledger as JSON.
+func encodeLedger(l Ledger) []byte {
 	w := wireLedger{Holders: []wireHolder{}}
 	for _, h := range l.Holders {
 		w.Holders = append(w.Holders, wireHolder{h.Instance, h.Process, h.Application, h.Connections})
@@ -89,8 +89,8 @@
 	return text
 }
 
-// decode reads what encode wrote; no text is an empty ledger.
-func decode(text []byte) (Ledger, error) {
+// decodeLedger decodes a ledger; no text is an empty one.
+func decodeLedger(text []byte) (Ledger, error) {
 	var l Ledger
 	if len(text) == 0 {
 		return l, nil
--- a/internal/sharer/performer.go
+++ b/internal/sharer/performer.go
@@ -14,11 +14,11 @@
 
 const callTimeout = 3 * time.Second
 
-// errRemain means that a target has not ended all sessions yet.
-var errRemain = errors.New("sessions remain at the target")
+// errSessionsRemain reports that a target has not closed all sessions yet.
+var errSessionsRemain = errors.New("sessions remain at the target")
 
 type (
-	// Load is what a pool reports from time to time.
+	// Load is a pool's periodic report.
 	Load struct {
 		Service string
 		Use     pooler.Use
@@ -26,21 +26,21 @@
 		Pressed bool
 	}
 
-	// Limit gives a pool its share.
+	// Limit sets a pool's share.
 	Limit struct {
 		Service string
 		Share   pooler.Share
 	}
 
-	// Evict ends all connections of an application at all addresses, and has
-	// new ones refused there.
+	// Evict closes all connections of an application at all addresses, and has new ones
+	// refused there.
 	Evict struct {
 		Service     string
 		Application string
 		Addresses   []string
 	}
 
-	// Evicted reports that; without an error, no connection is left anywhere.
+	// Evicted is the result of Evict; without an error, no connection is left.
 	Evicted struct {
 		Service     string
 		Application string
@@ -72,8 +72,8 @@
 		ledger   Ledger
 	}
 
-	// ledgerWritten holds the ledger as it stands after the call, whether this
-	// call wrote it or another had been before it.
+	// ledgerWritten holds the ledger after the call, whether this call wrote it or another
+	// one did before.
 	ledgerWritten struct {
 		service  string
 		ledger   Ledger
@@ -89,12 +89,12 @@
 		err              error
 	}
 
-	// Performer carries out what the slice decides.
+	// Performer performs the actions of Slice.
 	Performer struct {
 		Store storer.Store
 		// Network reaches the targets.
 		Network networker.Network
-		// SetShare gives a pool its share.
+		// SetShare sets a pool's share.
 		SetShare func(Limit)
 	}
 )
@@ -134,14 +134,14 @@
 		pair, err := p.Store.Get(ctx, ledgerPrefix+a.service)
 		e := ledgerRead{service: a.service, revision: pair.Revision, err: err}
 		if err == nil {
-			e.ledger, e.err = decode(pair.Value)
+			e.ledger, e.err = decodeLedger(pair.Value)
 		}
 		return e, true
 	case writeLedger:
-		pair, _, err := p.Store.Swap(ctx, storer.Pair{Key: ledgerPrefix + a.service, Value: encode(a.ledger), Revision: a.revision}, 0)
+		pair, _, err := p.Store.Swap(ctx, storer.Pair{Key: ledgerPrefix + a.service, Value: encodeLedger(a.ledger), Revision: a.revision}, 0)
 		e := ledgerWritten{service: a.service, revision: pair.Revision, err: err}
 		if err == nil {
-			e.ledger, e.err = decode(pair.Value)
+			e.ledger, e.err = decodeLedger(pair.Value)
 		}
 		return e, true
 	case checkProcess:
@@ -153,7 +153,7 @@
 	return nil, false
 }
 
-// register prolongs the lease, or starts a new one with the process's key.
+// register renews the lease, or starts a new one with the process's key.
 func (p *Performer) register(ctx context.Context, a register) registered {
 	if a.lease != 0 {
 		err := p.Store.KeepAlive(ctx, a.lease)
@@ -167,7 +167,7 @@
 	}
 	key := processPrefix + a.process
 	now, ok, err := p.Store.Swap(ctx, storer.Pair{Key: key}, lease)
-	if err == nil && !ok { // under an earlier lease whose answer was lost
+	if err == nil && !ok { // under an earlier lease whose reply was lost
 		_, ok, err = p.Store.Swap(ctx, now, lease)
 	}
 	if err == nil && !ok {
@@ -179,10 +179,9 @@
 	return registered{lease: lease}
 }
 
-// evict first makes sure that every member answers. A cut availability zone makes
-// its instances look dead from the others, and they can't be evicted at the
-// members in it: to refuse them at the rest would only leave them without those
-// members when the cut heals.
+// evict first checks that every member responds. During a partition, instances of another zone
+// look dead and can't be evicted at their own zone's members; refusing them at the others would
+// only cut them off from those when the partition heals.
 func (p *Performer) evict(ctx context.Context, a Evict) error {
 	for _, address := range a.Addresses {
 		if err := commander.Prove(ctx, p.Network, address); err != nil {
@@ -195,7 +194,7 @@
 			return err
 		}
 		if remain > 0 {
-			return errors.Wrap(errRemain, address)
+			return errors.Wrap(errSessionsRemain, address)
 		}
 	}
 	return nil
--- a/internal/sharer/sharer.go
+++ b/internal/sharer/sharer.go
@@ -1,15 +1,12 @@
-// Package sharer decides how many connections to each group this instance may
-// hold, so that the shares of all instances never add up to more than the group's
-// budget, with no owner in the middle.
+// Package sharer divides a group's connection budget among the instances, without a
+// coordinator: the shares of all instances never add up to more than the budget.
 //
-// The shares of a group are one value of the store (Ledger) and change by
-// compare-and-swap. An instance lowers its pool before it lowers its share, and
-// raises its share before its pool. It needs the store only for changes: while
-// the store is down everybody keeps what they hold. The share of an instance
-// that is gone is taken back by terminating, and refusing from then on, its
-// connections at every member of the group, and only then removing it from the
-// ledger. So safety doesn't rest on clocks or leases: an instance that was only
-// paused finds its connections closed and new ones refused, and starts anew.
+// The shares of a group are one value in the store (Ledger), changed by compare-and-swap.
+// An instance lowers its pool's limit before its share, and raises its share before its
+// pool's limit. While the store is down, all instances keep their shares. To take back the
+// share of a dead instance, its connections are closed and refused at every member before
+// it is removed from the ledger. Safety thus doesn't depend on clocks or leases: an instance
+// that was only paused finds its connections closed and gets a new share.
 package sharer
 
 import (
@@ -24,87 +21,81 @@
 )
 
 const (
-	// ledgerPrefix and processPrefix are where the store holds the ledgers, by
-	// service, and the live processes, each under its lease.
+	// ledgerPrefix and processPrefix are the store's keys of ledgers, by service, and of
+	// live processes, each under its lease.
 	ledgerPrefix  = "oriolegw/shares/"
 	processPrefix = "oriolegw/processes/"
 
-	// LeaseTime is how long a process counts as live without a word, and
-	// keepAliveEvery how often it says one: 180 writes a second at 1,800
-	// instances. Three may be lost before the lease ends.
-	LeaseTime      = 30 * time.Second
-	keepAliveEvery = 10 * time.Second
-	// refreshEvery is how often a ledger is read that needs no change, and
-	// hungryEvery when this instance wants more than it has.
-	refreshEvery = 10 * time.Second
-	hungryEvery  = time.Second
-	// A fleet that starts as one shares out the budget before its members know
-	// of one another: those that come first must not take what the last need. So
-	// for settleFor an instance counts on startHolders others and itself, and it
-	// reads the ledger at the pace of the hungry for startFor, so that it sees
-	// soon who else has come. Both deployments of today have 9 instances.
-	startHolders = 9
-	settleFor    = 5 * time.Second
-	startFor     = 30 * time.Second
-	// missedEvery is the same while a holder is missed.
-	missedEvery = 4 * time.Second
-	// Conflicts are retried after a random time of up to conflictPause.
-	conflictPause = 200 * time.Millisecond
-	// missingFor is how long a process must have been seen missing, by reads
-	// that the store answered, before its share is taken back. After an outage
-	// of the store every lease has lapsed; the instances come back within
-	// keepAliveEvery and must not take one another for dead until then.
-	missingFor = 20 * time.Second
-	// idleFor is how long a connection must have been unused to be given back.
-	// Load swings within seconds; a share that followed it would cost a call of
-	// the store at each swing.
-	idleFor = 30 * time.Second
-	// defaultBudget stands in for a budget that is not set.
+	// LeaseTime is the duration of a process's lease, renewed every keepAliveInterval.
+	LeaseTime         = 30 * time.Second
+	keepAliveInterval = 10 * time.Second
+	// refreshInterval is how often an unchanged ledger is read, shortageInterval how often
+	// while this instance wants more than it has.
+	refreshInterval  = 10 * time.Second
+	shortageInterval = time.Second
+	// Instances that start together must not take the connections that later ones need:
+	// for settleDuration an instance assumes at least assumedHolders others, and for
+	// startupDuration it reads the ledger every shortageInterval.
+	assumedHolders  = 9
+	settleDuration  = 5 * time.Second
+	startupDuration = 30 * time.Second
+	// missingCheckInterval is the interval of reads while a holder is missing.
+	missingCheckInterval = 4 * time.Second
+	// maxConflictBackoff is the longest random delay before a conflicting write is retried.
+	maxConflictBackoff = 200 * time.Millisecond
+	// missingTimeout is how long a process must have been missing before its share is taken
+	// back. After an outage of the store all leases have expired, and live instances need
+	// keepAliveInterval to register again.
+	missingTimeout = 20 * time.Second
+	// idleTimeout is how long a connection must be unused before it is returned. It is
+	// longer than usual swings of load.
+	idleTimeout = 30 * time.Second
+	// defaultBudget is the budget of a group whose configuration sets none.
 	defaultBudget = 20
 )
 
 type (
-	// Slice holds this instance's shares.
+	// Slice is the part of the control loop that manages this instance's shares.
 	Slice struct {
 		// Instance is the name of this instance.
 		Instance string
 		// Random gives names that were never used, and spreads calls.
 		Random *rand.Rand
 
-		process  string
-		lease    leaseState
-		services map[string]*service
-		missing  map[string]time.Time // processes, by when they were first missed
+		process      string
+		lease        leaseState
+		services     map[string]*service
+		missingSince map[string]time.Time // by process, when it was first found missing
 	}
 
 	leaseState struct {
-		id   storer.Lease
-		busy bool
-		next time.Time
+		id          storer.Lease
+		renewing    bool
+		nextRenewal time.Time
 	}
 
-	// service is the share of one group.
+	// service is the state of this instance's share of one group.
 	service struct {
-		config      configurer.Service
-		application string
-		ledger      Ledger
-		revision    int64
-		known       bool // the ledger has been read
-		since       time.Time
-		busy        bool // a call is open
-		next        time.Time
-		share       pooler.Share // what the pool has been given
-		// lowering is set from before the pool's limit falls until the ledger
-		// has a revision that shows its outcome.
-		lowering *lowering
-		load     Load
-		peak     int // most connections used since peakSince
-		peakFrom time.Time
-		cursor   int
-		evicting bool
+		config       configurer.Service
+		application  string
+		ledger       Ledger
+		revision     int64
+		ledgerKnown  bool // the ledger has been read
+		knownSince   time.Time
+		callInFlight bool // a call is in flight
+		nextRead     time.Time
+		poolShare    pooler.Share // what the pool was last set to
+		// reduction is set from when the pool's limit is lowered until the ledger has a
+		// revision that shows the outcome.
+		reduction   *reduction
+		load        Load
+		peak        int // most connections used since peakSince
+		peakSince   time.Time
+		checkCursor int
+		evicting    bool
 	}
 
-	lowering struct {
+	reduction struct {
 		to       int
 		revision int64 // the ledger's when the write was sent; 0 before it
 	}
@@ -113,37 +104,37 @@
 // Step implements controller.Slice.
 func (s *Slice) Step(now time.Time, e controller.Event) []controller.Action {
 	if s.process == "" {
-		s.process = s.Instance + "/" + s.name()
-		s.services, s.missing = map[string]*service{}, map[string]time.Time{}
+		s.process = s.Instance + "/" + s.randomName()
+		s.services, s.missingSince = map[string]*service{}, map[string]time.Time{}
 	}
 	switch e := e.(type) {
 	case configurer.InForce:
 		s.configure(e.Document)
 	case Load:
-		s.note(now, e)
+		s.recordLoad(now, e)
 	case registered:
-		s.registered(now, e)
+		s.handleRegistered(now, e)
 	case ledgerRead:
-		return s.read(now, e)
+		return s.handleLedgerRead(now, e)
 	case ledgerWritten:
-		return s.written(now, e)
+		return s.handleLedgerWritten(now, e)
 	case processChecked:
-		return s.checked(now, e)
+		return s.handleProcessChecked(now, e)
 	case Evicted:
-		return s.evicted(now, e)
+		return s.handleEvicted(now, e)
 	case controller.Tick:
-		return append(s.keepAlive(now), s.due(now)...)
+		return append(s.keepAlive(now), s.dueLedgerReads(now)...)
 	}
 	return nil
 }
 
-func (s *Slice) name() string { return strconv.FormatUint(s.Random.Uint64(), 36) }
+func (s *Slice) randomName() string { return strconv.FormatUint(s.Random.Uint64(), 36) }
 
 func (s *Slice) configure(d *configurer.Document) {
 	for _, c := range d.Services {
 		v := s.services[c.Name]
 		if v == nil {
-			v = &service{application: s.Instance + "/" + s.name()}
+			v = &service{application: s.Instance + "/" + s.randomName()}
 			s.services[c.Name] = v
 		}
 		v.config = c
@@ -158,114 +149,112 @@
 	}
 }
 
-// keepAlive keeps the process's key in the store.
+// keepAlive renews the process's lease.
 func (s *Slice) keepAlive(now time.Time) []controller.Action {
-	if s.lease.busy || now.Before(s.lease.next) {
+	if s.lease.renewing || now.Before(s.lease.nextRenewal) {
 		return nil
 	}
-	s.lease.busy, s.lease.next = true, now.Add(keepAliveEvery)
+	s.lease.renewing, s.lease.nextRenewal = true, now.Add(keepAliveInterval)
 	return []controller.Action{register{process: s.process, lease: s.lease.id}}
 }
 
-func (s *Slice) registered(now time.Time, e registered) {
-	s.lease.busy, s.lease.id = false, e.lease
+func (s *Slice) handleRegistered(now time.Time, e registered) {
+	s.lease.renewing, s.lease.id = false, e.lease
 	if e.err != nil {
-		s.lease.next = now.Add(hungryEvery)
+		s.lease.nextRenewal = now.Add(shortageInterval)
 	}
 }
 
-// due reads the ledgers whose time has come.
-func (s *Slice) due(now time.Time) []controller.Action {
+// dueLedgerReads returns the reads of ledgers that are due.
+func (s *Slice) dueLedgerReads(now time.Time) []controller.Action {
 	var out []controller.Action
 	for name, v := range s.services {
-		if v.busy || v.evicting || now.Before(v.next) {
+		if v.callInFlight || v.evicting || now.Before(v.nextRead) {
 			continue
 		}
-		v.busy = true
+		v.callInFlight = true
 		out = append(out, readLedger{service: name})
 	}
 	return out
 }
 
-func (s *Slice) note(now time.Time, l Load) {
+func (s *Slice) recordLoad(now time.Time, l Load) {
 	v := s.services[l.Service]
 	if v == nil || l.Use.Share.Application != v.application {
 		return
 	}
 	v.load = l
-	if now.Sub(v.peakFrom) >= idleFor {
-		v.peak, v.peakFrom = 0, now
+	if now.Sub(v.peakSince) >= idleTimeout {
+		v.peak, v.peakSince = 0, now
 	}
 	v.peak = max(v.peak, l.Use.Used)
-	if l.Pressed && v.next.After(now.Add(hungryEvery)) {
-		v.next = now.Add(hungryEvery)
+	if l.Pressed && v.nextRead.After(now.Add(shortageInterval)) {
+		v.nextRead = now.Add(shortageInterval)
 	}
 }
 
-func (s *Slice) read(now time.Time, e ledgerRead) []controller.Action {
+func (s *Slice) handleLedgerRead(now time.Time, e ledgerRead) []controller.Action {
 	v := s.services[e.service]
 	if v == nil {
 		return nil
 	}
-	v.busy = false
-	v.next = now.Add(s.spread(hungryEvery))
+	v.callInFlight = false
+	v.nextRead = now.Add(s.jitter(shortageInterval))
 	if e.err != nil {
 		return nil
 	}
-	return s.learn(now, e.service, v, e.ledger, e.revision)
+	return s.applyLedger(now, e.service, v, e.ledger, e.revision)
 }
 
-func (s *Slice) written(now time.Time, e ledgerWritten) []controller.Action {
+func (s *Slice) handleLedgerWritten(now time.Time, e ledgerWritten) []controller.Action {
 	v := s.services[e.service]
 	if v == nil {
 		return nil
 	}
-	v.busy = false
-	v.next = now.Add(s.spread(conflictPause))
+	v.callInFlight = false
+	v.nextRead = now.Add(s.jitter(maxConflictBackoff))
 	if e.err != nil {
-		// It may have taken effect, or may do so later: only a read tells.
+		// The outcome is unknown until the ledger is read.
 		return nil
 	}
-	return s.learn(now, e.service, v, e.ledger, e.revision)
+	return s.applyLedger(now, e.service, v, e.ledger, e.revision)
 }
 
-// learn takes in the ledger as it stands, gives the pool its limit and decides
-// what to change.
-func (s *Slice) learn(now time.Time, name string, v *service, l Ledger, revision int64) []controller.Action {
-	fresh := !v.known
+// applyLedger records the ledger's state, sets the pool's limit and adjusts the share.
+func (s *Slice) applyLedger(now time.Time, name string, v *service, l Ledger, revision int64) []controller.Action {
+	fresh := !v.ledgerKnown
 	if fresh {
-		v.since = now
+		v.knownSince = now
 	}
-	v.ledger, v.revision, v.known = l, revision, true
+	v.ledger, v.revision, v.ledgerKnown = l, revision, true
 	mine, held := l.find(v.application)
-	if !held && !fresh && (v.share.Connections > 0 || v.lowering != nil) {
-		// Another instance took this one for dead, so its connections are closed
-		// and its name is refused. It starts anew with a new one.
-		v.application, v.lowering, v.load = s.Instance+"/"+s.name(), nil, Load{}
+	if !held && !fresh && (v.poolShare.Connections > 0 || v.reduction != nil) {
+		// Another instance evicted this one: its connections are closed and its name is
+		// refused. Start with a new name.
+		v.application, v.reduction, v.load = s.Instance+"/"+s.randomName(), nil, Load{}
 	}
-	if v.lowering != nil && v.lowering.revision != 0 && v.lowering.revision != revision {
-		// The ledger has moved on, so a write that is still on its way can't
-		// take effect any more.
-		v.lowering = nil
+	if v.reduction != nil && v.reduction.revision != 0 && v.reduction.revision != revision {
+		// The ledger has changed, so a pending write can't take effect any more.
+		v.reduction = nil
 	}
 	limit := mine.Connections
-	if v.lowering != nil {
-		limit = min(limit, v.lowering.to)
+	if v.reduction != nil {
+		limit = min(limit, v.reduction.to)
 	}
-	out := s.give(name, v, limit)
-	return append(out, s.change(now, name, v)...)
+	out := s.setPoolLimit(name, v, limit)
+	return append(out, s.adjustShare(now, name, v)...)
 }
 
-// give sets the pool's share; each has a number, so that the pool can tell which
-// of two is the newer.
-func (s *Slice) give(name string, v *service, connections int) []controller.Action {
-	if v.share.Number > 0 && v.share.Connections == connections && v.share.Application == v.application {
+// setPoolLimit sets the pool's share. Shares are numbered, so that the pool can tell which of
+// two is newer.
+func (s *Slice) setPoolLimit(name string, v *service, connections int) []controller.Action {
+	if v.poolShare.Number > 0 && v.poolShare.Connections == connections && v.poolShare.Application == v.application {
 		return nil
 	}
-	v.share = pooler.Share{Connections: connections, Application: v.application, Number: v.share.Number + 1}
-	return []controller.Action{Limit{Service: name, Share: v.share}}
+	v.poolShare = pooler.Share{Connections: connections, Application: v.application, Number: v.poolShare.Number + 1}
+	return []controller.Action{Limit{Service: name, Share: v.poolShare}}
 }
 
-func (s *Slice) spread(d time.Duration) time.Duration {
+func (s *Slice) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(s.Random.Int64N(int64(d)/2+1))
 }
