--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -71,7 +71,7 @@
 	// since what is known of replicas is older than the write.
 	catchUpTimeout = 50 * time.Millisecond
 	// maxCatchUpLag is the last known lag up to which a replica is expected to catch up
-	// within catchUpTimeout: two query intervals, since less can't be told from none.
+	// within catchUpTimeout: two query intervals, the resolution of the known lag.
 	maxCatchUpLag = 250 * time.Millisecond
 	// slowStartDuration is how long a recovered member gets a growing fraction of the
 	// reads. With all of them at once, its cold caches would make it slow and the load
--- a/internal/sharer/decide.go
+++ b/internal/sharer/decide.go
@@ -53,7 +53,7 @@
 
 // adjustShare returns the next actions for a service whose ledger is known.
 func (s *Slice) adjustShare(now time.Time, name string, v *service) []controller.Action {
-	mine, held := v.ledger.find(v.application)
+	own, held := v.ledger.find(v.application)
 	if a := s.evictPredecessor(name, v); a != nil {
 		return a
 	}
@@ -63,7 +63,7 @@
 	}
 	want := desiredConnections(shareState{
 		Budget: v.config.Connections, Members: len(v.config.Members), Free: v.config.Connections - v.ledger.Total(), Holders: holders,
-		Own: mine.Connections, Peak: v.peak, RequestsWaiting: v.load.Pressed, Settled: now.Sub(v.knownSince) >= settleDuration, PeakComplete: now.Sub(v.peakSince) >= idleTimeout*9/10,
+		Own: own.Connections, Peak: v.peak, RequestsWaiting: v.load.Pressed, Settled: now.Sub(v.knownSince) >= settleDuration, PeakComplete: now.Sub(v.peakSince) >= idleTimeout*9/10,
 	})
 	switch {
 	case v.reduction != nil && v.reduction.revision != 0:
@@ -72,14 +72,14 @@
 		return s.lowerShare(now, name, v, v.reduction.to)
 	case v.load.Use.Revoked:
 		return s.lowerShare(now, name, v, 0)
-	case want < mine.Connections:
+	case want < own.Connections:
 		return s.lowerShare(now, name, v, want)
-	case want > mine.Connections:
+	case want > own.Connections:
 		v.reduction = nil
 		return s.writeShare(name, v, want)
 	}
 	v.reduction = nil
-	if want == mine.Connections && !v.load.Pressed && want > 0 && now.Sub(v.knownSince) >= startupDuration {
+	if want == own.Connections && !v.load.Pressed && want > 0 && now.Sub(v.knownSince) >= startupDuration {
 		v.nextRead = now.Add(s.jitter(2 * refreshInterval))
 	}
 	return s.checkHolder(now, name, v)
--- a/internal/sharer/sharer.go
+++ b/internal/sharer/sharer.go
@@ -227,7 +227,7 @@
 		v.knownSince = now
 	}
 	v.ledger, v.revision, v.ledgerKnown = l, revision, true
-	mine, held := l.find(v.application)
+	own, held := l.find(v.application)
 	if !held && !fresh && (v.poolShare.Connections > 0 || v.reduction != nil) {
 		// Another instance evicted this one: its connections are closed and its name is
 		// refused. Start with a new name.
@@ -237,7 +237,7 @@
 		// The ledger has changed, so a pending write can't take effect any more.
 		v.reduction = nil
 	}
-	limit := mine.Connections
+	limit := own.Connections
 	if v.reduction != nil {
 		limit = min(limit, v.reduction.to)
 	}
--- a/internal/sharer/sharer_test.go
+++ b/internal/sharer/sharer_test.go
@@ -121,14 +121,14 @@
 	p.reportHeld(0)
 	p.readLedgerWithOwn(3, 7, other)
 	c := mustDo[checkProcess](t, p.readLedgerWithOwn(3, 8, other))
-	gone := processChecked{service: group, process: c.process}
-	mustNotDo[Evict](t, p.step(gone))
+	notLive := processChecked{service: group, process: c.process}
+	mustNotDo[Evict](t, p.step(notLive))
 	p.now = p.now.Add(missingTimeout - time.Second)
-	mustNotDo[Evict](t, p.step(gone))
+	mustNotDo[Evict](t, p.step(notLive))
 	p.step(processChecked{service: group, process: c.process, live: true})
-	mustNotDo[Evict](t, p.step(gone))
+	mustNotDo[Evict](t, p.step(notLive))
 	p.now = p.now.Add(missingTimeout)
-	e := mustDo[Evict](t, p.step(gone))
+	e := mustDo[Evict](t, p.step(notLive))
 	must.Eq(t, Evict{Service: group, Application: "other/x", Addresses: []string{"a1", "a2"}}, e)
 
 	t.Run("a member has not ended all", func(t *testing.T) {
