--- a/cmd/oriolegw-edge/main.go
+++ b/cmd/oriolegw-edge/main.go
@@ -40,7 +40,7 @@
 		flag.Usage()
 		os.Exit(2)
 	}
-	s, err := loader.LoadEntry(*file)
+	s, err := loader.LoadEdgeSettings(*file)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "oriolegw-edge:", err)
 		os.Exit(2)
@@ -49,7 +49,7 @@
 }
 
 // run serves until the process is told to end, and returns the exit code.
-func run(file string, s *loader.EntrySettings) int {
+func run(file string, s *loader.EdgeSettings) int {
 	debug.SetGCPercent(collectAt)
 	leave := make(chan os.Signal, 1)
 	signal.Notify(leave, os.Interrupt, syscall.SIGTERM)
@@ -67,16 +67,16 @@
 		<-written
 	}()
 	n := networker.TCP{}
-	promotions := (&platform.Promotions{Address: s.Promotions, Network: n, Holder: s.Name}).Open()
+	promotions := (&platform.PromotionClient{Address: s.PromotionAddress, Network: n, LeaseHolder: s.Name}).Open()
 	i := &launcher.Instance{
-		Settings: s, Network: n, Journal: journal, Clock: launcher.Boottime, Leave: leave,
-		Reload: reload, Reread: func() (*loader.EntrySettings, error) { return loader.LoadEntry(file) },
+		Settings: s, Network: n, Journal: journal, Clock: launcher.Boottime, Shutdown: leave,
+		Reload: reload, LoadSettings: func() (*loader.EdgeSettings, error) { return loader.LoadEdgeSettings(file) },
 		Platform: launcher.Platform{
-			Store:          (&platform.Store{Address: s.Store, Network: n}).Open(),
-			Promote:        promotions.Promote,
-			PromoteRefused: func(err error) bool { return errors.Is(err, platform.ErrRefused) },
-			MemberCodec:    platform.Lines{}, CallerCodec: platform.Lines{},
-			ConfigurationKey: platform.KeyConfiguration, MemberPrefix: platform.PrefixMembers,
+			Store:              (&platform.Store{Address: s.StoreAddress, Network: n}).Open(),
+			Promote:            promotions.Promote,
+			IsPromotionRefused: func(err error) bool { return errors.Is(err, platform.ErrPromotionRefused) },
+			MemberCodec:        platform.LineCodec{}, CallerCodec: platform.LineCodec{},
+			ConfigurationKey: platform.ConfigurationKey, MemberPrefix: platform.MemberPrefix,
 			DecodeConfiguration: platform.DecodeConfiguration, DecodeMember: platform.DecodeMember,
 		},
 	}
--- a/cmd/oriolegw-fleet/demonstrate.go
+++ b/cmd/oriolegw-fleet/demonstrate.go
@@ -136,7 +136,7 @@
 
 // state reads the first instance's status page.
 func (d *demonstration) state(ctx context.Context) (reporter.State, error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.fleet.Entries[0].Pages+reporter.PathStatus, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.fleet.Entries[0].PagesAddress+reporter.PathStatus, nil)
 	if err != nil {
 		return reporter.State{}, errors.Wrap(err, "make call")
 	}
--- a/cmd/oriolegw-fleet/faults.go
+++ b/cmd/oriolegw-fleet/faults.go
@@ -71,7 +71,7 @@
 
 func (d *demonstration) throwEach(ctx context.Context) error {
 	for _, x := range starter.Faults {
-		if !x.Passes() {
+		if !x.Recoverable() {
 			continue
 		}
 		targets, err := d.targets(ctx, x)
@@ -80,7 +80,7 @@
 		}
 		for _, p := range targets {
 			fmt.Printf("%s: %s\n", p.Name, x.Name)
-			if err := x.Throw(ctx, p); err != nil {
+			if err := x.Inject(ctx, p); err != nil {
 				return err
 			}
 			time.Sleep(faultTime)
@@ -112,7 +112,7 @@
 
 // targets are the primary of the moment and a replica, or the platform.
 func (d *demonstration) targets(ctx context.Context, x starter.Fault) ([]*starter.Process, error) {
-	if x.Of == starter.OfPlatform {
+	if x.AppliesTo == starter.PlatformProcess {
 		return []*starter.Process{&d.fleet.Platform}, nil
 	}
 	s, err := d.state(ctx)
--- a/cmd/oriolegw-fleet/main.go
+++ b/cmd/oriolegw-fleet/main.go
@@ -28,8 +28,8 @@
 
 func main() {
 	var o options
-	flag.StringVar(&o.fleet.Programs, "programs", "build", "the `directory` of the built programs")
-	flag.StringVar(&o.fleet.Work, "work", "build/fleet", "the `directory` for settings and logs")
+	flag.StringVar(&o.fleet.ProgramDirectory, "programs", "build", "the `directory` of the built programs")
+	flag.StringVar(&o.fleet.WorkDirectory, "work", "build/fleet", "the `directory` for settings and logs")
 	flag.IntVar(&o.fleet.FirstPort, "first-port", starter.DefaultFirstPort, "the first of about 60 loopback `ports`")
 	flag.BoolVar(&o.keep, "keep", false, "keep the fleet up until interrupted, and run no sessions")
 	flag.StringVar(&o.describe, "describe", "build/fleet.json", "the `file` for addresses and faults, with -keep")
@@ -72,11 +72,11 @@
 }
 
 func keep(ctx context.Context, o *options) error {
-	if err := o.fleet.Describe(o.describe); err != nil {
+	if err := o.fleet.WriteDescription(o.describe); err != nil {
 		return err
 	}
 	for _, e := range o.fleet.Entries {
-		fmt.Printf("%s: postgres://crew@%s/%s?sslmode=disable  pages http://%s/status?format=text\n", e.Name, e.Address, starter.ServiceName, e.Pages)
+		fmt.Printf("%s: postgres://crew@%s/%s?sslmode=disable  pages http://%s/status?format=text\n", e.Name, e.Address, starter.ServiceName, e.PagesAddress)
 	}
 	fmt.Printf("Every address, and how to throw each fault: %s\nInterrupt to end the fleet.\n", o.describe)
 	<-ctx.Done()
--- a/cmd/oriolegw/main.go
+++ b/cmd/oriolegw/main.go
@@ -61,9 +61,9 @@
 	i := &runner.Instance{
 		Events:   events,
 		Settings: s, Network: n, Metrics: metrics, Register: register,
-		Log:   log.With(log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)), "ts", log.DefaultTimestampUTC),
-		Store: (&storer.Client{Address: s.Platform, Network: n}).Open(),
-		List:  (&lister.Client{Address: s.Platform, Network: n}).Open(),
+		Log:       log.With(log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)), "ts", log.DefaultTimestampUTC),
+		Store:     (&storer.Client{Address: s.PlatformAddress, Network: n}).Open(),
+		Instances: (&lister.Client{Address: s.PlatformAddress, Network: n}).Open(),
 	}
 	if err := i.Run(ctx); err != nil && ctx.Err() == nil {
 		fmt.Fprintln(os.Stderr, "oriolegw:", err)
--- a/cmd/oriolegwctl/settings.go
+++ b/cmd/oriolegwctl/settings.go
@@ -14,7 +14,7 @@
 		if len(args) != 1 {
 			return usageError{"want one settings file"}
 		}
-		next, err := loader.LoadEntry(args[0])
+		next, err := loader.LoadEdgeSettings(args[0])
 		if err != nil {
 			return err
 		}
@@ -22,11 +22,11 @@
 			fmt.Fprintf(t.out, "%s: good\n", args[0])
 			return nil
 		}
-		now, err := loader.LoadEntry(*running)
+		now, err := loader.LoadEdgeSettings(*running)
 		if err != nil {
 			return err
 		}
-		changes := loader.CompareEntry(now, next)
+		changes := loader.CompareEdgeSettings(now, next)
 		for _, c := range changes {
 			fmt.Fprintf(t.out, "%s: %s -> %s, at the next start\n", c.Key, c.From, c.To)
 		}
--- a/internal/sharer/performer.go
+++ b/internal/allocator/performer.go
@@ -1,4 +1,4 @@
-package sharer
+package allocator
 
 import (
 	"context"
@@ -14,33 +14,33 @@
 
 const callTimeout = 3 * time.Second
 
-// errRemain means that a target has not ended all sessions yet.
-var errRemain = errors.New("sessions remain at the target")
+// errSessionsRemain reports that a target has not closed all sessions yet.
+var errSessionsRemain = errors.New("sessions remain at the target")
 
 type (
-	// Load is what a pool reports from time to time.
+	// Load is a pool's periodic report.
 	Load struct {
 		Service string
 		Use     pooler.Usage
-		// Pressed is set while requests wait for connections.
-		Pressed bool
+		// RequestsWaiting is set while requests wait for connections.
+		RequestsWaiting bool
 	}
 
-	// Limit gives a pool its share.
-	Limit struct {
+	// PoolLimit sets a pool's share.
+	PoolLimit struct {
 		Service string
 		Share   pooler.Share
 	}
 
-	// Evict ends all connections of an application at all addresses, and has
-	// new ones refused there.
+	// Evict closes all connections of an application at all addresses, and has new ones
+	// refused there.
 	Evict struct {
 		Service     string
 		Application string
 		Addresses   []string
 	}
 
-	// Evicted reports that; without an error, no connection is left anywhere.
+	// Evicted is the result of Evict; without an error, no connection is left.
 	Evicted struct {
 		Service     string
 		Application string
@@ -72,8 +72,8 @@
 		ledger   Ledger
 	}
 
-	// ledgerWritten holds the ledger as it stands after the call, whether this
-	// call wrote it or another had been before it.
+	// ledgerWritten holds the ledger after the call, whether this call wrote it or another
+	// one did before.
 	ledgerWritten struct {
 		service  string
 		ledger   Ledger
@@ -89,13 +89,13 @@
 		err              error
 	}
 
-	// Performer carries out what the slice decides.
+	// Performer performs the actions of Slice.
 	Performer struct {
 		Store storer.Store
 		// Network reaches the targets.
 		Network networker.Network
-		// SetShare gives a pool its share.
-		SetShare func(Limit)
+		// SetShare sets a pool's share.
+		SetShare func(PoolLimit)
 	}
 )
 
@@ -103,7 +103,7 @@
 func (Load) EventName() string { return "connections-used" }
 
 // ActionName implements controller.Action.
-func (Limit) ActionName() string { return "limit-connections" }
+func (PoolLimit) ActionName() string { return "limit-connections" }
 
 // ActionName implements controller.Action.
 func (Evict) ActionName() string { return "evict-holder" }
@@ -125,7 +125,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	switch a := a.(type) {
-	case Limit:
+	case PoolLimit:
 		p.SetShare(a)
 		return nil, true
 	case register:
@@ -134,14 +134,14 @@
 		pair, err := p.Store.Get(ctx, ledgerPrefix+a.service)
 		e := ledgerRead{service: a.service, revision: pair.Revision, err: err}
 		if err == nil {
-			e.ledger, e.err = decode(pair.Value)
+			e.ledger, e.err = decodeLedger(pair.Value)
 		}
 		return e, true
 	case writeLedger:
-		pair, _, err := p.Store.Swap(ctx, storer.Pair{Key: ledgerPrefix + a.service, Value: encode(a.ledger), Revision: a.revision}, 0)
+		pair, _, err := p.Store.Swap(ctx, storer.Pair{Key: ledgerPrefix + a.service, Value: encodeLedger(a.ledger), Revision: a.revision}, 0)
 		e := ledgerWritten{service: a.service, revision: pair.Revision, err: err}
 		if err == nil {
-			e.ledger, e.err = decode(pair.Value)
+			e.ledger, e.err = decodeLedger(pair.Value)
 		}
 		return e, true
 	case checkProcess:
@@ -153,7 +153,7 @@
 	return nil, false
 }
 
-// register prolongs the lease, or starts a new one with the process's key.
+// register renews the lease, or starts a new one with the process's key.
 func (p *Performer) register(ctx context.Context, a register) registered {
 	if a.lease != 0 {
 		err := p.Store.KeepAlive(ctx, a.lease)
@@ -161,13 +161,13 @@
 			return registered{lease: a.lease, err: err}
 		}
 	}
-	lease, err := p.Store.Grant(ctx, LeaseTime)
+	lease, err := p.Store.Grant(ctx, LeaseDuration)
 	if err != nil {
 		return registered{err: err}
 	}
 	key := processPrefix + a.process
 	now, ok, err := p.Store.Swap(ctx, storer.Pair{Key: key}, lease)
-	if err == nil && !ok { // under an earlier lease whose answer was lost
+	if err == nil && !ok { // under an earlier lease whose reply was lost
 		_, ok, err = p.Store.Swap(ctx, now, lease)
 	}
 	if err == nil && !ok {
@@ -179,10 +179,9 @@
 	return registered{lease: lease}
 }
 
-// evict first makes sure that every member answers. A cut availability zone makes
-// its instances look dead from the others, and they can't be evicted at the
-// members in it: to refuse them at the rest would only leave them without those
-// members when the cut heals.
+// evict first checks that every member responds. During a partition, instances of another zone
+// look dead and can't be evicted at their own zone's members; refusing them at the others would
+// only cut them off from those when the partition heals.
 func (p *Performer) evict(ctx context.Context, a Evict) error {
 	for _, address := range a.Addresses {
 		if err := commander.Prove(ctx, p.Network, address); err != nil {
@@ -195,7 +194,7 @@
 			return err
 		}
 		if remain > 0 {
-			return errors.Wrap(errRemain, address)
+			return errors.Wrap(errSessionsRemain, address)
 		}
 	}
 	return nil
--- a/internal/concentrator/concentrator.go
+++ b/internal/concentrator/concentrator.go
@@ -102,7 +102,7 @@
 		size := float64(max(c.Millicores, smallest, 1))
 		return size * size
 	}
-	list := ranker.Weighted(group, instances, func(c Candidate) string { return c.Name }, weight)
+	list := ranker.RankWeighted(group, instances, func(c Candidate) string { return c.Name }, weight)
 	names := make([]string, len(list))
 	for i, c := range list {
 		names[i] = c.Name
--- a/internal/documenter/documenter.go
+++ b/internal/documenter/documenter.go
@@ -128,7 +128,7 @@
 	var out bytes.Buffer
 	out.WriteString(decisionsHead)
 	for _, r := range dispatcher.Reasons {
-		fmt.Fprintf(&out, "| %s | %s | %s |\n", r.Reason, r.Text, r.Look)
+		fmt.Fprintf(&out, "| %s | %s | %s |\n", r.Reason, r.Text, r.LogHint)
 	}
 	return out.Bytes()
 }
--- a/internal/elector/primary_change_test.go
+++ b/internal/elector/primary_change_test.go
@@ -90,9 +90,9 @@
 	s.tracked.SetMembers(s.group.Registered())
 	return &elector.Supervisor{
 		Group: s.tracked,
-		Clock: clock, Codec: platform.Lines{}, Members: s.group.Registered,
+		Clock: clock, Codec: platform.LineCodec{}, Members: s.group.Registered,
 		Connect: func(ctx context.Context, m tracker.Member) (*lender.Conn, error) {
-			return lender.Connect(ctx, host, platform.Lines{}, m, "keeper")
+			return lender.Connect(ctx, host, platform.LineCodec{}, m, "keeper")
 		},
 		Holds:            func(time.Duration) bool { return true },
 		NextFencingToken: s.ownership.NextFencingToken, State: s.ownership.State, MarkPromotionUnanswered: func() {},
@@ -196,7 +196,7 @@
 		if m.ID == id {
 			dial, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 			defer cancel()
-			if c, err := lender.Connect(dial, h, platform.Lines{}, m, "writer"); err == nil {
+			if c, err := lender.Connect(dial, h, platform.LineCodec{}, m, "writer"); err == nil {
 				return c
 			}
 		}
@@ -335,7 +335,7 @@
 		if m.ID != "g-1" {
 			continue
 		}
-		c, err := lender.Connect(ctx, h, platform.Lines{}, m, "reader")
+		c, err := lender.Connect(ctx, h, platform.LineCodec{}, m, "reader")
 		if err != nil {
 			return
 		}
--- a/internal/explainer/explainer.go
+++ b/internal/explainer/explainer.go
@@ -139,7 +139,7 @@
 		fmt.Fprintln(w, "Its reasons:")
 	}
 	for _, r := range x.Reasons {
-		fmt.Fprintf(w, "  %s: %s Look at: %s\n", r.Reason, r.Text, r.Look)
+		fmt.Fprintf(w, "  %s: %s Look at: %s\n", r.Reason, r.Text, r.LogHint)
 	}
 	fmt.Fprintln(w, "What was known of its group and members around it:")
 	for _, l := range x.Context {
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -55,12 +55,12 @@
 		known := &tracker.Group{Name: "g", Zone: "a", SameRegion: func(string) bool { return false }}
 		known.SetMembers(g.Registered())
 		host := n.Host("10.8.0.1", "a")
-		s := &fixture{net: n, pool: &lender.Pool{Group: known, Network: host, Codec: platform.Lines{}, ClientName: "lender", Clock: clock}}
+		s := &fixture{net: n, pool: &lender.Pool{Group: known, Network: host, Codec: platform.LineCodec{}, ClientName: "lender", Clock: clock}}
 		s.pool.Configure(8, nil)
 		prepare(s.pool)
 		discovery := &discoverer.Discoverer{Self: discoverer.Peer{Name: "lender", Address: lenderAddress, Zone: "a"}, SameRegion: known.SameRegion}
 		s.lender = &forwarder.Forwarder{
-			Discoverer: discovery, Codec: platform.Lines{}, Clock: clock, Draining: s.leaving.Load, Log: func(...any) {},
+			Discoverer: discovery, Codec: platform.LineCodec{}, Clock: clock, Draining: s.leaving.Load, Log: func(...any) {},
 			Pool: func(group string) *lender.Pool {
 				if group != "g" {
 					return nil
--- a/internal/greeter/authenticate.go
+++ b/internal/greeter/authenticate.go
@@ -16,9 +16,9 @@
 // authenticate makes the caller prove who it is.
 func (s *start) authenticate(ctx context.Context, user string) *refuser.Refusal {
 	switch s.greeter.Authentication {
-	case loader.Trust:
+	case loader.AuthenticationTrust:
 		return nil
-	case loader.Password:
+	case loader.AuthenticationPassword:
 		return s.askPassword(ctx, user)
 	}
 	return refuser.New(refuser.BadPassword, "no way of authentication is set")
--- a/internal/greeter/drivers_test.go
+++ b/internal/greeter/drivers_test.go
@@ -69,7 +69,7 @@
 		staged, err := stager.Start(ctx, stager.Plan{
 			ZoneLatency: time.Millisecond, CallerLatency: 3 * time.Millisecond,
 			Users:    []configurer.User{{Name: "crew", Verifier: v.String()}},
-			Settings: func(s *loader.Settings) { s.Authentication, s.Encryption = loader.Password, e },
+			Settings: func(s *loader.Settings) { s.Authentication, s.Encryption = loader.AuthenticationPassword, e },
 		})
 		must.NoError(t, err)
 		defer func() {
--- a/internal/greeter/greeter.go
+++ b/internal/greeter/greeter.go
@@ -108,8 +108,8 @@
 	if g.Limits.Callers == 0 {
 		g.Limits.Callers = loader.DefaultCallers
 	}
-	if g.Limits.StartUp == 0 {
-		g.Limits.StartUp = loader.DefaultStartUp
+	if g.Limits.AuthenticationTimeout == 0 {
+		g.Limits.AuthenticationTimeout = loader.DefaultAuthenticationTimeout
 	}
 	if g.Verifier == nil {
 		g.Verifier = func(string) string { return "" }
@@ -199,12 +199,12 @@
 	defer stop()
 	// The deadline covers the whole start-up: a caller that sends a byte now
 	// and then must not hold its place for longer. What it is told then still goes out.
-	until := time.Now().Add(g.Limits.StartUp)
+	until := time.Now().Add(g.Limits.AuthenticationTimeout)
 	_ = conn.SetReadDeadline(until)
 	_ = conn.SetWriteDeadline(until.Add(refusalTimeout))
 	s := &start{greeter: g, conn: conn, full: place > g.Limits.Callers}
 	defer func() { _ = s.conn.Close() }() // ends TLS in form, where it was begun
-	limited, cancel := context.WithTimeout(ctx, g.Limits.StartUp)
+	limited, cancel := context.WithTimeout(ctx, g.Limits.AuthenticationTimeout)
 	defer cancel()
 	session, err := s.run(limited)
 	if err != nil || session == nil {
--- a/internal/greeter/greeter_test.go
+++ b/internal/greeter/greeter_test.go
@@ -40,7 +40,7 @@
 		n := wirer.New(1)
 		s := &stage{T: t, caller: n.Host("10.0.0.2", "a")}
 		s.greeter = &greeter.Greeter{
-			Address: address, Network: n.Host("10.0.0.1", "a"), Log: log.NewNopLogger(), Authentication: loader.Trust,
+			Address: address, Network: n.Host("10.0.0.1", "a"), Log: log.NewNopLogger(), Authentication: loader.AuthenticationTrust,
 			Open: func(parameters map[string]string) (*relayer.Session, *refuser.Refusal) {
 				s.seen = parameters
 				return nil, refuser.New(known, "as far as it goes")
@@ -175,7 +175,7 @@
 // A caller connects and says nothing, or a byte now and then. It is told so
 // once its time is up, and its place is free again.
 func TestSlowStartUp(t *testing.T) {
-	try(t, func(g *greeter.Greeter) { g.Limits.StartUp = 2 * time.Second }, func(s *stage) {
+	try(t, func(g *greeter.Greeter) { g.Limits.AuthenticationTimeout = 2 * time.Second }, func(s *stage) {
 		conn := s.dial()
 		began := time.Now()
 		for range 3 {
@@ -241,7 +241,7 @@
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
 	f.Add(code(80877102))
 	f.Fuzz(func(t *testing.T, stream []byte) {
-		try(t, func(g *greeter.Greeter) { g.Limits.StartUp = time.Second }, func(s *stage) {
+		try(t, func(g *greeter.Greeter) { g.Limits.AuthenticationTimeout = time.Second }, func(s *stage) {
 			conn := s.dial()
 			_, err := conn.Write(stream)
 			must.NoError(s, err)
--- /dev/null
+++ b/internal/launcher/peers.go
@@ -0,0 +1,152 @@
+package launcher
+
+import (
+	"slices"
+	"strings"
+
+	"github.com/go-kit/log"
+	"github.com/oriolegw/oriolegw/internal/accountant"
+	"github.com/oriolegw/oriolegw/internal/discoverer"
+	"github.com/oriolegw/oriolegw/internal/elector"
+	"github.com/oriolegw/oriolegw/internal/exchanger"
+	"github.com/oriolegw/oriolegw/internal/forwarder"
+	"github.com/oriolegw/oriolegw/internal/lender"
+	"github.com/oriolegw/oriolegw/internal/linker"
+	"github.com/oriolegw/oriolegw/internal/ranker"
+)
+
+// peerServices holds the components that communicate with other instances.
+type peerServices struct {
+	client  *linker.Client
+	server  *linker.Server
+	teller  *exchanger.Exchanger
+	carrier *forwarder.Forwarder
+	// accountant enforces the customers' limits.
+	accountant *accountant.Accountant
+	// lenderCache caches the result of lenderAddresses.
+	lenderCache cached[[]string]
+}
+
+func (i *Instance) newPeerServices() *peerServices {
+	kind := i.Journal.Kind("peers")
+	logger := log.LoggerFunc(func(fields ...any) error {
+		kind.Log(fields...)
+		return nil
+	})
+	secrets := i.peerSecrets()
+	n := &peerServices{client: &linker.Client{Network: i.Network, Secrets: secrets, Versions: linker.CurrentVersions}}
+	n.teller = &exchanger.Exchanger{
+		Discoverer: &discoverer.Discoverer{
+			Self:  discoverer.Peer{Name: i.Settings.Name, Address: i.Settings.PeerAddress, Zone: i.Settings.Zone, Millicores: int(i.Settings.Cores * 1000)},
+			Seeds: i.Settings.Seeds, SameRegion: i.sameRegion,
+		},
+		Links: n.client, Clock: i.Clock, StoreState: i.watcher.State, IsReader: i.watcher.IsReader, Store: i.Platform.Store, Log: kind.Log,
+	}
+	n.carrier = &forwarder.Forwarder{
+		Discoverer: n.teller.Discoverer, Links: n.client, Codec: i.Platform.MemberCodec, Clock: i.Clock,
+		Pool: i.configuredPool, Connections: i.memberConnectionLimit, Customers: i.customerCount, Zones: len(i.Settings.Regions), Draining: i.draining.Load, Log: kind.Log,
+	}
+	n.accountant = i.newAccountant(n)
+	n.teller.Lend, n.teller.Account = n.carrier.ServeLoans, n.accountant.HandleReport
+	n.teller.Proofs, n.teller.AddProof = i.recentProofs, i.acceptPeerProof
+	n.server = &linker.Server{
+		Address: i.Settings.PeerAddress, Network: i.Network, Secrets: secrets, Versions: linker.CurrentVersions,
+		Log:      logger,
+		Count:    func(name string) { i.metrics.Counter(metricPrefix + name).Inc(1) },
+		Register: n.teller.Register,
+	}
+	return n
+}
+
+// acquisitionRank returns how many instances precede this one in acquiring a group's failover
+// lease. Rendezvous hashing spreads the leases of the groups over instances. The last holder
+// goes last, since it has probably failed.
+func (n *peerServices) acquisitionRank(group, last string) int {
+	self := n.teller.Discoverer.Self
+	list := append(n.teller.Discoverer.Peers(n.teller.Clock()), self)
+	list = ranker.Rank(elector.OwnershipPrefix+group, list, func(p discoverer.Peer) string { return p.Name })
+	indexOf := func(name string) int {
+		return slices.IndexFunc(list, func(p discoverer.Peer) bool { return p.Name == name })
+	}
+	rank, holder := indexOf(self.Name), -1
+	if i := strings.LastIndex(last, runIDSeparator); i > 0 {
+		holder = indexOf(last[:i])
+	}
+	switch {
+	case holder == rank:
+		return len(list) - 1
+	case holder >= 0 && holder < rank:
+		return rank - 1
+	default:
+		return rank
+	}
+}
+
+// configuredPool returns the pool of a configured group, nil for any other name, so that peers
+// can't make this instance allocate state for arbitrary names.
+func (i *Instance) configuredPool(group string) *lender.Pool {
+	c := i.configuration.Load()
+	if c == nil {
+		return nil
+	}
+	if _, ok := c.Groups[group]; !ok {
+		return nil
+	}
+	return i.backend(group).Pool
+}
+
+// recentProofs returns the groups' recent freshness proofs that this instance got from primaries.
+func (i *Instance) recentProofs() []exchanger.GroupProof {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	var list []exchanger.GroupProof
+	now := i.Clock()
+	for name, b := range i.backends {
+		if p, ok := b.Group.NewestPrimaryProof(); ok && now-p.At < peerProofTimeout {
+			list = append(list, exchanger.GroupProof{Group: name, FreshnessProof: p})
+		}
+	}
+	return list
+}
+
+// acceptPeerProof records a freshness proof that a peer got from a primary.
+func (i *Instance) acceptPeerProof(p exchanger.GroupProof) {
+	i.mutex.Lock()
+	b := i.backends[p.Group]
+	i.mutex.Unlock()
+	if b != nil {
+		b.acceptPeerProof(p.FreshnessProof)
+	}
+}
+
+// memberConnectionLimit returns how many connections a member of a group accepts.
+func (i *Instance) memberConnectionLimit(group string) int {
+	c := i.configuration.Load()
+	if c == nil {
+		return 0
+	}
+	return c.Groups[group].Connections
+}
+
+// customerCount returns the number of customers whose connections are kept separate, at least 1.
+func (i *Instance) customerCount() int {
+	c := i.configuration.Load()
+	if c == nil {
+		return 1
+	}
+	return max(1, c.Customers.Len())
+}
+
+// lentConnections returns the number of connections lent to peers.
+func (i *Instance) lentConnections() int {
+	if i.peers == nil {
+		return 0
+	}
+	return i.peers.carrier.LentCount()
+}
+
+// peerSecrets returns the shared secrets of peer authentication. They are the store's address,
+// which is not confidential: they only prevent accidental connections between fleets.
+func (i *Instance) peerSecrets() []linker.Secret {
+	return []linker.Secret{{KeyNumber: 1, Value: []byte(i.Settings.StoreAddress)}}
+}
--- a/internal/lender/idle_test.go
+++ b/internal/lender/idle_test.go
@@ -58,11 +58,11 @@
 	g := &tracker.Group{Name: "g", Zone: "a", SameRegion: func(string) bool { return true }}
 	g.SetMembers([]tracker.Member{{ID: "g-1", Group: "g", Address: address, Zone: "a", Slots: 3}})
 	p := &lender.Pool{
-		Group: g, Network: networker.TCP{}, Codec: platform.Lines{}, ClientName: "test",
+		Group: g, Network: networker.TCP{}, Codec: platform.LineCodec{}, ClientName: "test",
 		Clock: func() tracker.Timestamp { return time.Hour },
 	}
 	// Run is not called: it would close connections that idle for too long.
-	c, err := lender.Connect(t.Context(), networker.TCP{}, platform.Lines{}, tracker.Member{ID: "g-1", Group: "g", Address: address}, "test")
+	c, err := lender.Connect(t.Context(), networker.TCP{}, platform.LineCodec{}, tracker.Member{ID: "g-1", Group: "g", Address: address}, "test")
 	must.NoError(t, err)
 	<-taken
 	deadline := time.Now().Add(50 * time.Millisecond)
--- a/internal/lender/lender_test.go
+++ b/internal/lender/lender_test.go
@@ -55,7 +55,7 @@
 			g := &tracker.Group{Name: "g", Zone: "a", SameRegion: func(zone string) bool { return zone == "a" }}
 			g.SetMembers(s.group.Registered())
 			p := &lender.Pool{
-				Group: g, Network: s.net.Host(fmt.Sprintf("10.8.0.%d", i+1), "a"), Codec: platform.Lines{},
+				Group: g, Network: s.net.Host(fmt.Sprintf("10.8.0.%d", i+1), "a"), Codec: platform.LineCodec{},
 				ClientName: "test", Clock: func() tracker.Timestamp { return time.Since(begin) + time.Hour },
 			}
 			if sharers > 0 {
--- a/internal/loader/compare.go
+++ b/internal/loader/compare.go
@@ -5,55 +5,55 @@
 	"slices"
 )
 
-// Change is a setting that differs between two versions of a settings file.
+// Change is a setting whose value differs between two settings files.
 type Change struct {
-	// Key is the setting's name in the file.
+	// Key is the name of the setting in the file.
 	Key      string
 	From, To string
 }
 
-// entryKeys gives each setting's value as text.
-var entryKeys = []struct {
+// entrySettings lists the keys of EntrySettings with their accessors.
+var entrySettings = []struct {
 	key   string
-	value func(*EntrySettings) any
+	value func(*EdgeSettings) any
 }{
-	{"name", func(s *EntrySettings) any { return s.Name }},
-	{"availability-zone", func(s *EntrySettings) any { return s.Zone }},
-	{"regions", func(s *EntrySettings) any { return s.Regions }},
-	{"callers-address", func(s *EntrySettings) any { return s.Callers }},
-	{"ready-address", func(s *EntrySettings) any { return s.Ready }},
-	{"metrics-address", func(s *EntrySettings) any { return s.Metrics }},
-	{"peers-address", func(s *EntrySettings) any { return s.Peers }},
-	{"seeds", func(s *EntrySettings) any { return s.Seeds }},
-	{"store-address", func(s *EntrySettings) any { return s.Store }},
-	{"promotions-address", func(s *EntrySettings) any { return s.Promotions }},
-	{"cores", func(s *EntrySettings) any { return s.Cores }},
-	{"in-force-ms", func(s *EntrySettings) any { return s.InForce }},
-	{"limit-window-s", func(s *EntrySettings) any { return s.Limits.Window }},
-	{"limit-overage", func(s *EntrySettings) any { return s.Limits.Overage }},
-	{"limit-slack", func(s *EntrySettings) any { return s.Limits.Slack }},
-	{"shutdown-s", func(s *EntrySettings) any { return s.Shutdown }},
-	{"first-start", func(s *EntrySettings) any { return s.FirstStart }},
+	{"name", func(s *EdgeSettings) any { return s.Name }},
+	{"availability-zone", func(s *EdgeSettings) any { return s.Zone }},
+	{"regions", func(s *EdgeSettings) any { return s.Regions }},
+	{"callers-address", func(s *EdgeSettings) any { return s.Callers }},
+	{"ready-address", func(s *EdgeSettings) any { return s.ReadinessAddress }},
+	{"metrics-address", func(s *EdgeSettings) any { return s.MetricsAddress }},
+	{"peers-address", func(s *EdgeSettings) any { return s.PeerAddress }},
+	{"seeds", func(s *EdgeSettings) any { return s.Seeds }},
+	{"store-address", func(s *EdgeSettings) any { return s.StoreAddress }},
+	{"promotions-address", func(s *EdgeSettings) any { return s.PromotionAddress }},
+	{"cores", func(s *EdgeSettings) any { return s.Cores }},
+	{"in-force-ms", func(s *EdgeSettings) any { return s.MaxApplyDelay }},
+	{"limit-window-s", func(s *EdgeSettings) any { return s.LimitTolerance.Window }},
+	{"limit-overage", func(s *EdgeSettings) any { return s.LimitTolerance.Overage }},
+	{"limit-slack", func(s *EdgeSettings) any { return s.LimitTolerance.Slack }},
+	{"shutdown-s", func(s *EdgeSettings) any { return s.ShutdownTimeout }},
+	{"first-start", func(s *EdgeSettings) any { return s.FirstStart }},
 }
 
-// CompareEntry lists what differs between the settings that an entry instance runs with and
-// those that it would start with next. None is taken over while it runs: addresses and zone
-// are those of the machine, and taking over another would cut its callers.
-func CompareEntry(running, next *EntrySettings) []Change {
-	var list []Change
-	for _, k := range entryKeys {
+// CompareEdgeSettings returns the differences between the settings of a running instance and those
+// of its next start. Changes apply only at a restart, since a new address would disconnect
+// clients.
+func CompareEdgeSettings(running, next *EdgeSettings) []Change {
+	var changes []Change
+	for _, k := range entrySettings {
 		from, to := fmt.Sprint(k.value(running)), fmt.Sprint(k.value(next))
 		if from != to {
-			list = append(list, Change{k.key, from, to})
+			changes = append(changes, Change{k.key, from, to})
 		}
 	}
-	return list
+	return changes
 }
 
-// Keys names the settings that changed.
-func Keys(list []Change) []string {
+// ChangedKeys returns the keys of the changed settings.
+func ChangedKeys(changes []Change) []string {
 	var keys []string
-	for _, c := range list {
+	for _, c := range changes {
 		keys = append(keys, c.Key)
 	}
 	return slices.Clip(keys)
--- a/internal/loader/entry.go
+++ b/internal/loader/entry.go
@@ -9,34 +9,32 @@
 	"github.com/oriolegw/oriolegw/internal/limiter"
 )
 
-// EntrySettings are what an entry instance on the users' platform is told at its
-// start.
-type EntrySettings struct {
+// EntrySettings is the settings file of oriolegw-edge, the proxy for the hosting platform.
+type EdgeSettings struct {
 	Name string
 	Zone string
-	// Regions gives the region of each availability zone.
+	// Regions maps each availability zone to its region.
 	Regions map[string]string
-	// Callers is where callers connect, Ready where the balancer asks whether it may
-	// send some, Metrics where the metrics page is; each "ip:port". An empty Metrics
-	// means no page.
-	Callers, Ready, Metrics string
-	// Peers is where other instances reach this one, "ip:port"; empty where instances
-	// are to know nothing of each other. Seeds are such addresses of a few others.
-	Peers string
-	Seeds []string
-	// Store and Promotions are the platform's. Without Promotions, no instance moves
-	// the lead of a group.
-	Store, Promotions string
-	// Cores is what the instance may use of a processor, in cores; 0 where that isn't said.
-	// Larger instances do more of what few do for many.
+	// Callers, Ready and Metrics are the listen addresses for clients, for the load balancer's
+	// readiness checks and for the metrics page, as "ip:port". An empty Metrics disables the page.
+	Callers, ReadinessAddress, MetricsAddress string
+	// PeerAddress is the listen address for other instances, as "ip:port"; if empty, instances don't
+	// communicate. Seeds are the Peers addresses of some other instances.
+	PeerAddress string
+	Seeds       []string
+	// StoreAddress and Promotions are the addresses of the platform's key-value store and promotion
+	// service. An empty Promotions disables failover.
+	StoreAddress, PromotionAddress string
+	// Cores is the CPU quota in cores; 0 if unknown. Instances with more cores take more of
+	// the work that a few instances do for all.
 	Cores float64
-	// InForce is how soon a change of the configuration must be in force.
-	InForce time.Duration
-	// Limits is by how much a customer may exceed its limit, since many instances count.
-	Limits limiter.Tolerance
-	// Shutdown is how long after SIGTERM the process is killed.
-	Shutdown time.Duration
-	// FirstStart is set when the whole fleet starts for the first time.
+	// MaxApplyDelay is the maximum delay until a configuration change applies.
+	MaxApplyDelay time.Duration
+	// LimitTolerance is how far a customer may exceed its rate limit, which instances count separately.
+	LimitTolerance limiter.Tolerance
+	// ShutdownTimeout is the time from SIGTERM until the process is killed.
+	ShutdownTimeout time.Duration
+	// FirstStart is set for the initial start of the whole fleet.
 	FirstStart bool
 }
 
@@ -50,32 +48,32 @@
 	maxOverage     = 10
 	maxSlack       = 1_000_000
 
-	// DefaultInForce and DefaultShutdown hold where the settings don't say; they are
-	// those of the users' deployments.
-	DefaultInForce  = 3 * time.Second
-	DefaultShutdown = 6 * time.Second
+	// DefaultMaxApplyDelay and DefaultShutdown are the defaults of EntrySettings; they match the
+	// hosting platform's deployments.
+	DefaultMaxApplyDelay   = 3 * time.Second
+	DefaultShutdownTimeout = 6 * time.Second
 )
 
-// DefaultLimits holds where the settings don't say; it is that of the users' deployments.
-var DefaultLimits = limiter.Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
+// DefaultLimits is the default of EntrySettings.LimitTolerance.
+var DefaultLimitTolerance = limiter.Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
-// LoadEntry reads the settings file of an entry instance on the platform.
-func LoadEntry(file string) (*EntrySettings, error) {
+// LoadEdgeSettings reads EntrySettings from a file. It ignores unknown keys.
+func LoadEdgeSettings(file string) (*EdgeSettings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, errors.Wrap(err, "read settings")
 	}
-	s, problems := CheckEntry(file, text)
+	s, problems := CheckEdgeSettings(file, text)
 	if err := problems.Known().Err(); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// CheckEntry reads such settings from text and reports all mistakes. The settings
-// are only good when there are none but unknown keys.
-func CheckEntry(file string, text []byte) (*EntrySettings, inspector.Problems) {
-	s := &EntrySettings{Regions: map[string]string{}, InForce: DefaultInForce, Shutdown: DefaultShutdown, Limits: DefaultLimits}
+// CheckEdgeSettings decodes EntrySettings and returns all problems. The settings are valid only if
+// there are no problems other than unknown keys.
+func CheckEdgeSettings(file string, text []byte) (*EdgeSettings, inspector.Problems) {
+	s := &EdgeSettings{Regions: map[string]string{}, MaxApplyDelay: DefaultMaxApplyDelay, ShutdownTimeout: DefaultShutdownTimeout, LimitTolerance: DefaultLimitTolerance}
 	address := func(to *string) func(inspector.Node) {
 		return func(n inspector.Node) { *to = n.Address() }
 	}
@@ -87,20 +85,20 @@
 				n.Pairs(maxRegions, func(zone string, n inspector.Node) { s.Regions[zone] = n.Text() })
 			}),
 			inspector.Need("callers-address", address(&s.Callers)),
-			inspector.Need("ready-address", address(&s.Ready)),
-			inspector.May("metrics-address", address(&s.Metrics)),
-			inspector.May("peers-address", address(&s.Peers)),
+			inspector.Need("ready-address", address(&s.ReadinessAddress)),
+			inspector.May("metrics-address", address(&s.MetricsAddress)),
+			inspector.May("peers-address", address(&s.PeerAddress)),
 			inspector.May("seeds", func(n inspector.Node) {
 				n.Each(0, maxSeeds, func(n inspector.Node) { s.Seeds = append(s.Seeds, n.Address()) })
 			}),
-			inspector.Need("store-address", address(&s.Store)),
-			inspector.May("promotions-address", address(&s.Promotions)),
+			inspector.Need("store-address", address(&s.StoreAddress)),
+			inspector.May("promotions-address", address(&s.PromotionAddress)),
 			inspector.May("cores", func(n inspector.Node) { s.Cores = n.Number(0, maxCores) }),
-			inspector.May("in-force-ms", func(n inspector.Node) { s.InForce = n.Milliseconds(minInForce, maxShutdown) }),
-			inspector.May("limit-window-s", func(n inspector.Node) { s.Limits.Window = n.Seconds(time.Second, maxLimitWindow) }),
-			inspector.May("limit-overage", func(n inspector.Node) { s.Limits.Overage = n.Number(0, maxOverage) }),
-			inspector.May("limit-slack", func(n inspector.Node) { s.Limits.Slack = n.Number(0, maxSlack) }),
-			inspector.May("shutdown-s", func(n inspector.Node) { s.Shutdown = n.Seconds(0, maxShutdown) }),
+			inspector.May("in-force-ms", func(n inspector.Node) { s.MaxApplyDelay = n.Milliseconds(minInForce, maxShutdown) }),
+			inspector.May("limit-window-s", func(n inspector.Node) { s.LimitTolerance.Window = n.Seconds(time.Second, maxLimitWindow) }),
+			inspector.May("limit-overage", func(n inspector.Node) { s.LimitTolerance.Overage = n.Number(0, maxOverage) }),
+			inspector.May("limit-slack", func(n inspector.Node) { s.LimitTolerance.Slack = n.Number(0, maxSlack) }),
+			inspector.May("shutdown-s", func(n inspector.Node) { s.ShutdownTimeout = n.Seconds(0, maxShutdown) }),
 			inspector.May("first-start", func(n inspector.Node) { s.FirstStart = n.Bool() }),
 		)
 	})
--- a/internal/loader/entry_test.go
+++ b/internal/loader/entry_test.go
@@ -11,60 +11,59 @@
 	"github.com/shoenig/test/must"
 )
 
-const entry = `{
+const entrySettings = `{
 	"name": "edge-1", "availability-zone": "a", "regions": {"a": "x", "b": "y"},
 	"callers-address": "10.0.0.1:5000", "ready-address": "10.0.0.1:5001",
 	"store-address": "10.0.0.2:7000", "promotions-address": "10.0.0.3:7000",
-	"in-force-ms": 5000, "first-start": true, "shutdown-s": 6.5, // a trailing comma is fine
+	"in-force-ms": 5000, "first-start": true, "shutdown-s": 6.5, // trailing comma
 }`
 
 func TestCheckEntry(t *testing.T) {
-	s, problems := loader.CheckEntry("f", []byte(entry))
+	s, problems := loader.CheckEdgeSettings("f", []byte(entrySettings))
 	must.NoError(t, problems.Err())
 	must.Eq(t, map[string]string{"a": "x", "b": "y"}, s.Regions)
-	must.Eq(t, 6500*time.Millisecond, s.Shutdown)
-	must.Eq(t, 5*time.Second, s.InForce)
+	must.Eq(t, 6500*time.Millisecond, s.ShutdownTimeout)
+	must.Eq(t, 5*time.Second, s.MaxApplyDelay)
 	must.True(t, s.FirstStart)
-	must.Eq(t, "", s.Metrics)
+	must.Eq(t, "", s.MetricsAddress)
 
-	s, problems = loader.CheckEntry("f", []byte(`{"name": "n", "availability-zone": "a", "regions": {}, "callers-address": "10.0.0.1:1", "ready-address": "10.0.0.1:2", "store-address": "10.0.0.1:3"}`))
+	s, problems = loader.CheckEdgeSettings("f", []byte(`{"name": "n", "availability-zone": "a", "regions": {}, "callers-address": "10.0.0.1:1", "ready-address": "10.0.0.1:2", "store-address": "10.0.0.1:3"}`))
 	must.NoError(t, problems.Err())
-	must.Eq(t, loader.DefaultShutdown, s.Shutdown)
-	must.Eq(t, loader.DefaultInForce, s.InForce)
+	must.Eq(t, loader.DefaultShutdownTimeout, s.ShutdownTimeout)
+	must.Eq(t, loader.DefaultMaxApplyDelay, s.MaxApplyDelay)
 }
 
-func TestBadEntry(t *testing.T) {
-	for _, c := range []struct{ old, bad string }{
+func TestCheckEntryRejectsInvalidValues(t *testing.T) {
+	for _, c := range []struct{ old, invalid string }{
 		{`"10.0.0.1:5000"`, `"host:5000"`},
 		{`{"a": "x", "b": "y"}`, `["a"]`},
 		{`6.5`, `-1`},
 		{`5000`, `"soon"`},
 		{`"name": "edge-1", `, ``},
 	} {
-		_, problems := loader.CheckEntry("f", []byte(strings.Replace(entry, c.old, c.bad, 1)))
-		must.Error(t, problems.Known().Err(), must.Sprint(c.bad))
+		_, problems := loader.CheckEdgeSettings("f", []byte(strings.Replace(entrySettings, c.old, c.invalid, 1)))
+		must.Error(t, problems.Known().Err(), must.Sprint(c.invalid))
 	}
-	// A key of a newer version is no reason not to start.
-	_, problems := loader.CheckEntry("f", []byte(strings.Replace(entry, `"name"`, `"new-key": 1, "name"`, 1)))
+	// Unknown keys, as of a newer version, don't prevent a start.
+	_, problems := loader.CheckEdgeSettings("f", []byte(strings.Replace(entrySettings, `"name"`, `"new-key": 1, "name"`, 1)))
 	must.NoError(t, problems.Known().Err())
 }
 
-// Each setting that can be written in the file is told of when it changes; one that is
-// missing from the comparison would be reported as unchanged.
+// CompareEntry reports a change of every field of EntrySettings.
 func TestCompareEntry(t *testing.T) {
-	same := &loader.EntrySettings{Name: "a", Regions: map[string]string{"z": "r"}, Seeds: []string{"s:1"}}
-	must.SliceEmpty(t, loader.CompareEntry(same, same))
-	next := reflect.ValueOf(loader.EntrySettings{
-		Name: "b", Zone: "b", Regions: map[string]string{"b": "b"}, Callers: "b", Ready: "b", Metrics: "b", Peers: "b",
-		Seeds: []string{"b"}, Store: "b", Promotions: "b", Cores: 1, InForce: 1, Shutdown: 1, FirstStart: true,
-		Limits: limiter.Tolerance{Slack: 1},
+	same := &loader.EdgeSettings{Name: "a", Regions: map[string]string{"z": "r"}, Seeds: []string{"s:1"}}
+	must.SliceEmpty(t, loader.CompareEdgeSettings(same, same))
+	next := reflect.ValueOf(loader.EdgeSettings{
+		Name: "b", Zone: "b", Regions: map[string]string{"b": "b"}, Callers: "b", ReadinessAddress: "b", MetricsAddress: "b", PeerAddress: "b",
+		Seeds: []string{"b"}, StoreAddress: "b", PromotionAddress: "b", Cores: 1, MaxApplyDelay: 1, ShutdownTimeout: 1, FirstStart: true,
+		LimitTolerance: limiter.Tolerance{Slack: 1},
 	})
 	for i := range next.NumField() {
-		one := loader.EntrySettings{}
+		one := loader.EdgeSettings{}
 		reflect.ValueOf(&one).Elem().Field(i).Set(next.Field(i))
-		must.Len(t, 1, loader.CompareEntry(&loader.EntrySettings{}, &one), must.Sprint(next.Type().Field(i).Name))
+		must.Len(t, 1, loader.CompareEdgeSettings(&loader.EdgeSettings{}, &one), must.Sprint(next.Type().Field(i).Name))
 	}
 	for _, l := range []limiter.Tolerance{{Window: 1}, {Overage: 1}} {
-		must.Len(t, 1, loader.CompareEntry(&loader.EntrySettings{}, &loader.EntrySettings{Limits: l}))
+		must.Len(t, 1, loader.CompareEdgeSettings(&loader.EdgeSettings{}, &loader.EdgeSettings{LimitTolerance: l}))
 	}
 }
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -57,7 +57,7 @@
 	wait, done := s.cancels.waiting(ctx)
 	defer done()
 	t := &try{session: s, request: r, started: time.Now(), wait: wait}
-	s.Retries.First()
+	s.Retries.RecordFirstAttempt()
 	for {
 		done, refusal := t.once(ctx)
 		switch {
@@ -139,7 +139,7 @@
 func (t *try) send(ctx context.Context, c *pooler.Conn) (done bool, refusal *refuser.Refusal) {
 	s := t.session
 	x := newExchange(s, c, t.request, false)
-	x.need, x.await, x.alert = t.choice.Need, t.choice.Await, t.alert
+	x.need, x.await, x.alert = t.choice.MinPosition, t.choice.CatchUpTimeout, t.alert
 	x.witnessed, x.strict = t.witnessed(x.started)
 	x.held = x.strict
 	if x.strict && x.witnessed.Equal(x.started) {
@@ -172,7 +172,7 @@
 		if t.spoiled++; t.spoiled > spoiledLimit {
 			s.wait(t.wait, t.table, redoPause)
 		}
-	case !s.Retries.Retry():
+	case !s.Retries.AllowRetry():
 		return true, refuser.New(refuser.RetriesSpent, "service %q", s.Service)
 	default:
 		s.Count("retry.not-run")
@@ -206,7 +206,7 @@
 	if s.floorKnown || (!t.request.read && !t.request.begins) {
 		return false, nil
 	}
-	if w, ok := t.group.Since(s.Connected); ok {
+	if w, ok := t.group.WatermarkSince(s.Connected); ok {
 		s.Floor, s.floorKnown = w.Position, true
 		return false, nil
 	}
@@ -227,8 +227,8 @@
 	s := t.session
 	s.turn++
 	return router.Request{
-		Read: t.request.read, Floor: s.Floor, Seen: s.seen, MaxAge: t.age(),
-		Zone: s.Zone, Avoid: t.avoid, Home: s.Home, Turn: s.turn,
+		Read: t.request.read, Floor: s.Floor, LastRead: s.seen, MaxAge: t.age(),
+		Zone: s.Zone, Exclude: t.avoid, PreferenceSeed: s.Home, Sequence: s.turn,
 	}
 }
 
@@ -262,7 +262,7 @@
 	if t.request.read {
 		reason = refuser.NoTarget
 	}
-	return refuser.New(reason, "service %q: waited %v: %s", t.session.Service, hold(t.group), t.choice.Why)
+	return refuser.New(reason, "service %q: waited %v: %s", t.session.Service, hold(t.group), t.choice.Reason)
 }
 
 func (t *try) explain(f *refuser.Refusal) {
@@ -272,7 +272,7 @@
 	}
 	d := router.Decision{
 		At: time.Now(), Service: t.session.Service, Kind: t.request.kind, Read: t.request.read,
-		Member: t.choice.Member, Replica: t.choice.Replica, Why: t.choice.Why, Waited: time.Since(t.started),
+		Member: t.choice.Member, Replica: t.choice.Replica, Reason: t.choice.Reason, Waited: time.Since(t.started),
 	}
 	if f != nil {
 		d.Code = f.Reason.Code
@@ -300,7 +300,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
-	return s.Pool.Borrow(ctx, admitter.Order{Place: place, User: s.User, Class: r.lendingClass()})
+	return s.Pool.Borrow(ctx, admitter.ConnectionRequest{Place: place, User: s.User, Class: r.lendingClass()})
 }
 
 // finish settles what becomes of the connection and the caller's transaction.
--- a/internal/relayer/session.go
+++ b/internal/relayer/session.go
@@ -35,7 +35,7 @@
 	Lender interface {
 		// Borrow waits for the request's turn; the error is a *refuser.Refusal
 		// when it was turned away.
-		Borrow(ctx context.Context, o admitter.Order) (*pooler.Conn, error)
+		Borrow(ctx context.Context, o admitter.ConnectionRequest) (*pooler.Conn, error)
 		Return(c *pooler.Conn)
 		// DropIdle closes the connections that are not lent. It is for the
 		// moment when one was found silent: whatever has lost track of it has
@@ -80,7 +80,7 @@
 		// Leaver ends the session when the instance leaves; nil: nobody does.
 		Leaver *Leaver
 		// Explainer is told where each request went; nil: nobody.
-		Explainer *router.Explainer
+		Explainer *router.DecisionLog
 		Log       log.Logger
 		// Count counts an event by name, for the metrics.
 		Count func(name string)
--- a/internal/reporter/reporter_test.go
+++ b/internal/reporter/reporter_test.go
@@ -63,9 +63,9 @@
 
 // The newest decisions tell where requests went, and why.
 func TestDecisions(t *testing.T) {
-	var e router.Explainer
-	e.Add(router.Decision{Service: "lockers", Kind: "drop-status", Read: true, Target: "m2", Replica: true, Why: "replica holds the floor"})
-	e.Add(router.Decision{Service: "lockers", Member: -1, Why: "no primary known", Code: "OR201", Waited: time.Second})
+	var e router.DecisionLog
+	e.Add(router.Decision{Service: "lockers", Kind: "drop-status", Read: true, Target: "m2", Replica: true, Reason: "replica holds the floor"})
+	e.Add(router.Decision{Service: "lockers", Member: -1, Reason: "no primary known", Code: "OR201", Waited: time.Second})
 	_, body := get(t, &reporter.Pages{Recent: e.Recent}, http.MethodGet, reporter.PathDecisions)
 	must.StrContains(t, body, `"why": "replica holds the floor"`)
 	must.Less(t, strings.Index(body, "m2"), strings.Index(body, "OR201"))
--- a/internal/reporter/state.go
+++ b/internal/reporter/state.go
@@ -116,8 +116,8 @@
 			Role: m.Status.Role, Term: m.Status.Term, Age: -1, Failures: m.Failures,
 			Received: m.Status.Received.String(), Replayed: m.Status.Replayed.String(),
 		}
-		if !m.Seen.IsZero() {
-			n.Age = now.Sub(m.Seen)
+		if !m.LastQueried.IsZero() {
+			n.Age = now.Sub(m.LastQueried)
 		}
 		if i == g.Primary {
 			s.Primary = c.Name
@@ -239,7 +239,7 @@
 	for _, d := range list {
 		w = append(w, wireDecision{
 			At: d.At, Service: d.Service, Kind: d.Kind, Read: d.Read, Target: d.Target, Replica: d.Replica,
-			Why: d.Why, Code: d.Code, WaitedMS: float64(d.Waited.Microseconds()) / 1000,
+			Why: d.Reason, Code: d.Code, WaitedMS: float64(d.Waited.Microseconds()) / 1000,
 		})
 	}
 	return encode(w)
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -8,16 +8,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// Every request fails at its target and each caller's request would be tried
-// until its deadline. The target sees a tenth more tries than requests, and not
-// a multiple, however long the failure lasts.
-func TestRetriesStayAFixedPart(t *testing.T) {
+// While every request fails, retries add about a tenth to the load, however long it lasts.
+func TestRetryRatioIsBounded(t *testing.T) {
 	b := &retrier.Budget{}
 	retries := 0
 	for range 10000 {
-		b.First()
+		b.RecordFirstAttempt()
 		for range 50 {
-			if b.Retry() {
+			if b.AllowRetry() {
 				retries++
 			}
 		}
@@ -25,23 +23,22 @@
 	must.Between(t, 990, retries, 1000+retrier.DefaultReserve)
 }
 
-// A quiet group loses its primary with two requests in flight: both are retried,
-// though hardly any first tries have paid for it.
-func TestQuietGroupRetries(t *testing.T) {
+// Requests in flight are retried although few first attempts have filled the budget.
+func TestReserveAllowsRetriesAtLowTraffic(t *testing.T) {
 	b := &retrier.Budget{}
-	b.First()
-	b.First()
-	must.True(t, b.Retry())
-	must.True(t, b.Retry())
+	b.RecordFirstAttempt()
+	b.RecordFirstAttempt()
+	must.True(t, b.AllowRetry())
+	must.True(t, b.AllowRetry())
 }
 
 func ExampleBudget() {
-	b := &retrier.Budget{Part: 0.5, Reserve: 1}
-	b.First()
-	fmt.Println(b.Retry(), b.Retry())
-	b.First()
-	b.First()
-	fmt.Println(b.Retry())
+	b := &retrier.Budget{Ratio: 0.5, Reserve: 1}
+	b.RecordFirstAttempt()
+	fmt.Println(b.AllowRetry(), b.AllowRetry())
+	b.RecordFirstAttempt()
+	b.RecordFirstAttempt()
+	fmt.Println(b.AllowRetry())
 	// Output:
 	// true false
 	// true
--- a/internal/runner/status_test.go
+++ b/internal/runner/status_test.go
@@ -15,13 +15,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// An operator asks the status page how much of a group's budget the instance holds.
+// The status page shows a group's open connections and the instance's share.
 func TestStatusShowsConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		s, err := stager.Start(ctx, stager.Plan{
-			Settings: func(l *loader.Settings) { l.Status = strings.Replace(l.Callers, ":5432", ":7200", 1) },
+			Settings: func(l *loader.Settings) { l.StatusAddress = strings.Replace(l.Callers, ":5432", ":7200", 1) },
 		})
 		must.NoError(t, err)
 		defer s.Close()
--- a/internal/standin/stager/stager.go
+++ b/internal/standin/stager/stager.go
@@ -255,10 +255,10 @@
 	list := (&lister.Client{Address: f.Platform.Address, Network: h}).Open()
 	i := &runner.Instance{
 		Settings: &loader.Settings{
-			Name: e.Name, Zone: e.Zone, Callers: e.IP + ":5432", Peers: e.IP + ":7100", Platform: f.Platform.Address, Authentication: loader.Trust,
+			Name: e.Name, Zone: e.Zone, Callers: e.IP + ":5432", PeerAddress: e.IP + ":7100", PlatformAddress: f.Platform.Address, Authentication: loader.AuthenticationTrust,
 			TokenKeys: []loader.TokenKey{{Number: 1, Secret: tokenKey}}, Seeds: f.seeds(),
 		},
-		Network: h, Store: store, List: list, Seed: f.Plan.Seed*1000 + f.starts, Events: e.Events, Metrics: e.Metrics, Log: log.With(f.Plan.Log, "instance", e.Name),
+		Network: h, Store: store, Instances: list, Seed: f.Plan.Seed*1000 + f.starts, Events: e.Events, Metrics: e.Metrics, Log: log.With(f.Plan.Log, "instance", e.Name),
 	}
 	if f.Plan.Settings != nil {
 		f.Plan.Settings(i.Settings)
