--- a/internal/messenger/messenger.go
+++ b/internal/messenger/messenger.go
@@ -1,5 +1,5 @@
-// Package messenger holds what callers say to the proxy and what members answer,
-// free of any protocol. Codecs translate their protocol to and from it.
+// Package messenger defines protocol-independent requests and replies. Codecs translate wire
+// protocols to and from these types.
 package messenger
 
 import (
@@ -9,11 +9,11 @@
 	"github.com/oriolegw/oriolegw/pkg/orderer"
 )
 
-// Kind says what a statement does.
+// Kind classifies a statement.
 type Kind uint8
 
-// The kinds of statements. Read to Execute come from callers; the rest are only
-// sent to members, by the proxy itself.
+// Kinds from KindRead to KindExecute and the transaction kinds come from callers; those from
+// KindReset on are sent to members by the proxy itself.
 const (
 	KindUnknown Kind = iota
 	// KindBegin opens a transaction that may write.
@@ -24,32 +24,32 @@
 	KindRollback
 	KindRead
 	KindWrite
-	// KindSet gives a session value.
+	// KindSet sets a session variable.
 	KindSet
-	// KindPrepareRead and KindPrepareWrite name a statement for later use.
+	// KindPrepareRead and KindPrepareWrite define a prepared statement.
 	KindPrepareRead
 	KindPrepareWrite
 	KindExecute
-	// KindDeallocate forgets a prepared statement.
+	// KindDeallocate drops a prepared statement.
 	KindDeallocate
 
-	// KindReset clears a connection's session values and prepared statements.
+	// KindReset clears a connection's session variables and prepared statements.
 	KindReset
-	// KindStatus asks a member for its role and place in the log.
+	// KindStatus queries a member's role and log position.
 	KindStatus
-	// KindPause stops a replica from receiving the log.
+	// KindPause stops log replication to a replica.
 	KindPause
-	// KindResume has a paused replica receive again.
+	// KindResume resumes log replication to a paused replica.
 	KindResume
-	// KindStepDown makes the primary of an older term a replica.
+	// KindStepDown demotes a primary of an older term to a replica.
 	KindStepDown
 )
 
-// State is where a connection stands between statements.
+// State is a connection's transaction state between statements.
 type State uint8
 
 const (
-	// StateIdle is outside any transaction.
+	// StateIdle means that no transaction is open.
 	StateIdle State = iota
 	// StateOpen is inside a transaction.
 	StateOpen
@@ -57,41 +57,41 @@
 	StateFailed
 )
 
-// Code says how a statement failed.
+// Code is the failure code of a statement.
 type Code uint8
 
-// The codes of failures. NotRun tells which of them say that nothing was run.
+// NotRun reports which codes guarantee that the statement was not executed.
 const (
 	CodeNone Code = iota
-	// CodeBusy: no room for the statement.
+	// CodeBusy: no capacity for the statement.
 	CodeBusy
-	// CodeBehind: the member's log lacks the position asked for.
+	// CodeBehind: the member's log has not reached the required position.
 	CodeBehind
-	// CodeNotPrimary: only the primary does this.
+	// CodeNotPrimary: the statement requires the primary.
 	CodeNotPrimary
-	// CodeWrongMember: the member is not the one that was asked for.
+	// CodeWrongMember: the connection reached another member than intended.
 	CodeWrongMember
-	// CodeTooManyConnections: the member takes no more connections.
+	// CodeTooManyConnections: the member's connection limit is reached.
 	CodeTooManyConnections
-	// CodeUnknownStatement: no prepared statement of that name.
+	// CodeUnknownStatement: no prepared statement has this name.
 	CodeUnknownStatement
 	// CodeAborted: the transaction was rolled back.
 	CodeAborted
-	// CodeFailed: the statement was run and failed.
+	// CodeFailed: the statement was executed and failed.
 	CodeFailed
-	// CodeTimeout: the statement was run and took too long.
+	// CodeTimeout: the statement was executed and exceeded its time limit.
 	CodeTimeout
 	// CodeOutcomeUnknown: the statement may or may not have taken effect.
 	CodeOutcomeUnknown
-	// CodeUnknownDatabase: no route has the name.
+	// CodeUnknownDatabase: no route exists for the database name.
 	CodeUnknownDatabase
-	// CodeMalformed: the message can't be understood, or not in this state.
+	// CodeMalformed: the message is invalid, or invalid in the current state.
 	CodeMalformed
-	// CodeDenied: nobody holds the caller's key.
+	// CodeDenied: the caller's credentials are unknown.
 	CodeDenied
-	// CodeTooLarge: the message is over the limit.
+	// CodeTooLarge: the message exceeds the size limit.
 	CodeTooLarge
-	// CodeUnknown is a code that the codec doesn't know.
+	// CodeUnknown: the codec does not recognize the code.
 	CodeUnknown
 )
 
@@ -105,10 +105,10 @@
 	CodeTooLarge: "too-large", CodeUnknown: "unknown",
 }
 
-// String returns the code's name in logs and metrics.
+// String returns the name used in logs and metrics.
 func (c Code) String() string { return codeNames[c] }
 
-// NotRun reports whether a member that answers with c has not run the statement.
+// NotRun reports whether a reply with code c guarantees that the statement was not executed.
 func (c Code) NotRun() bool {
 	switch c {
 	case CodeBusy, CodeBehind, CodeNotPrimary, CodeWrongMember, CodeTooManyConnections, CodeUnknownStatement:
@@ -122,59 +122,59 @@
 	// Start opens a caller's session.
 	Start struct {
 		Database string
-		// Key is the digest of what the caller presents; HasKey is false where it presents
-		// nothing.
+		// Key is the digest of the caller's credential; HasKey is false if there is none.
 		Key    identifier.Key
 		HasKey bool
 	}
 
-	// Statement is one request of a caller.
+	// Statement is a caller's request.
 	Statement struct {
-		// ID is the caller's name for the request; members see it unchanged.
+		// ID is the caller's request ID, forwarded to members unchanged.
 		ID   string
 		Kind Kind
-		// Text is the statement as the caller wrote it.
+		// Text is the original statement text.
 		Text string
-		// Name is that of the session value or prepared statement.
+		// Name is the session variable or prepared statement.
 		Name string
-		// Rest is what follows the name: a session value, the shape of a prepared
-		// statement, or the arguments of an execution.
+		// Rest holds the variable's value, the prepared statement's definition or the
+		// execution's arguments.
 		Rest string
 	}
 
-	// Command is one statement for a member.
+	// Command is a statement sent to a member.
 	Command struct {
-		// ID is the caller's, or "" for a command of the proxy's own.
+		// ID is the caller's request ID, empty for the proxy's own commands.
 		ID   string
 		Kind Kind
-		// After, when set, is a position that the member's log must hold.
+		// After, if set, is the log position that the member must have reached.
 		After orderer.Position
-		// Text is sent unchanged when it is set; else Name, Rest and Term say it.
+		// Text is sent unchanged if set; otherwise the command is built from Name, Rest and
+		// Term.
 		Text       string
 		Name, Rest string
 		Term       uint64
 	}
 
-	// Reply is the answer to one statement.
+	// Reply is the response to one statement.
 	Reply struct {
 		Rows []string
-		// Signature is the member's proof that it ran the statement.
+		// Signature is the member's proof that it executed the statement.
 		Signature string
-		// Code is CodeNone for success.
+		// Code is CodeNone on success.
 		Code   Code
 		Detail string
 		State  State
-		// Position is the end of the member's log, zero where it isn't told.
+		// Position is the end of the member's log, zero if not reported.
 		Position orderer.Position
 	}
 
-	// Status is a member's answer about itself.
+	// Status is a member's state report.
 	Status struct {
 		Primary  bool
 		Term     uint64
 		Received orderer.Position
-		// PausedFor is the term for which a replica has stopped receiving; 0 when
-		// it receives.
+		// PausedFor is the term for which replication to the replica is paused; 0 if it is
+		// running.
 		PausedFor   uint64
 		LagMillis   int64
 		Busy        int
@@ -183,50 +183,50 @@
 )
 
 type (
-	// Replies reads what a member answers, in order.
+	// Replies reads a member's responses in order.
 	Replies interface {
-		// Started reads the answer to the opening of the connection.
+		// Started reads the response to the connection request.
 		Started() (Reply, error)
-		// Reply reads the answer to one command. After a timeout it can be called
-		// again and goes on where it was.
+		// Reply reads the response to one command. After a timeout, calling it again resumes
+		// the read.
 		Reply() (Reply, error)
-		// Buffered reports whether bytes came that were not asked for yet.
+		// Buffered reports whether unread bytes have been received.
 		Buffered() bool
 	}
 
-	// MemberCodec is the protocol towards members.
+	// MemberCodec implements the protocol spoken with members.
 	MemberCodec interface {
-		// AppendStart appends what opens a connection: the group, who connects, and
-		// the identity that the member must have.
+		// AppendStart appends the connection request: the group, the client's name and the
+		// expected member ID.
 		AppendStart(b []byte, group, who, id string) []byte
 		AppendEnd(b []byte) []byte
 		AppendCommand(b []byte, c Command) []byte
 		Replies(from io.Reader) Replies
-		// Status decodes the answer to KindStatus and to the orders.
+		// Status decodes the reply to KindStatus, KindPause, KindResume and KindStepDown.
 		Status(r Reply) (Status, error)
-		// Balance returns a count of what passes on a connection, for whoever passes it on
-		// without reading it.
+		// Balance returns a counter of the commands in flight on a connection whose data is
+		// forwarded without decoding.
 		Balance() Balance
 	}
 
-	// Balance counts commands and replies. Sent and Received may be called from two
-	// goroutines, one each; Even only when neither is.
+	// Balance counts commands and replies. Sent and Received may be called concurrently with
+	// each other, but not with Even.
 	Balance interface {
 		Sent(text []byte)
 		Received(text []byte)
-		// Even reports whether each command has had its whole reply.
+		// Even reports whether every command has received its complete reply.
 		Even() bool
 	}
 
-	// Statements reads what a caller says.
+	// Statements reads a caller's messages.
 	Statements interface {
 		Start() (Start, error)
-		// Statement returns io.EOF when the caller ends its session.
+		// Statement returns io.EOF when the caller ends the session.
 		Statement() (Statement, error)
 		Buffered() bool
 	}
 
-	// CallerCodec is the protocol towards callers.
+	// CallerCodec implements the protocol spoken with callers.
 	CallerCodec interface {
 		Statements(from io.Reader) Statements
 		AppendStarted(b []byte, r Reply) []byte
