--- a/internal/canceller/canceller.go
+++ b/internal/canceller/canceller.go
@@ -1,10 +1,11 @@
-// Package canceller finds the request that a caller wants to cancel. The balancer
-// sends a cancel to any instance, so a key names the instance that made it.
+// Package canceller routes cancel requests to the session that they refer to. The load balancer
+// may deliver a cancel request to any instance, so each key identifies the instance that issued
+// it.
 package canceller
 
 import "context"
 
-// Forwarder passes a cancel on to the instance whose keys carry this tag.
+// Forwarder forwards a cancel request to the instance with the given tag.
 type Forwarder interface {
 	ForwardCancel(ctx context.Context, instance uint16, pid, secret uint32) error
 }
--- a/internal/canceller/table.go
+++ b/internal/canceller/table.go
@@ -12,22 +12,21 @@
 )
 
 type (
-	// Key is what a caller names to cancel its request. The upper half of PID
-	// is the tag of the instance that made it, the lower its session.
+	// Key authorizes cancelling a session's request. The upper 16 bits of PID are the tag of
+	// the issuing instance, the lower 16 bits the session number.
 	Key struct{ PID, Secret uint32 }
 
-	// Session is a caller whose request can be cancelled.
+	// Session is a session whose request can be cancelled.
 	Session interface {
-		// Cancel cancels what the caller waits for now, if anything.
+		// Cancel cancels the session's current request, if any.
 		Cancel(ctx context.Context)
 	}
 
-	// Table holds the sessions of one instance. Set the exported fields, then
-	// call its methods.
+	// Table holds the sessions of one instance. The exported fields must be set before use.
 	Table struct {
-		// Tag stands in the keys of this instance; see Tag.
+		// Tag is the instance's tag in the keys; see the function Tag.
 		Tag uint16
-		// Forwarder reaches the other instances; nil: none.
+		// Forwarder reaches the other instances; may be nil.
 		Forwarder Forwarder
 
 		mutex    sync.Mutex
@@ -41,17 +40,17 @@
 	}
 )
 
-// The ways in which a cancel comes to nothing. The caller hears of none, as the
-// protocol has no answer to a cancel.
+// The PostgreSQL protocol has no reply to a cancel request, so the caller never sees these
+// errors.
 var (
-	// ErrFull means that the instance holds as many sessions as keys can name.
-	ErrFull = errors.New("no key is free for another session")
-	// ErrUnknown means that no session has the key. It may have ended.
-	ErrUnknown = errors.New("no session has this key")
+	// ErrFull means that all session numbers are in use.
+	ErrFull = errors.New("no session number is free")
+	// ErrUnknown means that no session has the key; the session may have ended.
+	ErrUnknown = errors.New("no session matches the cancel key")
 )
 
-// Tag returns the tag of an instance, a hash of its name. Two instances may share
-// one; the secret still tells their sessions apart, and a cancel is sent to both.
+// Tag returns the tag of an instance, a hash of its name. If two instances share a tag, the
+// secret distinguishes their sessions, and a cancel request is sent to both.
 func Tag(instance string) uint16 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(instance))
@@ -59,10 +58,10 @@
 	return uint16(n>>16) ^ uint16(n)
 }
 
-// Add gives a session its key; Remove takes it back.
+// Add registers a session and returns its key.
 func (t *Table) Add(s Session) (Key, error) {
 	var secret [4]byte
-	_, _ = rand.Read(secret[:]) // never fails
+	_, _ = rand.Read(secret[:]) // crypto/rand never returns an error
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.sessions == nil {
@@ -71,8 +70,8 @@
 	if len(t.sessions) > 0xffff {
 		return Key{}, ErrFull
 	}
-	// Numbers go round before they are used again, so that a cancel that comes
-	// late finds nobody.
+	// Session numbers are reused only after all others, so that a late cancel request matches
+	// no new session.
 	for t.next++; t.sessions[t.next].session != nil; t.next++ {
 	}
 	k := Key{PID: uint32(t.Tag)<<16 | uint32(t.next), Secret: binary.BigEndian.Uint32(secret[:])}
@@ -80,15 +79,15 @@
 	return k, nil
 }
 
-// Remove takes back the key of a session that has ended.
+// Remove invalidates the key of a session that has ended.
 func (t *Table) Remove(k Key) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	delete(t.sessions, uint16(k.PID))
 }
 
-// Cancel carries out a caller's cancel, here or on the instance that made the
-// key.
+// Cancel cancels the request of the session with the key, here or on the instance that issued
+// it.
 func (t *Table) Cancel(ctx context.Context, k Key) error {
 	tag := uint16(k.PID >> 16)
 	if tag == t.Tag {
@@ -103,8 +102,8 @@
 	return t.Forwarder.ForwardCancel(ctx, tag, k.PID, k.Secret)
 }
 
-// CancelLocal carries out a cancel that another instance has passed on. It goes
-// no further, so no cancel can go round.
+// CancelLocal handles a forwarded cancel request. It never forwards it again, which prevents
+// loops.
 func (t *Table) CancelLocal(ctx context.Context, k Key) error {
 	t.mutex.Lock()
 	e := t.sessions[uint16(k.PID)]
--- a/internal/canceller/table_test.go
+++ b/internal/canceller/table_test.go
@@ -11,7 +11,7 @@
 type (
 	session struct{ cancelled int }
 
-	// fleet passes cancels on in memory.
+	// fleet forwards cancel requests in memory.
 	fleet map[uint16]*canceller.Table
 )
 
@@ -25,7 +25,7 @@
 	return t.CancelLocal(ctx, canceller.Key{PID: pid, Secret: secret})
 }
 
-// A cancel reaches any instance; only the session that the key names is hit.
+// A cancel request sent to any instance reaches exactly the session with the key.
 func TestTable(t *testing.T) {
 	f := fleet{}
 	for _, n := range []string{"entry-a-1", "entry-b-1"} {
