--- a/internal/networker/http.go
+++ b/internal/networker/http.go
@@ -7,12 +7,12 @@
 	"github.com/go-faster/errors"
 )
 
-// ServePages serves HTTP at an address until the context ends, and waits for the
-// server's end. Requests that run then are cut.
+// ServePages serves HTTP at an address until ctx is done, then closes the server, including
+// active connections, and waits for it to stop.
 func ServePages(ctx context.Context, n Network, address string, s *http.Server) error {
 	l, err := n.Listen(address)
 	if err != nil {
-		return errors.Wrap(err, "listen for pages")
+		return errors.Wrap(err, "listen for HTTP")
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve(l) }()
--- a/internal/networker/networker.go
+++ b/internal/networker/networker.go
@@ -1,6 +1,5 @@
-// Package networker is the one way to reach other processes. The code of an
-// instance never calls package net itself, so that a test can put many
-// instances into one process, on a network that it cuts, slows and freezes.
+// Package networker abstracts network access. Instances never use package net directly, so that
+// tests can run many of them in one process on a simulated network with partitions and latency.
 package networker
 
 import (
@@ -9,20 +8,19 @@
 	"time"
 )
 
-// keepAlive is how often the kernel probes an idle connection. It is only the
-// last resort for a peer that is gone for good: package prober finds silent
-// connections far sooner, through fresh ones.
+// keepAlive is the TCP keep-alive interval. It is the fallback for dead peers; package prober
+// detects silent connections sooner.
 const keepAlive = 15 * time.Second
 
-// Network opens and accepts byte streams. Addresses are "ip:port".
+// Network opens and accepts stream connections. Addresses are "ip:port".
 type Network interface {
-	// Dial opens a connection; the context bounds the opening only.
+	// Dial opens a connection; ctx applies only to establishing it.
 	Dial(ctx context.Context, address string) (net.Conn, error)
-	// Listen accepts connections at the address.
+	// Listen listens on the address.
 	Listen(address string) (net.Listener, error)
 }
 
-// TCP is the network of the machine.
+// TCP implements Network with the host's TCP stack.
 type TCP struct{}
 
 // Dial implements Network.
--- a/internal/networker/pending_test.go
+++ b/internal/networker/pending_test.go
@@ -13,9 +13,8 @@
 
 func (w wrapped) NetConn() net.Conn { return w.Conn }
 
-// The target closes an idle connection, or sends what nobody asked for. The
-// first write to it would succeed all the same, and a write request be lost with
-// an unknown outcome.
+// A request written to an idle connection that the target has closed, or on which it has sent
+// unsolicited data, would be lost with an unknown outcome.
 func TestQuiet(t *testing.T) {
 	cases := map[string]func(target net.Conn) error{
 		"closed": func(c net.Conn) error { return c.Close() },
@@ -37,7 +36,7 @@
 			must.True(t, networker.Quiet(wrapped{c}))
 			must.NoError(t, act(target))
 			for networker.Quiet(wrapped{c}) && t.Context().Err() == nil {
-				time.Sleep(time.Millisecond) // until the kernel has passed it on
+				time.Sleep(time.Millisecond) // wait for loopback delivery
 			}
 			must.False(t, networker.Quiet(c))
 		})
