--- a/internal/commander/postgres.go
+++ b/internal/commander/postgres.go
@@ -17,70 +17,65 @@
 	"github.com/oriolegw/oriolegw/pkg/orderer"
 )
 
-// The ways in which an order fails. Any other error is an answer that makes no
-// sense.
+// The errors of commands. Any other error is an invalid response.
 var (
-	// ErrRefused means that the target answered and did not obey: it obeys a
-	// newer term, or granted this one to another owner.
-	ErrRefused = errors.New("target refused the order")
-	// ErrUnreachable means that a fresh connection was refused or reset: nothing
-	// serves at the address.
+	// ErrRefused means that the target rejected the command: it has accepted a newer
+	// term, or granted this one to another owner.
+	ErrRefused = errors.New("target refused the command")
+	// ErrUnreachable means that a new connection was refused or reset.
 	ErrUnreachable = errors.New("target unreachable")
-	// ErrSilent means that no answer came in time, on a fresh connection either.
-	ErrSilent = errors.New("target silent")
-	// ErrBusy means that the target lives but the instance had no connection to
-	// spare for the order. It is no evidence against the target.
+	// ErrSilent means that no response arrived in time, on a new connection either.
+	ErrSilent = errors.New("target did not respond")
+	// ErrBusy means that this instance had no free connection for the command. It says
+	// nothing about the health of the target.
 	ErrBusy = errors.New("all connections are busy")
 )
 
 const (
 	statusQuery    = "SELECT * FROM oriole_status()"
 	defaultTimeout = time.Second
-	// statusTimeout is shorter than that of orders: it is how long a frozen
-	// target hides from detection.
+	// statusTimeout is shorter than defaultTimeout because it delays the detection of a
+	// hung target.
 	statusTimeout = 600 * time.Millisecond
-	// hedgeAfter is when an order goes to a fresh connection as well. A kept
-	// connection can go silent for good while new ones work; without the fresh
-	// one, a live target would look dead. All orders are idempotent. It is ten
-	// times the longest round trip between regions that the brief states.
-	hedgeAfter = 240 * time.Millisecond
+	// hedgeDelay is how long a command waits for a response before it is also sent on a
+	// new connection, in case the existing one is dead. All commands are idempotent.
+	hedgeDelay = 240 * time.Millisecond
 )
 
 type (
-	// Postgres reaches targets over the PostgreSQL protocol. It keeps one
-	// connection to each. Set the exported fields, then call its methods.
+	// Postgres sends commands over the PostgreSQL protocol, on one persistent connection
+	// to each target. Set the exported fields, then call its methods.
 	Postgres struct {
 		Network networker.Network
-		// Application names this instance at the target.
+		// Application is the application_name of this instance's connections.
 		Application string
-		// Timeout bounds each order, a new connection included; 0 means 1 s.
+		// Timeout bounds each command, connecting included; 0 means one second.
 		Timeout time.Duration
-		// Source, when set, runs the orders over the connections of the group's
-		// share in place of connections of their own. Refusals are
-		// *pgconn.PgError.
+		// Source, when set, runs commands over pooled connections instead of dedicated
+		// ones. Refusals are returned as *pgconn.PgError.
 		Source func(ctx context.Context, address, sql string, u Urgency) ([][][]byte, error)
 
 		mutex sync.Mutex
-		links map[string]*link
+		conns map[string]*targetConn
 	}
 
-	// link is the connection to one target. An order holds free, which is a
-	// channel so that waiting for it ends with the context.
-	link struct {
-		free chan struct{}
-		conn *conn
+	// targetConn holds the connection to one target. A command holds the semaphore, which
+	// is a channel so that waiting for it ends with the context.
+	targetConn struct {
+		semaphore chan struct{}
+		conn      *conn
 	}
 
-	// conn is a connection taken over from pgconn once it is open. pgconn closes
-	// a connection that failed in the background, for up to 15 s, and dials the
-	// target again to cancel; a target that hangs would gather those.
+	// conn is a connection hijacked from pgconn, which would otherwise close failed
+	// connections in the background and dial the target to cancel: with a hung target
+	// these pile up.
 	conn struct {
 		net.Conn
 		frontend *pgproto3.Frontend
 	}
 
-	// reply is how one try of an order ended.
-	reply struct {
+	// result is the outcome of one attempt of a command.
+	result struct {
 		conn   *conn
 		status Status
 		err    error
@@ -93,37 +88,37 @@
 func (p *Postgres) Close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, l := range p.links {
-		l.free <- struct{}{}
-		l.keep(nil)
-		<-l.free
+	for _, l := range p.conns {
+		l.semaphore <- struct{}{}
+		l.replace(nil)
+		<-l.semaphore
 	}
 }
 
 // Status implements Commander.
 func (p *Postgres) Status(ctx context.Context, address string) (Status, error) {
-	return p.order(ctx, address, statusQuery, statusTimeout)
+	return p.execute(ctx, address, statusQuery, statusTimeout)
 }
 
 // Fence implements Commander.
 func (p *Postgres) Fence(ctx context.Context, address string, term uint64, owner string) (Status, error) {
-	return p.order(ctx, address, "SELECT * FROM oriole_fence("+strconv.FormatUint(term, 10)+", "+quote(owner)+")", p.timeout())
+	return p.execute(ctx, address, "SELECT * FROM oriole_fence("+strconv.FormatUint(term, 10)+", "+quote(owner)+")", p.timeout())
 }
 
 // Drain implements Commander.
 func (p *Postgres) Drain(ctx context.Context, address string, term uint64, owner string, bound time.Duration) (Status, error) {
 	sql := "SELECT * FROM oriole_drain(" + strconv.FormatUint(term, 10) + ", " + quote(owner) + ", " + strconv.FormatInt(bound.Milliseconds(), 10) + ")"
-	return p.order(ctx, address, sql, p.timeout()+bound)
+	return p.execute(ctx, address, sql, p.timeout()+bound)
 }
 
 // Promote implements Commander.
 func (p *Postgres) Promote(ctx context.Context, address string, term uint64, owner string) (Status, error) {
-	return p.order(ctx, address, "SELECT * FROM oriole_promote("+strconv.FormatUint(term, 10)+", "+quote(owner)+")", p.timeout())
+	return p.execute(ctx, address, "SELECT * FROM oriole_promote("+strconv.FormatUint(term, 10)+", "+quote(owner)+")", p.timeout())
 }
 
 // Follow implements Commander.
 func (p *Postgres) Follow(ctx context.Context, address string, term uint64, primary string) (Status, error) {
-	return p.order(ctx, address, "SELECT * FROM oriole_follow("+strconv.FormatUint(term, 10)+", "+quote(primary)+")", p.timeout())
+	return p.execute(ctx, address, "SELECT * FROM oriole_follow("+strconv.FormatUint(term, 10)+", "+quote(primary)+")", p.timeout())
 }
 
 func quote(s string) string { return "'" + strings.ReplaceAll(s, "'", "''") + "'" }
@@ -135,54 +130,54 @@
 	return p.Timeout
 }
 
-func (p *Postgres) link(address string) *link {
+func (p *Postgres) targetConn(address string) *targetConn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.links == nil {
-		p.links = map[string]*link{}
+	if p.conns == nil {
+		p.conns = map[string]*targetConn{}
 	}
-	l := p.links[address]
+	l := p.conns[address]
 	if l == nil {
-		l = &link{free: make(chan struct{}, 1)}
-		p.links[address] = l
+		l = &targetConn{semaphore: make(chan struct{}, 1)}
+		p.conns[address] = l
 	}
 	return l
 }
 
-// order runs a control statement on the kept connection, and on a fresh one when
-// that fails or does not answer soon. The first answer wins.
-func (p *Postgres) order(ctx context.Context, address, sql string, timeout time.Duration) (Status, error) {
+// execute runs a control statement on the persistent connection, and on a new one when
+// that fails or does not respond within hedgeDelay. The first response wins.
+func (p *Postgres) execute(ctx context.Context, address, sql string, timeout time.Duration) (Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if p.Source != nil {
-		return p.ask(ctx, address, sql)
+		return p.executePooled(ctx, address, sql)
 	}
-	l := p.link(address)
+	l := p.targetConn(address)
 	select {
-	case l.free <- struct{}{}:
-		defer func() { <-l.free }()
+	case l.semaphore <- struct{}{}:
+		defer func() { <-l.semaphore }()
 	case <-ctx.Done():
-		return Status{}, errors.Wrapf(ErrSilent, "order to %s", address)
+		return Status{}, errors.Wrapf(ErrSilent, "command to %s", address)
 	}
-	replies := make(chan reply, 2)
-	open := 0
-	start := func(kept *conn) {
-		open++
-		go func() { replies <- p.try(ctx, kept, address, sql) }()
+	results := make(chan result, 2)
+	inFlight := 0
+	start := func(c *conn) {
+		inFlight++
+		go func() { results <- p.attempt(ctx, c, address, sql) }()
 	}
 	start(l.conn)
-	r := l.race(replies, start, &open)
+	r := l.awaitResult(results, start, &inFlight)
 	cancel()
-	for ; open > 0; open-- {
-		if late := <-replies; late.conn != nil && late.conn != l.conn {
-			_ = late.conn.Close()
+	for ; inFlight > 0; inFlight-- {
+		if loser := <-results; loser.conn != nil && loser.conn != l.conn {
+			_ = loser.conn.Close()
 		}
 	}
 	return r.status, r.err
 }
 
-// ask runs a control statement over the source's connections.
-func (p *Postgres) ask(ctx context.Context, address, sql string) (Status, error) {
+// executePooled runs a control statement on a connection of Source.
+func (p *Postgres) executePooled(ctx context.Context, address, sql string) (Status, error) {
 	rows, err := p.Source(ctx, address, sql, urgency(ctx, sql))
 	var refusal *pgconn.PgError
 	switch {
@@ -191,30 +186,30 @@
 	case errors.Is(err, ErrBusy) || errors.Is(err, ErrSilent):
 		return Status{}, err
 	case err != nil:
-		return Status{}, unanswered(ctx, err)
+		return Status{}, noResponseError(ctx, err)
 	case len(rows) != 1:
-		return Status{}, errors.Errorf("order to %s: %d rows", address, len(rows))
+		return Status{}, errors.Errorf("command to %s: got %d rows, want 1", address, len(rows))
 	}
-	return decode(rows[0])
+	return decodeStatus(rows[0])
 }
 
-// race waits for the first answer, and starts the fresh try when it is due.
-func (l *link) race(replies chan reply, start func(*conn), open *int) reply {
+// awaitResult waits for the first response and starts the hedged attempt when it is due.
+func (l *targetConn) awaitResult(results chan result, start func(*conn), inFlight *int) result {
 	hedged := l.conn == nil
-	hedge := time.NewTimer(hedgeAfter)
+	hedge := time.NewTimer(hedgeDelay)
 	defer hedge.Stop()
 	for {
 		select {
-		case r := <-replies:
-			*open--
+		case r := <-results:
+			*inFlight--
 			if r.err == nil || errors.Is(r.err, ErrRefused) {
-				l.keep(r.conn)
+				l.replace(r.conn)
 				return r
 			}
 			if r.conn == l.conn {
-				l.keep(nil)
+				l.replace(nil)
 			}
-			if *open == 0 && hedged {
+			if *inFlight == 0 && hedged {
 				return r
 			}
 			if hedged {
@@ -230,20 +225,20 @@
 	}
 }
 
-// keep replaces the kept connection.
-func (l *link) keep(c *conn) {
+// replace closes the persistent connection, if it is another, and sets the new one.
+func (l *targetConn) replace(c *conn) {
 	if l.conn != nil && l.conn != c {
 		_ = l.conn.Close()
 	}
 	l.conn = c
 }
 
-// try runs a control statement on one connection, a fresh one for nil.
-func (p *Postgres) try(ctx context.Context, c *conn, address, sql string) reply {
+// attempt runs a control statement on one connection, a new one for nil.
+func (p *Postgres) attempt(ctx context.Context, c *conn, address, sql string) result {
 	if c == nil {
 		var err error
 		if c, err = p.dial(ctx, address); err != nil {
-			return reply{err: unanswered(ctx, err)}
+			return result{err: noResponseError(ctx, err)}
 		}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
@@ -251,13 +246,13 @@
 	row, err := c.query(sql)
 	switch {
 	case errors.Is(err, ErrRefused):
-		return reply{conn: c, err: err}
+		return result{conn: c, err: err}
 	case err != nil:
 		_ = c.Close()
-		return reply{conn: c, err: unanswered(ctx, err)}
+		return result{conn: c, err: noResponseError(ctx, err)}
 	}
-	s, err := decode(row)
-	return reply{conn: c, status: s, err: err}
+	s, err := decodeStatus(row)
+	return result{conn: c, status: s, err: err}
 }
 
 func (p *Postgres) dial(ctx context.Context, address string) (*conn, error) {
@@ -267,7 +262,7 @@
 	}
 	h, err := pc.Hijack()
 	if err != nil {
-		return nil, errors.Wrap(err, "take over connection")
+		return nil, errors.Wrap(err, "hijack connection")
 	}
 	return &conn{Conn: h.Conn, frontend: h.Frontend}, nil
 }
@@ -276,14 +271,14 @@
 func (c *conn) query(sql string) ([][]byte, error) {
 	c.frontend.Send(&pgproto3.Query{String: sql})
 	if err := c.frontend.Flush(); err != nil {
-		return nil, errors.Wrap(err, "send order")
+		return nil, errors.Wrap(err, "send command")
 	}
 	var row [][]byte
 	var refusal error
 	for {
 		m, err := c.frontend.Receive()
 		if err != nil {
-			return nil, errors.Wrap(err, "receive answer")
+			return nil, errors.Wrap(err, "receive response")
 		}
 		switch m := m.(type) {
 		case *pgproto3.DataRow:
@@ -299,7 +294,7 @@
 	}
 }
 
-func unanswered(ctx context.Context, err error) error {
+func noResponseError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return errors.Wrap(ErrSilent, err.Error())
 	}
@@ -326,7 +321,7 @@
 
 const statusFields = 9
 
-func decode(row [][]byte) (Status, error) {
+func decodeStatus(row [][]byte) (Status, error) {
 	if len(row) != statusFields {
 		return Status{}, errors.Errorf("status has %d fields, not %d", len(row), statusFields)
 	}
@@ -350,15 +345,15 @@
 	if err := json.Unmarshal(row[5], &followers); err != nil {
 		return Status{}, errors.Wrap(err, "followers")
 	}
-	for n, t := range followers {
-		p, err := orderer.Parse(t)
+	for name, text := range followers {
+		p, err := orderer.Parse(text)
 		if err != nil {
-			return Status{}, errors.Wrap(err, "follower "+n)
+			return Status{}, errors.Wrap(err, "follower "+name)
 		}
 		if s.Followers == nil {
 			s.Followers = map[string]orderer.Position{}
 		}
-		s.Followers[n] = p
+		s.Followers[name] = p
 	}
 	return s, nil
 }
--- a/internal/commander/urgency.go
+++ b/internal/commander/urgency.go
@@ -3,28 +3,27 @@
 import "context"
 
 type (
-	// Urgency is what a control statement may do to get a connection.
+	// Urgency is the priority of a control statement when it waits for a connection.
 	Urgency int
 
 	urgencyKey struct{}
 )
 
 const (
-	// Routine statements take no connection from the places that traffic is
-	// likely to need.
+	// Routine statements do not take connections that client requests are likely to need.
 	Routine Urgency = iota
-	// Wanted ones, for which a caller waits, may take an idle connection.
+	// Wanted statements, for which a client waits, may take an idle connection.
 	Wanted
-	// Order is for statements that replace a primary: they go before traffic.
+	// Order statements change the primary and take precedence over client requests.
 	Order
 )
 
-// WithWanted marks a status question as one that a caller waits for.
+// WithWanted marks status requests as ones that a client waits for.
 func WithWanted(ctx context.Context) context.Context {
 	return context.WithValue(ctx, urgencyKey{}, Wanted)
 }
 
-// WithOrder marks a status question as part of a change of primary.
+// WithOrder marks status requests as part of a failover or switchover.
 func WithOrder(ctx context.Context) context.Context {
 	return context.WithValue(ctx, urgencyKey{}, Order)
 }
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -1,5 +1,4 @@
-// Package drainer decides how targets and instances leave without cutting a
-// request.
+// Package drainer drains targets and instances without interrupting requests.
 package drainer
 
 import (
@@ -14,58 +13,56 @@
 )
 
 type (
-	// TargetLeaving says that a target has begun, or no longer means, to leave:
-	// it gets no new work. If it is the primary, a planned change follows.
+	// TargetLeaving is emitted when a target starts or stops draining. A draining
+	// target gets no new requests; a draining primary triggers a planned failover.
 	TargetLeaving struct {
 		Service string
 		Member  string
 		Leaving bool
-		// Source names where the sign came from: list, target, peer, operator.
+		// Source is the source of the signal that caused the change.
 		Source string
 	}
 
-	// InstanceLeaving says that this instance is leaving.
+	// InstanceLeaving is received when this instance has to shut down.
 	InstanceLeaving struct{}
 
-	// Sign says what one source holds of a target.
+	// Sign reports whether one source considers a target to be leaving.
 	Sign struct {
 		Service string
 		Member  string
 		Leaving bool
 		Source  Source
-		// Peer is the instance that told, for SourcePeer.
+		// Peer is the instance that sent the signal, for SourcePeer.
 		Peer string
 	}
 
-	// Own is this instance's first-hand sign: what it tells its peers. A sign
-	// that it only heard is not, or two instances would keep each other's sign
-	// alive for ever.
+	// Own is the leaving state that this instance reports to its peers. It excludes
+	// peer signals, since two instances would otherwise renew each other's forever.
 	Own struct {
 		Service string
 		Member  string
 		Leaving bool
 	}
 
-	// Source is where a sign came from.
+	// Source identifies the origin of a leaving signal.
 	Source string
 
-	// Slice decides which targets are leaving. One sign from any source is
-	// enough: a sign that was lost on one way comes on another, and a target
-	// that gets no new work by mistake costs capacity, while one that leaves
-	// with work in flight costs a request. It ends when no source holds it.
+	// Slice tracks which targets are leaving. A signal from any source is enough,
+	// since a needless drain costs only capacity while a missed one fails requests
+	// in flight. A target stops leaving when no source signals it any more.
 	Slice struct {
 		services []configurer.Service
-		targets  map[place]*target
-		// signed are those that have signs: few, while targets are thousands.
-		signed map[place]*target
+		targets  map[targetKey]*target
+		// signaled holds the targets that have signals.
+		signaled map[targetKey]*target
 	}
 
-	place struct{ service, member string }
+	targetKey struct{ service, member string }
 
 	target struct {
-		signs   map[origin]time.Time
-		leaving bool
-		own     bool
+		signals   map[origin]time.Time
+		leaving   bool
+		firstHand bool
 	}
 
 	origin struct {
@@ -74,7 +71,7 @@
 	}
 )
 
-// The sources of signs.
+// The sources of leaving signals.
 const (
 	SourceList     Source = "list"
 	SourceTarget   Source = "target"
@@ -82,11 +79,9 @@
 	SourceOperator Source = "operator"
 )
 
-// peerSignFor is how long a peer's sign counts: the peer that gave it may have
-// died, and the sign's end with it. It is longer than the time within which every
-// instance reads the list, or has the document, and then has the sign at first
-// hand.
-const peerSignFor = 10 * time.Minute
+// peerSignalTTL limits how long a peer's signal counts, since a peer that died cannot
+// withdraw it. By then every instance has read the instance list and the configuration.
+const peerSignalTTL = 10 * time.Minute
 
 // EventName implements controller.Event.
 func (TargetLeaving) EventName() string { return "target-leaving" }
@@ -104,48 +99,48 @@
 func (s *Slice) Step(now time.Time, e controller.Event) []controller.Action {
 	switch e := e.(type) {
 	case configurer.InForce:
-		return s.apply(now, e.Document)
+		return s.applyDocument(now, e.Document)
 	case lister.Listed:
 		if e.Err == nil {
-			return s.listed(now, e.Instances)
+			return s.applyList(now, e.Instances)
 		}
 	case observer.Observed:
-		// Only what this instance saw itself: what others saw comes as their sign.
+		// Observations of other instances arrive as peer signals.
 		if e.Err == nil && e.From == "" {
-			return s.take(now, Sign{Service: e.Service, Member: e.Member, Leaving: e.Status.Leaving, Source: SourceTarget})
+			return s.recordSignal(now, Sign{Service: e.Service, Member: e.Member, Leaving: e.Status.Leaving, Source: SourceTarget})
 		}
 	case Sign:
-		return s.take(now, e)
+		return s.recordSignal(now, e)
 	case controller.Tick:
-		return s.expire(now)
+		return s.expirePeerSignals(now)
 	}
 	return nil
 }
 
-func (s *Slice) apply(now time.Time, d *configurer.Document) []controller.Action {
+func (s *Slice) applyDocument(now time.Time, d *configurer.Document) []controller.Action {
 	old := s.targets
-	s.services, s.targets, s.signed = d.Services, map[place]*target{}, map[place]*target{}
+	s.services, s.targets, s.signaled = d.Services, map[targetKey]*target{}, map[targetKey]*target{}
 	var out []controller.Action
 	for _, v := range d.Services {
 		for _, m := range v.Members {
-			p := place{v.Name, m.Name}
+			p := targetKey{v.Name, m.Name}
 			t := old[p]
 			if t == nil {
-				t = &target{signs: map[origin]time.Time{}}
+				t = &target{signals: map[origin]time.Time{}}
 			}
 			s.targets[p] = t
-			if len(t.signs) > 0 {
-				s.signed[p] = t
+			if len(t.signals) > 0 {
+				s.signaled[p] = t
 			}
-			out = append(out, s.take(now, Sign{Service: v.Name, Member: m.Name, Leaving: m.Leaving, Source: SourceOperator})...)
+			out = append(out, s.recordSignal(now, Sign{Service: v.Name, Member: m.Name, Leaving: m.Leaving, Source: SourceOperator})...)
 		}
 	}
 	return out
 }
 
-// listed takes the states of targets from the platform's list. A target that is
-// missing there gives no sign: the list lags, and loses rows.
-func (s *Slice) listed(now time.Time, list []lister.Instance) []controller.Action {
+// applyList records the states of targets in the instance list. A missing target counts as
+// not leaving, since the list lags and can omit rows.
+func (s *Slice) applyList(now time.Time, list []lister.Instance) []controller.Action {
 	leaving := map[string]bool{}
 	for _, i := range list {
 		if i.Kind == lister.KindTarget {
@@ -155,50 +150,50 @@
 	var out []controller.Action
 	for _, v := range s.services {
 		for _, m := range v.Members {
-			out = append(out, s.take(now, Sign{Service: v.Name, Member: m.Name, Leaving: leaving[m.Name], Source: SourceList})...)
+			out = append(out, s.recordSignal(now, Sign{Service: v.Name, Member: m.Name, Leaving: leaving[m.Name], Source: SourceList})...)
 		}
 	}
 	return out
 }
 
-func (s *Slice) take(now time.Time, e Sign) []controller.Action {
-	p := place{e.Service, e.Member}
+func (s *Slice) recordSignal(now time.Time, e Sign) []controller.Action {
+	p := targetKey{e.Service, e.Member}
 	t := s.targets[p]
 	if t == nil {
 		return nil
 	}
 	o := origin{source: e.Source, peer: e.Peer}
 	if e.Leaving {
-		t.signs[o] = now
-		s.signed[p] = t
+		t.signals[o] = now
+		s.signaled[p] = t
 	} else {
-		delete(t.signs, o)
+		delete(t.signals, o)
 	}
-	return t.decide(p, string(e.Source))
+	return t.update(p, string(e.Source))
 }
 
-// expire ends the signs of peers that no longer repeat them.
-func (s *Slice) expire(now time.Time) []controller.Action {
+// expirePeerSignals removes signals that their peers have not repeated within the TTL.
+func (s *Slice) expirePeerSignals(now time.Time) []controller.Action {
 	var out []controller.Action
-	for p, t := range s.signed {
-		for o, at := range t.signs {
-			if o.source == SourcePeer && now.Sub(at) > peerSignFor {
-				delete(t.signs, o)
+	for p, t := range s.signaled {
+		for o, at := range t.signals {
+			if o.source == SourcePeer && now.Sub(at) > peerSignalTTL {
+				delete(t.signals, o)
 			}
 		}
-		out = append(out, t.decide(p, string(SourcePeer))...)
-		if len(t.signs) == 0 {
-			delete(s.signed, p)
+		out = append(out, t.update(p, string(SourcePeer))...)
+		if len(t.signals) == 0 {
+			delete(s.signaled, p)
 		}
 	}
-	slices.SortFunc(out, byPlace)
+	slices.SortFunc(out, compareEvents)
 	return out
 }
 
-// byPlace makes the order of events that came from a map the same in every run.
-func byPlace(a, b controller.Action) int { return cmp.Compare(placeOf(a), placeOf(b)) }
+// compareEvents orders events collected from a map deterministically.
+func compareEvents(a, b controller.Action) int { return cmp.Compare(sortKey(a), sortKey(b)) }
 
-func placeOf(a controller.Action) string {
+func sortKey(a controller.Action) string {
 	switch e := a.(controller.Emit).Event.(type) {
 	case TargetLeaving:
 		return e.Service + "/" + e.Member + "/1"
@@ -208,11 +203,11 @@
 	return ""
 }
 
-// decide tells what has changed: whether the target is leaving, and whether
-// this instance has a sign of its own.
-func (t *target) decide(p place, source string) []controller.Action {
-	leaving, own := len(t.signs) > 0, false
-	for o := range t.signs {
+// update emits an event for each change: whether the target is leaving, and whether a
+// source other than a peer signals it.
+func (t *target) update(p targetKey, source string) []controller.Action {
+	leaving, own := len(t.signals) > 0, false
+	for o := range t.signals {
 		own = own || o.source != SourcePeer
 	}
 	var out []controller.Action
@@ -220,8 +215,8 @@
 		t.leaving = leaving
 		out = append(out, controller.Emit{Event: TargetLeaving{Service: p.service, Member: p.member, Leaving: leaving, Source: source}})
 	}
-	if own != t.own {
-		t.own = own
+	if own != t.firstHand {
+		t.firstHand = own
 		out = append(out, controller.Emit{Event: Own{Service: p.service, Member: p.member, Leaving: own}})
 	}
 	return out
--- a/internal/drainer/leaver.go
+++ b/internal/drainer/leaver.go
@@ -7,54 +7,50 @@
 )
 
 const (
-	// unreadyFor is how long an instance that is leaving still accepts callers
-	// while its readiness page says no: the time in which the balancer, which
-	// asks each second or so, stops sending callers that would be refused.
-	unreadyFor = 2 * time.Second
-	// countEvery is how often the callers are counted that are left.
-	countEvery = 100 * time.Millisecond
+	// unreadyDuration is how long a leaving instance still accepts clients while it
+	// reports not ready, so that the load balancer stops sending new ones first.
+	unreadyDuration = 2 * time.Second
+	// countInterval is how often the connected clients are counted while draining.
+	countInterval = 100 * time.Millisecond
 )
 
 type (
-	// Leaver decides how this instance leaves. The order answers what goes wrong
-	// in any other: callers that are refused while the balancer still sends them,
-	// transactions cut, callers kept for ever by one that never ends. Set the
+	// Leaver drains this instance: it reports not ready, then stops accepting clients,
+	// then stops the process once they have disconnected or Limit has passed. Set the
 	// exported field before use.
 	Leaver struct {
-		// Limit is how long callers may take to end, from when the instance
-		// stops accepting.
+		// Limit bounds the wait for clients to disconnect after the instance stopped
+		// accepting.
 		Limit time.Duration
 
-		phase phase
-		since time.Time
-		count time.Time
-		left  int
+		phase      phase
+		phaseStart time.Time
+		lastCount  time.Time
+		remaining  int
 	}
 
 	phase int
 
-	// StopAccepting refuses new callers, and asks those that are connected to
-	// leave between their transactions.
+	// StopAccepting refuses new clients and ends connected ones between transactions.
 	StopAccepting struct{}
 
-	// CountCallers asks how many callers are left.
+	// CountCallers requests the number of connected clients.
 	CountCallers struct{}
 
-	// CallersLeft is how many callers are left.
+	// CallersLeft reports the number of connected clients.
 	CallersLeft struct{ Callers int }
 
-	// Stop ends the process. Cut is how many callers it cuts off: those that
-	// were in a transaction for longer than the limit.
+	// Stop ends the process. Cut is the number of clients still connected at the limit.
 	Stop struct{ Cut int }
 
-	// Stopping says the same to the other slices.
+	// Stopping tells the other slices that the process stops.
 	Stopping struct{ Cut int }
 )
 
 const (
 	phaseServing phase = iota
 	phaseUnready
-	phaseEmptying
+	phaseDraining
 	phaseStopped
 )
 
@@ -78,11 +74,11 @@
 	switch e := e.(type) {
 	case InstanceLeaving:
 		if l.phase == phaseServing {
-			l.phase, l.since = phaseUnready, now
+			l.phase, l.phaseStart = phaseUnready, now
 		}
 	case CallersLeft:
-		l.left = e.Callers
-		if l.phase == phaseEmptying && e.Callers == 0 {
+		l.remaining = e.Callers
+		if l.phase == phaseDraining && e.Callers == 0 {
 			return l.stop()
 		}
 	case controller.Tick:
@@ -93,13 +89,13 @@
 
 func (l *Leaver) tick(now time.Time) []controller.Action {
 	switch {
-	case l.phase == phaseUnready && now.Sub(l.since) >= unreadyFor:
-		l.phase, l.since = phaseEmptying, now
+	case l.phase == phaseUnready && now.Sub(l.phaseStart) >= unreadyDuration:
+		l.phase, l.phaseStart = phaseDraining, now
 		return []controller.Action{StopAccepting{}}
-	case l.phase == phaseEmptying && now.Sub(l.since) >= l.Limit:
+	case l.phase == phaseDraining && now.Sub(l.phaseStart) >= l.Limit:
 		return l.stop()
-	case l.phase == phaseEmptying && now.Sub(l.count) >= countEvery:
-		l.count = now
+	case l.phase == phaseDraining && now.Sub(l.lastCount) >= countInterval:
+		l.lastCount = now
 		return []controller.Action{CountCallers{}}
 	}
 	return nil
@@ -107,5 +103,5 @@
 
 func (l *Leaver) stop() []controller.Action {
 	l.phase = phaseStopped
-	return []controller.Action{controller.Emit{Event: Stopping{Cut: l.left}}, Stop{Cut: l.left}}
+	return []controller.Action{controller.Emit{Event: Stopping{Cut: l.remaining}}, Stop{Cut: l.remaining}}
 }
--- a/internal/greeter/authenticate.go
+++ b/internal/greeter/authenticate.go
@@ -9,52 +9,52 @@
 	"github.com/oriolegw/oriolegw/pkg/verifier"
 )
 
-// nobody is checked in place of a user that does not exist, so that the time
+// unknownUserVerifier is checked in place of a user that does not exist, so that the time
 // taken doesn't tell which users do.
-var nobody = verifier.Verifier{Iterations: verifier.DefaultIterations, Salt: []byte("no such user"), StoredKey: []byte{0}}
+var unknownUserVerifier = verifier.Verifier{Iterations: verifier.DefaultIterations, Salt: []byte("no such user"), StoredKey: []byte{0}}
 
 // authenticate makes the caller prove who it is.
-func (s *start) authenticate(ctx context.Context, user string) *refuser.Refusal {
+func (s *startUp) authenticate(ctx context.Context, user string) *refuser.Refusal {
 	switch s.greeter.Authentication {
 	case loader.Trust:
 		return nil
 	case loader.Password:
-		return s.askPassword(ctx, user)
+		return s.checkPassword(ctx, user)
 	}
 	return refuser.New(refuser.BadPassword, "no way of authentication is set")
 }
 
-func (s *start) askPassword(ctx context.Context, user string) *refuser.Refusal {
+func (s *startUp) checkPassword(ctx context.Context, user string) *refuser.Refusal {
 	if !s.encrypted { // the settings' check demands it as well
 		return refuser.New(refuser.EncryptionRequired, "a password must not cross the network in clear")
 	}
 	if err := s.backend.SetAuthType(pgproto3.AuthTypeCleartextPassword); err != nil {
-		return broken(err)
+		return receiveRefusal(err)
 	}
 	s.backend.Send(&pgproto3.AuthenticationCleartextPassword{})
 	if err := s.backend.Flush(); err != nil {
-		return broken(err)
+		return receiveRefusal(err)
 	}
 	m, err := s.backend.Receive()
 	if err != nil {
-		return broken(err)
+		return receiveRefusal(err)
 	}
 	p, ok := m.(*pgproto3.PasswordMessage)
 	if !ok {
 		return refuser.New(refuser.BadStartUp, "%T in place of a password", m)
 	}
-	if !s.matches(ctx, user, p.Password) {
+	if !s.passwordMatches(ctx, user, p.Password) {
 		return refuser.New(refuser.BadPassword, "user %q", user)
 	}
 	return nil
 }
 
-func (s *start) matches(ctx context.Context, user, password string) bool {
+func (s *startUp) passwordMatches(ctx context.Context, user, password string) bool {
 	v, err := verifier.Parse(s.greeter.Verifier(user))
 	if err != nil {
-		v = nobody
+		v = unknownUserVerifier
 	}
 	matches := false
-	startWork.do(ctx, func() { matches = v.Matches(password) })
+	startUpWork.run(ctx, func() { matches = v.Matches(password) })
 	return matches && err == nil
 }
--- a/internal/greeter/gate.go
+++ b/internal/greeter/gate.go
@@ -11,7 +11,7 @@
 )
 
 type (
-	// gate bounds the costly work of start-ups that runs at once: signing for
+	// workLimiter bounds the costly work of start-ups that runs at once: signing for
 	// TLS, and checking a password, a millisecond or more of a processor each.
 	//
 	// It answers the load after a failover or a change at the balancer, when
@@ -22,7 +22,7 @@
 	//
 	// Work is let in in the order of arrival; who has waited past its start-up's
 	// end is gone, and its work is not done.
-	gate chan struct{}
+	workLimiter chan struct{}
 
 	// signer signs for one start-up, when the gate lets it.
 	signer struct {
@@ -31,19 +31,19 @@
 	}
 )
 
-// processorsPerStart is how many processors there are for each start-up at work.
+// processorsPerStartUp is how many processors there are for each start-up at work.
 // Of 1, 2, 3 and 6 at work on 4 processors, 1 kept the median of others' reads
 // near what it is alone; the price is that a wave of start-ups takes longer.
-const processorsPerStart = 4
+const processorsPerStartUp = 4
 
-// startWork is the gate of the process.
-var startWork = make(gate, max(1, runtime.GOMAXPROCS(0)/processorsPerStart))
+// startUpWork is the gate of the process.
+var startUpWork = make(workLimiter, max(1, runtime.GOMAXPROCS(0)/processorsPerStartUp))
 
-// errNoRoom means that a start-up ended before its turn came.
-var errNoRoom = errors.New("the start-up ended before its turn came")
+// errStartUpEnded means that a start-up ended before its turn came.
+var errStartUpEnded = errors.New("the start-up ended before its turn came")
 
-// do runs the work when there is room; false when the context ended first.
-func (g gate) do(ctx context.Context, work func()) bool {
+// run runs the work when there is room; false when the context ended first.
+func (g workLimiter) run(ctx context.Context, work func()) bool {
 	select {
 	case g <- struct{}{}:
 	case <-ctx.Done():
@@ -59,8 +59,8 @@
 
 // Sign implements crypto.Signer.
 func (s signer) Sign(random io.Reader, digest []byte, o crypto.SignerOpts) (out []byte, err error) {
-	if !startWork.do(s.ctx, func() { out, err = s.Signer.Sign(random, digest, o) }) {
-		return nil, errNoRoom
+	if !startUpWork.run(s.ctx, func() { out, err = s.Signer.Sign(random, digest, o) }) {
+		return nil, errStartUpEnded
 	}
 	return out, err
 }
--- a/internal/greeter/gate_test.go
+++ b/internal/greeter/gate_test.go
@@ -19,13 +19,13 @@
 // at any moment, in the order of arrival, and all are done as soon as they can be.
 func TestGateBoundsAWave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := make(gate, 2)
+		g := make(workLimiter, 2)
 		began := time.Now()
 		var atWork, most atomic.Int64
 		done := make(chan int, wave)
 		for n := range wave {
 			go func() {
-				g.do(t.Context(), func() {
+				g.run(t.Context(), func() {
 					most.Store(max(most.Load(), atWork.Add(1)))
 					time.Sleep(workTime)
 					atWork.Add(-1)
@@ -46,15 +46,15 @@
 // for it.
 func TestGateGivesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := make(gate, 1)
-		go g.do(t.Context(), func() { time.Sleep(time.Hour) })
+		g := make(workLimiter, 1)
+		go g.run(t.Context(), func() { time.Sleep(time.Hour) })
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		began := time.Now()
-		must.False(t, g.do(ctx, func() { t.Error("work was done") }))
+		must.False(t, g.run(ctx, func() { t.Error("work was done") }))
 		must.Eq(t, 10*time.Second, time.Since(began))
 		time.Sleep(time.Hour)
-		must.True(t, g.do(t.Context(), func() {}))
+		must.True(t, g.run(t.Context(), func() {}))
 	})
 }
--- a/internal/greeter/greeter.go
+++ b/internal/greeter/greeter.go
@@ -30,13 +30,13 @@
 	refusalTimeout = time.Second
 )
 
-// spareCallers is how many callers above the limit are read far enough to be
+// maxExcessClients is how many callers above the limit are read far enough to be
 // told why they are refused; more are closed at once, so that a flood of callers
 // can't cost more memory than the limit plus this.
-const spareCallers = 64
+const maxExcessClients = 64
 
-// acceptPause spaces the tries after a failed accept.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay spaces the tries after a failed accept.
+const acceptRetryDelay = 50 * time.Millisecond
 
 type (
 	// Greeter accepts callers. Set the exported fields, then call Run.
@@ -65,10 +65,10 @@
 		mutex    sync.Mutex
 		listener net.Listener
 		stopped  bool
-		open     int
+		connected     int
 	}
 
-	ended struct{ err error }
+	sessionResult struct{ err error }
 )
 
 // Run accepts callers until the context ends, and waits for their sessions.
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	accepted, failed, done := make(chan net.Conn), make(chan error, 1), make(chan ended)
+	accepted, failed, done := make(chan net.Conn), make(chan error, 1), make(chan sessionResult)
 	go func() { failed <- accept(ctx, l, accepted) }()
 	running := 0
 	for {
@@ -86,10 +86,10 @@
 		case c := <-accepted:
 			running++
 			g.count(CountAccepted)
-			place := g.enter()
+			place := g.addClient()
 			go func() {
-				defer g.leave()
-				done <- ended{g.serve(ctx, c, place)}
+				defer g.removeClient()
+				done <- sessionResult{g.serve(ctx, c, place)}
 			}()
 		case <-done:
 			running--
@@ -151,21 +151,21 @@
 func (g *Greeter) Callers() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.open
+	return g.connected
 }
 
-// enter counts a caller in and returns its place, from 1.
-func (g *Greeter) enter() int {
+// addClient counts a caller in and returns its place, from 1.
+func (g *Greeter) addClient() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.open++
-	return g.open
+	g.connected++
+	return g.connected
 }
 
-func (g *Greeter) leave() {
+func (g *Greeter) removeClient() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.open--
+	g.connected--
 }
 
 // accept hands on connections until the listener is closed. Any other error
@@ -178,7 +178,7 @@
 			return err
 		}
 		if err != nil {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		select {
@@ -191,7 +191,7 @@
 
 func (g *Greeter) serve(ctx context.Context, conn net.Conn, place int) error {
 	defer conn.Close()
-	if place > g.Limits.Callers+spareCallers {
+	if place > g.Limits.Callers+maxExcessClients {
 		g.count(countRefused + refuser.TooManyCallers.Name)
 		return errors.New("far too many callers")
 	}
@@ -202,7 +202,7 @@
 	until := time.Now().Add(g.Limits.StartUp)
 	_ = conn.SetReadDeadline(until)
 	_ = conn.SetWriteDeadline(until.Add(refusalTimeout))
-	s := &start{greeter: g, conn: conn, full: place > g.Limits.Callers}
+	s := &startUp{greeter: g, conn: conn, overLimit: place > g.Limits.Callers}
 	defer func() { _ = s.conn.Close() }() // ends TLS in form, where it was begun
 	limited, cancel := context.WithTimeout(ctx, g.Limits.StartUp)
 	defer cancel()
--- a/internal/greeter/start.go
+++ b/internal/greeter/start.go
@@ -35,23 +35,23 @@
 	parameterReplication = "replication"
 )
 
-// start is the start-up of one caller.
-type start struct {
+// startUp is the startUp-up of one caller.
+type startUp struct {
 	greeter *Greeter
 	conn    net.Conn
 	backend *pgproto3.Backend
-	// full is set for a caller above the limit, which is only told so.
-	full bool
+	// overLimit is set for a caller above the limit, which is only told so.
+	overLimit bool
 	// encrypted and asked tell what has been negotiated.
 	encrypted bool
-	asked     int
+	encryptionRequests     int
 }
 
 // run carries out the start-up; a nil session without error is a connection
 // that only brought a cancel request.
-func (s *start) run(ctx context.Context) (*relayer.Session, error) {
+func (s *startUp) run(ctx context.Context) (*relayer.Session, error) {
 	s.backend = newBackend(s.conn)
-	m, refusal := s.receive(ctx)
+	m, refusal := s.receiveStartUp(ctx)
 	if refusal != nil {
 		return nil, s.refuse(refusal)
 	}
@@ -59,7 +59,7 @@
 		s.greeter.count(CountCancels)
 		return nil, nil
 	}
-	parameters, refusal := s.check(m)
+	parameters, refusal := s.validate(m)
 	if refusal != nil {
 		return nil, s.refuse(refusal)
 	}
@@ -72,7 +72,7 @@
 	}
 	s.backend.SetMaxBodyLen(maxMessage)
 	session.Conn, session.Backend = s.conn, s.backend
-	return session, welcome(s.backend, session)
+	return session, sendWelcome(s.backend, session)
 }
 
 func newBackend(conn net.Conn) *pgproto3.Backend {
@@ -81,13 +81,13 @@
 	return b
 }
 
-// receive returns the start-up message, after encryption was negotiated; nil
+// receiveStartUp returns the start-up message, after encryption was negotiated; nil
 // for a cancel request.
-func (s *start) receive(ctx context.Context) (*pgproto3.StartupMessage, *refuser.Refusal) {
+func (s *startUp) receiveStartUp(ctx context.Context) (*pgproto3.StartupMessage, *refuser.Refusal) {
 	for {
 		m, err := s.backend.ReceiveStartupMessage()
 		if err != nil {
-			return nil, broken(err)
+			return nil, receiveRefusal(err)
 		}
 		switch m := m.(type) {
 		case *pgproto3.StartupMessage:
@@ -98,62 +98,62 @@
 			}
 			return nil, nil
 		case *pgproto3.SSLRequest:
-			if refusal := s.encrypt(ctx); refusal != nil {
+			if refusal := s.startTLS(ctx); refusal != nil {
 				return nil, refusal
 			}
 		default: // encryption by GSSAPI
-			if refusal := s.decline(); refusal != nil {
+			if refusal := s.declineEncryption(); refusal != nil {
 				return nil, refusal
 			}
 		}
 	}
 }
 
-// broken tells a caller that was too slow from one that broke the protocol.
-func broken(err error) *refuser.Refusal {
+// receiveRefusal tells a caller that was too slow from one that broke the protocol.
+func receiveRefusal(err error) *refuser.Refusal {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return refuser.New(refuser.StartUpTimeout, "nothing complete arrived in time")
 	}
 	return refuser.New(refuser.BadStartUp, "%v", err)
 }
 
-// decline answers a request for encryption with no; the caller may go on in
+// declineEncryption answers a request for encryption with no; the caller may go on in
 // clear. A driver asks at most once for each way, so that more is an endless
 // loop or an attack.
-func (s *start) decline() *refuser.Refusal {
+func (s *startUp) declineEncryption() *refuser.Refusal {
 	const ways = 2
-	if s.asked++; s.asked > ways || s.encrypted {
+	if s.encryptionRequests++; s.encryptionRequests > ways || s.encrypted {
 		return refuser.New(refuser.BadStartUp, "encryption was asked for again")
 	}
 	if _, err := s.conn.Write([]byte("N")); err != nil {
-		return broken(err)
+		return receiveRefusal(err)
 	}
 	return nil
 }
 
-// encrypt starts TLS. The backend is replaced: whatever the old one has read
+// startTLS starts TLS. The backend is replaced: whatever the old one has read
 // ahead arrived in clear, perhaps from somebody between the two ends, and must
 // not count as if it had come through TLS.
-func (s *start) encrypt(ctx context.Context) *refuser.Refusal {
+func (s *startUp) startTLS(ctx context.Context) *refuser.Refusal {
 	if s.greeter.TLS == nil || s.greeter.Mode == loader.EncryptionOff {
-		return s.decline()
+		return s.declineEncryption()
 	}
 	if s.encrypted {
 		return refuser.New(refuser.BadStartUp, "encryption was asked for again")
 	}
 	if _, err := s.conn.Write([]byte("S")); err != nil {
-		return broken(err)
+		return receiveRefusal(err)
 	}
 	c := tls.Server(s.conn, s.greeter.TLS)
 	if err := c.HandshakeContext(ctx); err != nil {
-		return broken(errors.Wrap(err, "TLS"))
+		return receiveRefusal(errors.Wrap(err, "TLS"))
 	}
 	s.conn, s.backend, s.encrypted = c, newBackend(c), true
 	return nil
 }
 
-// check returns the parameters of an acceptable start-up message.
-func (s *start) check(m *pgproto3.StartupMessage) (map[string]string, *refuser.Refusal) {
+// validate returns the parameters of an acceptable start-up message.
+func (s *startUp) validate(m *pgproto3.StartupMessage) (map[string]string, *refuser.Refusal) {
 	parameters := map[string]string{}
 	var unknown []string
 	for k, v := range m.Parameters {
@@ -163,11 +163,11 @@
 		}
 		parameters[k] = v
 	}
-	if err := spread(parameters); err != nil {
+	if err := expandOptions(parameters); err != nil {
 		return nil, refuser.New(refuser.BadStartUp, "%v", err)
 	}
 	switch r := strings.ToLower(parameters[parameterReplication]); {
-	case s.full:
+	case s.overLimit:
 		return nil, refuser.New(refuser.TooManyCallers, "limit %d", s.greeter.Limits.Callers)
 	case s.greeter.Mode == loader.EncryptionRequire && !s.encrypted:
 		return nil, refuser.New(refuser.EncryptionRequired, "sslmode=require or better, please")
@@ -183,11 +183,11 @@
 	return parameters, nil
 }
 
-// spread takes the parameter "options" apart: "-c name=value" or "--name=value",
+// expandOptions takes the parameter "options" apart: "-c name=value" or "--name=value",
 // with spaces and backslashes escaped by a backslash. It is how callers pass
 // oriole.token and oriole.kind where the driver knows only libpq's parameters.
-func spread(parameters map[string]string) error {
-	words := split(parameters[parameterOptions])
+func expandOptions(parameters map[string]string) error {
+	words := splitOptions(parameters[parameterOptions])
 	delete(parameters, parameterOptions)
 	for i := 0; i < len(words); i++ {
 		word, ok := strings.CutPrefix(words[i], "--")
@@ -209,7 +209,7 @@
 	return nil
 }
 
-func split(options string) []string {
+func splitOptions(options string) []string {
 	var words []string
 	var word strings.Builder
 	escaped, open := false, false
@@ -238,7 +238,7 @@
 }
 
 // refuse tells the caller why, and returns the refusal as the start-up's error.
-func (s *start) refuse(r *refuser.Refusal) error {
+func (s *startUp) refuse(r *refuser.Refusal) error {
 	s.greeter.count(countRefused + r.Reason.Name)
 	s.greeter.count(CountFailed)
 	s.backend.Send(&pgproto3.ErrorResponse{
@@ -251,7 +251,7 @@
 	return r
 }
 
-func welcome(b *pgproto3.Backend, s *relayer.Session) error {
+func sendWelcome(b *pgproto3.Backend, s *relayer.Session) error {
 	b.Send(&pgproto3.AuthenticationOk{})
 	for _, p := range [][2]string{
 		{"server_version", "16.0 (oriolegw)"},
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// interval is how often a target is asked. Half of it is the mean age of
+	// pollInterval is how often a target is asked. Half of it is the mean age of
 	// what is known of a replica, which every read with a stated age pays.
-	interval = 100 * time.Millisecond
-	// idleInterval is how often a target that nobody here uses is asked, when
+	pollInterval = 100 * time.Millisecond
+	// idlePollInterval is how often a target that nobody here uses is asked, when
 	// questions are scarce.
-	idleInterval = time.Second
-	// maxQuestions bounds the questions of this instance per second. Without it
+	idlePollInterval = time.Second
+	// maxPollsPerSecond bounds the questions of this instance per second. Without it
 	// the cost of control grows with the groups that an instance happens to
 	// observe: 1,800 instances before 2,300 groups would spend the 2.1% of a
 	// core on questions alone (docs/CAPACITY.md). 9 instances before 3 groups
 	// of 3 members ask 90.
-	maxQuestions = 100
-	// idleShare and fallbackShare are the most of maxQuestions that go to groups
+	maxPollsPerSecond = 100
+	// idlePollsPerSecond and fallbackShare are the most of maxQuestions that go to groups
 	// that nobody here uses, and to those that this instance asks although it
 	// is no observer. Without the second, an instance that is cut off from the
 	// observers of many groups would ask for all, and starve those that others
 	// rely on it to observe.
-	idleShare     = 25
-	fallbackShare = 15
+	idlePollsPerSecond     = 25
+	fallbackPollsPerSecond = 15
 
 	// Shards is how many shards services fall into. A shard, not a service, has
 	// observers, so that an instance asks few peers for many groups: at 575
@@ -43,17 +43,17 @@
 	// two may die or pause at once before any instance has to fall back.
 	Observers = 3
 
-	// silence is how long an instance that relies on observers goes without
+	// reportTimeout is how long an instance that relies on observers goes without
 	// news before it asks for itself: several reports' worth at the usual pace,
 	// and well below what a caller notices as stale. Where the budget of bytes
 	// makes reports rarer, it is gapsMissed of the usual gap.
-	silence    = 1500 * time.Millisecond
-	gapsMissed = 3
-	// fallback is how long it then goes on asking, so that a group does not
+	reportTimeout    = 1500 * time.Millisecond
+	maxMissedReports = 3
+	// fallbackDuration is how long it then goes on asking, so that a group does not
 	// swing between the two ways while lists disagree.
-	fallback = 10 * time.Second
-	// usedFor is how long a service counts as in use after its last use.
-	usedFor = time.Minute
+	fallbackDuration = 10 * time.Second
+	// inUseWindow is how long a service counts as in use after its last use.
+	inUseWindow = time.Minute
 )
 
 type (
@@ -68,31 +68,31 @@
 		Instance string
 		Zone     string
 
-		members []lister.Instance
+		instances []lister.Instance
 		groups  map[string]*group
-		// order has the groups as the document has them, active those of them
+		// ordered has the groups as the document has them, active those of them
 		// that this instance observes or uses: a part, where groups are many.
-		order, active []*group
+		ordered, active []*group
 	}
 
 	group struct {
 		service *configurer.Service
-		asked   map[string]*question
+		polls   map[string]*poll
 		// observed says that this instance is one of the shard's observers.
 		observed bool
-		// heard is when an observation of another instance last came, or when
+		// lastReport is when an observation of another instance last came, or when
 		// waiting for the first began.
-		heard time.Time
-		// gap is how far apart observations of others usually come.
-		gap  time.Duration
-		used time.Time
-		// fallback is until when this instance asks although it is no observer.
-		fallback time.Time
+		lastReport time.Time
+		// reportGap is how far apart observations of others usually come.
+		reportGap  time.Duration
+		lastUsed time.Time
+		// fallbackUntil is until when this instance asks although it is no observer.
+		fallbackUntil time.Time
 	}
 
-	question struct {
-		open bool
-		next time.Time
+	poll struct {
+		inFlight bool
+		nextAt time.Time
 	}
 
 	// Ask asks a target for its state.
@@ -153,124 +153,124 @@
 func (s *Slice) Step(now time.Time, e controller.Event) []controller.Action {
 	switch e := e.(type) {
 	case configurer.InForce:
-		s.apply(now, e.Document)
+		s.applyDocument(now, e.Document)
 	case lister.Changed:
-		s.members = e.Instances
-		s.assign(now)
+		s.instances = e.Instances
+		s.assignShards(now)
 	case Used:
 		for _, n := range e.Services {
 			if g := s.groups[n]; g != nil {
-				g.used = now
+				g.lastUsed = now
 			}
 		}
-		s.choose(now)
+		s.selectActive(now)
 	case Observed:
-		s.take(now, e)
+		s.recordObservation(now, e)
 	case controller.Tick:
-		return s.due(now)
+		return s.duePolls(now)
 	}
 	return nil
 }
 
-// apply keeps the open questions of what stays: asking all anew at each of 2,500
+// applyDocument keeps the open questions of what stays: asking all anew at each of 2,500
 // changes a day would double the questions in flight to a slow target.
-func (s *Slice) apply(now time.Time, d *configurer.Document) {
+func (s *Slice) applyDocument(now time.Time, d *configurer.Document) {
 	old := s.groups
-	s.order, s.groups = nil, map[string]*group{}
+	s.ordered, s.groups = nil, map[string]*group{}
 	for i := range d.Services {
 		v := &d.Services[i]
 		g := old[v.Name]
 		if g == nil {
-			g = &group{asked: map[string]*question{}, heard: now}
+			g = &group{polls: map[string]*poll{}, lastReport: now}
 		}
 		g.service, s.groups[v.Name] = v, g
-		s.order = append(s.order, g)
-		for n := range g.asked {
+		s.ordered = append(s.ordered, g)
+		for n := range g.polls {
 			if !v.Holds(n) {
-				delete(g.asked, n)
+				delete(g.polls, n)
 			}
 		}
 	}
-	s.assign(now)
+	s.assignShards(now)
 }
 
-// assign works out which shards this instance observes. Without a list, it
+// assignShards works out which shards this instance observes. Without a list, it
 // observes all: too many questions for a while, never too few.
-func (s *Slice) assign(now time.Time) {
+func (s *Slice) assignShards(now time.Time) {
 	var mine [Shards]bool
 	for i := range mine {
-		mine[i] = s.members == nil || lister.Holds(Of(uint32(i), s.Zone, s.members), s.Instance)
+		mine[i] = s.instances == nil || lister.Holds(Of(uint32(i), s.Zone, s.instances), s.Instance)
 	}
 	for n, g := range s.groups {
 		g.observed = mine[Shard(n)]
 	}
-	s.choose(now)
+	s.selectActive(now)
 }
 
-// choose picks the groups that may have to be asked.
-func (s *Slice) choose(now time.Time) {
+// selectActive picks the groups that may have to be asked.
+func (s *Slice) selectActive(now time.Time) {
 	s.active = s.active[:0]
-	for _, g := range s.order {
+	for _, g := range s.ordered {
 		if g.observed || g.inUse(now) {
 			s.active = append(s.active, g)
 		}
 	}
 }
 
-func (s *Slice) take(now time.Time, e Observed) {
+func (s *Slice) recordObservation(now time.Time, e Observed) {
 	g := s.groups[e.Service]
 	if g == nil {
 		return
 	}
 	if e.From != "" {
-		g.hear(now)
+		g.recordReport(now)
 		return
 	}
-	if q := g.asked[e.Member]; q != nil {
-		q.open = false
+	if q := g.polls[e.Member]; q != nil {
+		q.inFlight = false
 	}
 }
 
-// hear notes news from another instance. The gap follows slowly, so that one
+// recordReport notes news from another instance. The gap follows slowly, so that one
 // late report does not pass for the usual.
-func (g *group) hear(now time.Time) {
+func (g *group) recordReport(now time.Time) {
 	const weight = 8
-	if d := now.Sub(g.heard); d > controller.DefaultInterval { // members of one report come together
-		g.gap += (d - g.gap) / weight
+	if d := now.Sub(g.lastReport); d > controller.DefaultInterval { // members of one report come together
+		g.reportGap += (d - g.reportGap) / weight
 	}
-	g.heard = now
+	g.lastReport = now
 }
 
-// asks tells whether this instance asks the group's members itself.
-func (g *group) asks(now time.Time) bool {
+// shouldPoll tells whether this instance shouldPoll the group's members itself.
+func (g *group) shouldPoll(now time.Time) bool {
 	if g.observed {
 		return true
 	}
 	if !g.inUse(now) {
 		return false
 	}
-	if now.Sub(g.heard) >= max(silence, gapsMissed*g.gap) {
-		g.fallback = now.Add(fallback)
+	if now.Sub(g.lastReport) >= max(reportTimeout, maxMissedReports*g.reportGap) {
+		g.fallbackUntil = now.Add(fallbackDuration)
 	}
-	return now.Before(g.fallback)
+	return now.Before(g.fallbackUntil)
 }
 
-func (g *group) inUse(now time.Time) bool { return !g.used.IsZero() && now.Sub(g.used) < usedFor }
+func (g *group) inUse(now time.Time) bool { return !g.lastUsed.IsZero() && now.Sub(g.lastUsed) < inUseWindow }
 
-// class is why a group is asked; each class has its share of the questions.
-type class int
+// pollClass is why a group is asked; each pollClass has its share of the questions.
+type pollClass int
 
 const (
-	classNone class = iota
+	classNone pollClass = iota
 	classUsed
 	classFallback
 	classIdle
-	classes
+	classCount
 )
 
-func (g *group) class(now time.Time) class {
+func (g *group) class(now time.Time) pollClass {
 	switch {
-	case !g.asks(now):
+	case !g.shouldPoll(now):
 		return classNone
 	case !g.observed:
 		return classFallback
@@ -280,21 +280,21 @@
 	return classIdle
 }
 
-func (s *Slice) due(now time.Time) []controller.Action {
-	var count [classes]int
-	of := make([]class, len(s.active))
+func (s *Slice) duePolls(now time.Time) []controller.Action {
+	var count [classCount]int
+	of := make([]pollClass, len(s.active))
 	for i, g := range s.active {
 		of[i] = g.class(now)
 		count[of[i]] += len(g.service.Members)
 	}
-	pauses := intervals(count)
+	pauses := pollIntervals(count)
 	var out []controller.Action
 	for i, g := range s.active {
 		if of[i] == classNone {
 			continue
 		}
 		for _, m := range g.service.Members {
-			if a, ok := g.ask(now, pauses[of[i]], g.service.Name, m); ok {
+			if a, ok := g.startPoll(now, pauses[of[i]], g.service.Name, m); ok {
 				out = append(out, a)
 			}
 		}
@@ -302,40 +302,40 @@
 	return out
 }
 
-func (g *group) ask(now time.Time, pause time.Duration, service string, m configurer.Member) (Ask, bool) {
-	q := g.asked[m.Name]
+func (g *group) startPoll(now time.Time, pause time.Duration, service string, m configurer.Member) (Ask, bool) {
+	q := g.polls[m.Name]
 	if q == nil {
-		q = &question{}
-		g.asked[m.Name] = q
+		q = &poll{}
+		g.polls[m.Name] = q
 	}
-	if q.open || now.Before(q.next) {
+	if q.inFlight || now.Before(q.nextAt) {
 		return Ask{}, false
 	}
-	q.open, q.next = true, now.Add(pause)
+	q.inFlight, q.nextAt = true, now.Add(pause)
 	return Ask{Service: service, Member: m}, true
 }
 
-// intervals spreads maxQuestions over the members that are asked. While they
+// pollIntervals spreads maxQuestions over the members that are asked. While they
 // suffice, every member is asked each interval, used or not: a group that is
 // idle now is the one that a guest stands before at night. Past that, what no
 // class needs of its share goes to the groups that are observed and in use.
-func intervals(count [classes]int) (out [classes]time.Duration) {
+func pollIntervals(count [classCount]int) (out [classCount]time.Duration) {
 	total := 0
-	for c := classUsed; c < classes; c++ {
+	for c := classUsed; c < classCount; c++ {
 		total += count[c]
-		out[c] = interval
+		out[c] = pollInterval
 	}
-	if time.Duration(total)*time.Second <= maxQuestions*interval {
+	if time.Duration(total)*time.Second <= maxPollsPerSecond*pollInterval {
 		return out
 	}
-	perSecond := func(c class, share int, shortest time.Duration) int {
+	perSecond := func(c pollClass, share int, shortest time.Duration) int {
 		out[c] = max(shortest, time.Duration(count[c])*time.Second/time.Duration(share))
 		return int(time.Duration(count[c]) * time.Second / out[c])
 	}
-	left := maxQuestions
-	left -= perSecond(classIdle, idleShare, idleInterval)
-	left -= perSecond(classFallback, fallbackShare, interval)
-	perSecond(classUsed, left, interval)
+	left := maxPollsPerSecond
+	left -= perSecond(classIdle, idlePollsPerSecond, idlePollInterval)
+	left -= perSecond(classFallback, fallbackPollsPerSecond, pollInterval)
+	perSecond(classUsed, left, pollInterval)
 	return out
 }
 
--- a/internal/prober/judge.go
+++ b/internal/prober/judge.go
@@ -66,11 +66,11 @@
 	// the two users take milliseconds; one second keeps probes rare and finds a
 	// silent connection before a person gives up.
 	FirstProbe = time.Second
-	// maxPause bounds the pause between two probes of a long statement.
-	maxPause = 10 * time.Second
-	// idleProof is how many answers in a row must say that the session has
+	// maxProbeInterval bounds the pause between two probes of a long statement.
+	maxProbeInterval = 10 * time.Second
+	// minIdleReplies is how many answers in a row must say that the session has
 	// nothing to do: after one, the answer may still be on its way.
-	idleProof = 2
+	minIdleReplies = 2
 )
 
 // Judge decides about an exchange that is silent.
@@ -81,7 +81,7 @@
 		return GiveUp
 	case l.Failing && l.Repeatable:
 		return GiveUp
-	case l.Idle >= idleProof:
+	case l.Idle >= minIdleReplies:
 		return GiveUp
 	case l.Unanswered > 0 && l.Unanswered >= l.Hold:
 		// Neither the target nor a new primary has come for as long as any
@@ -100,7 +100,7 @@
 	case Idle, Absent:
 		return silent + Interval
 	case Running:
-		return silent + min(silent, maxPause)
+		return silent + min(silent, maxProbeInterval)
 	}
 	return silent + FirstProbe
 }
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -9,8 +9,8 @@
 	"github.com/oriolegw/oriolegw/internal/networker"
 )
 
-// timeout bounds a probe, a new connection included.
-const timeout = time.Second
+// probeTimeout bounds a probe, a new connection included.
+const probeTimeout = time.Second
 
 // Prober asks targets over fresh connections. Set the exported fields, then call
 // Ask.
@@ -23,7 +23,7 @@
 // becomes a session: silent connections come in numbers, and when all of the
 // instance's share is silent there is no place left for one more.
 func (p *Prober) Ask(ctx context.Context, address string, pid uint32) (State, error) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	activity, err := commander.AskActivity(ctx, p.Network, address, p.Application, pid)
 	if err != nil {
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -62,10 +62,10 @@
 	if err != nil {
 		return Published{}, errors.Wrap(err, "read the published document")
 	}
-	return parse(pair)
+	return decodePair(pair)
 }
 
-func parse(pair storer.Pair) (Published, error) {
+func decodePair(pair storer.Pair) (Published, error) {
 	if pair.Revision == 0 {
 		return Published{}, nil
 	}
@@ -91,7 +91,7 @@
 			return Result{}, err
 		}
 		if now.Version != seen.Version {
-			return raced(seen, now), nil
+			return conflict(seen, now), nil
 		}
 		seen = now
 	}
@@ -109,17 +109,17 @@
 	if err != nil {
 		return p.readBack(ctx, seen, want, err)
 	}
-	now, err := parse(pair)
+	now, err := decodePair(pair)
 	if err != nil {
 		return Result{}, err
 	}
 	if ok {
 		return Result{Outcome: Accepted, Now: now}, nil
 	}
-	return raced(seen, now), nil
+	return conflict(seen, now), nil
 }
 
-func raced(seen, now Published) Result {
+func conflict(seen, now Published) Result {
 	return Result{Outcome: Raced, Now: now, Changes: configurer.Diff(seen.Document, now.Document)}
 }
 
@@ -148,14 +148,14 @@
 				continue
 			}
 		}
-		now, err := parse(pair)
+		now, err := decodePair(pair)
 		if err != nil {
 			return Result{}, err
 		}
 		if bytes.Equal(pair.Value, want.Value) {
 			return Result{Outcome: Accepted, Now: now}, nil
 		}
-		return raced(seen, now), nil
+		return conflict(seen, now), nil
 	}
 }
 
@@ -165,7 +165,7 @@
 	if p.Document == nil {
 		return nil, errors.New("no document is published")
 	}
-	at, err := find(p.Document, service, member)
+	at, err := memberPath(p.Document, service, member)
 	if err != nil {
 		return nil, err
 	}
@@ -180,7 +180,7 @@
 	return v.Pack(), nil
 }
 
-func find(d *configurer.Document, service, member string) (path string, err error) {
+func memberPath(d *configurer.Document, service, member string) (path string, err error) {
 	for i, s := range d.Services {
 		if s.Name != service {
 			continue
--- a/pkg/sealer/sealer.go
+++ b/pkg/sealer/sealer.go
@@ -18,9 +18,9 @@
 const (
 	version  = 1
 	macBytes = 16
-	minKey   = 16
-	// header: version, key number, length of the service's name.
-	header = 3
+	minKeyBytes   = 16
+	// headerBytes: version, key number, length of the service's name.
+	headerBytes = 3
 )
 
 type (
@@ -52,7 +52,7 @@
 		return errors.Wrap(ErrKey, "no key")
 	}
 	for _, k := range s.Keys {
-		if len(k.Secret) < minKey {
+		if len(k.Secret) < minKeyBytes {
 			return ErrKey
 		}
 	}
@@ -62,7 +62,7 @@
 // Seal returns the token for a session of the service with the given floor.
 func (s *Sealer) Seal(service string, floor orderer.Position) string {
 	k := s.Keys[0]
-	b := make([]byte, 0, header+len(service)+16+macBytes)
+	b := make([]byte, 0, headerBytes+len(service)+16+macBytes)
 	b = append(b, version, k.Number, uint8(len(service)))
 	b = append(b, service...)
 	b = binary.BigEndian.AppendUint64(b, floor.Term)
@@ -80,21 +80,21 @@
 	if b[0] != version {
 		return orderer.Position{}, ErrVersion
 	}
-	if len(b) < header || len(b) != header+int(b[2])+16+macBytes {
+	if len(b) < headerBytes || len(b) != headerBytes+int(b[2])+16+macBytes {
 		return orderer.Position{}, ErrMalformed
 	}
 	body, sum := b[:len(b)-macBytes], b[len(b)-macBytes:]
-	if !s.sealed(b[1], body, sum) {
+	if !s.authentic(b[1], body, sum) {
 		return orderer.Position{}, ErrForged
 	}
-	if string(body[header:header+int(b[2])]) != service {
+	if string(body[headerBytes:headerBytes+int(b[2])]) != service {
 		return orderer.Position{}, ErrForeign
 	}
-	n := body[header+int(b[2]):]
+	n := body[headerBytes+int(b[2]):]
 	return orderer.Position{Term: binary.BigEndian.Uint64(n), Offset: binary.BigEndian.Uint64(n[8:])}, nil
 }
 
-func (s *Sealer) sealed(number uint8, body, sum []byte) bool {
+func (s *Sealer) authentic(number uint8, body, sum []byte) bool {
 	for _, k := range s.Keys {
 		if k.Number == number && hmac.Equal(sum, mac(k.Secret, body)) {
 			return true
--- a/pkg/verifier/verifier.go
+++ b/pkg/verifier/verifier.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	scheme = "SCRAM-SHA-256$"
+	schemePrefix = "SCRAM-SHA-256$"
 	// DefaultIterations is what PostgreSQL uses; a check takes about a
 	// millisecond, which bounds how fast passwords can be guessed.
 	DefaultIterations = 4096
@@ -52,11 +52,11 @@
 	if err != nil {
 		return Verifier{}, errors.Wrap(err, "derive key")
 	}
-	stored := sha256.Sum256(keyed(salted, "Client Key"))
-	return Verifier{Iterations: iterations, Salt: salt, StoredKey: stored[:], ServerKey: keyed(salted, "Server Key")}, nil
+	stored := sha256.Sum256(hmacSHA256(salted, "Client Key"))
+	return Verifier{Iterations: iterations, Salt: salt, StoredKey: stored[:], ServerKey: hmacSHA256(salted, "Server Key")}, nil
 }
 
-func keyed(key []byte, text string) []byte {
+func hmacSHA256(key []byte, text string) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write([]byte(text))
 	return h.Sum(nil)
@@ -64,7 +64,7 @@
 
 // Parse reads the form that String writes.
 func Parse(text string) (Verifier, error) {
-	rest, ok := strings.CutPrefix(text, scheme)
+	rest, ok := strings.CutPrefix(text, schemePrefix)
 	if !ok {
 		return Verifier{}, ErrMalformed
 	}
@@ -96,7 +96,7 @@
 // String is "SCRAM-SHA-256$iterations:salt$stored-key:server-key".
 func (v Verifier) String() string {
 	b := base64.StdEncoding.EncodeToString
-	return scheme + strconv.Itoa(v.Iterations) + ":" + b(v.Salt) + "$" + b(v.StoredKey) + ":" + b(v.ServerKey)
+	return schemePrefix + strconv.Itoa(v.Iterations) + ":" + b(v.Salt) + "$" + b(v.StoredKey) + ":" + b(v.ServerKey)
 }
 
 // Matches reports whether the password is the one that the verifier was made
