--- a/internal/greeter/authenticate.go
+++ b/internal/greeter/authenticate.go
@@ -9,11 +9,11 @@
 	"github.com/oriolegw/oriolegw/pkg/verifier"
 )
 
-// unknownUserVerifier is checked in place of a user that does not exist, so that the time
-// taken doesn't tell which users do.
+// unknownUserVerifier replaces the verifier of unknown users, so that timing does not
+// reveal which users exist.
 var unknownUserVerifier = verifier.Verifier{Iterations: verifier.DefaultIterations, Salt: []byte("no such user"), StoredKey: []byte{0}}
 
-// authenticate makes the caller prove who it is.
+// authenticate authenticates the client by the configured method.
 func (s *startUp) authenticate(ctx context.Context, user string) *refuser.Refusal {
 	switch s.greeter.Authentication {
 	case loader.Trust:
@@ -21,12 +21,12 @@
 	case loader.Password:
 		return s.checkPassword(ctx, user)
 	}
-	return refuser.New(refuser.BadPassword, "no way of authentication is set")
+	return refuser.New(refuser.BadPassword, "no authentication method is configured")
 }
 
 func (s *startUp) checkPassword(ctx context.Context, user string) *refuser.Refusal {
-	if !s.encrypted { // the settings' check demands it as well
-		return refuser.New(refuser.EncryptionRequired, "a password must not cross the network in clear")
+	if !s.encrypted { // also rejected when the settings are loaded
+		return refuser.New(refuser.EncryptionRequired, "password authentication requires TLS")
 	}
 	if err := s.backend.SetAuthType(pgproto3.AuthTypeCleartextPassword); err != nil {
 		return receiveRefusal(err)
@@ -41,7 +41,7 @@
 	}
 	p, ok := m.(*pgproto3.PasswordMessage)
 	if !ok {
-		return refuser.New(refuser.BadStartUp, "%T in place of a password", m)
+		return refuser.New(refuser.BadStartUp, "received %T instead of a password", m)
 	}
 	if !s.passwordMatches(ctx, user, p.Password) {
 		return refuser.New(refuser.BadPassword, "user %q", user)
--- a/internal/greeter/drivers_test.go
+++ b/internal/greeter/drivers_test.go
@@ -30,62 +30,62 @@
 )
 
 const (
-	password = "open sesame"
-	lodge    = "INSERT INTO ledger (key, value) VALUES ($1, $2)"
-	look     = "SELECT value FROM ledger WHERE key = $1"
+	password  = "open sesame"
+	insertSQL = "INSERT INTO ledger (key, value) VALUES ($1, $2)"
+	selectSQL = "SELECT value FROM ledger WHERE key = $1"
 )
 
-// fleet is a staged fleet whose instances demand TLS and a password.
+// fleet is a simulated fleet whose instances require TLS and a password.
 type fleet struct {
 	*testing.T
 	*stager.Fleet
 	ctx context.Context
 }
 
-// certificate writes a certificate for the instances, signed by itself.
+// certificate writes a self-signed certificate for the instances.
 func certificate(t *testing.T) loader.Encryption {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	must.NoError(t, err)
-	// The bubble's clock starts in the year 2000.
+	// The synctest clock starts in the year 2000.
 	c := &x509.Certificate{SerialNumber: big.NewInt(1), NotBefore: time.Unix(0, 0), NotAfter: time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)}
-	der, err := x509.CreateCertificate(rand.Reader, c, c, key.Public(), key)
+	encoded, err := x509.CreateCertificate(rand.Reader, c, c, key.Public(), key)
 	must.NoError(t, err)
 	private, err := x509.MarshalPKCS8PrivateKey(key)
 	must.NoError(t, err)
 	e := loader.Encryption{Mode: loader.EncryptionRequire, Certificate: filepath.Join(t.TempDir(), "tls.crt"), Key: filepath.Join(t.TempDir(), "tls.key")}
-	must.NoError(t, os.WriteFile(e.Certificate, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o600))
+	must.NoError(t, os.WriteFile(e.Certificate, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: encoded}), 0o600))
 	must.NoError(t, os.WriteFile(e.Key, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: private}), 0o600))
 	return e
 }
 
-func secured(t *testing.T, run func(*fleet)) {
+func withSecureFleet(t *testing.T, run func(*fleet)) {
 	e := certificate(t)
 	v, err := verifier.New(password)
 	must.NoError(t, err)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		staged, err := stager.Start(ctx, stager.Plan{
+		simulated, err := stager.Start(ctx, stager.Plan{
 			ZoneLatency: time.Millisecond, CallerLatency: 3 * time.Millisecond,
 			Users:    []configurer.User{{Name: "crew", Verifier: v.String()}},
 			Settings: func(s *loader.Settings) { s.Authentication, s.Encryption = loader.Password, e },
 		})
 		must.NoError(t, err)
 		defer func() {
-			staged.Close()
-			// pgx ends a connection whose query was given up in a goroutine of
-			// its own, which nobody can wait for; its limit is 15 s.
+			simulated.Close()
+			// pgx closes a connection whose query was cancelled in a background goroutine,
+			// for up to 15 s.
 			time.Sleep(20 * time.Second)
 		}()
-		f := &fleet{T: t, Fleet: staged, ctx: ctx}
-		f.await()
+		f := &fleet{T: t, Fleet: simulated, ctx: ctx}
+		f.awaitReady()
 		run(f)
 	})
 }
 
-// await waits until every instance takes callers.
-func (f *fleet) await() {
+// awaitReady waits until every instance accepts clients.
+func (f *fleet) awaitReady() {
 	f.Helper()
 	for i := range f.Instances {
 		for {
@@ -100,23 +100,23 @@
 	}
 }
 
-func (f *fleet) address(entry int, user, secret, mode string) string {
-	return fmt.Sprintf("postgres://%s:%s@%s:5432/%s?sslmode=%s", user, "open%20sesame"+secret[len(password):], f.Instances[entry].IP, stager.DefaultService, mode)
+func (f *fleet) address(instance int, user, secret, mode string) string {
+	return fmt.Sprintf("postgres://%s:%s@%s:5432/%s?sslmode=%s", user, "open%20sesame"+secret[len(password):], f.Instances[instance].IP, stager.DefaultService, mode)
 }
 
 func (f *fleet) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	return f.Net.Host("10.0.9.1", "callers").Dial(ctx, address)
 }
 
-func (f *fleet) pgx(entry int, user, secret, mode string) (*pgx.Conn, error) {
-	c, err := pgx.ParseConfig(f.address(entry, user, secret, mode))
+func (f *fleet) pgx(instance int, user, secret, mode string) (*pgx.Conn, error) {
+	c, err := pgx.ParseConfig(f.address(instance, user, secret, mode))
 	must.NoError(f, err)
 	c.DialFunc = f.dial
 	c.LookupFunc = func(_ context.Context, host string) ([]string, error) { return []string{host}, nil }
 	return pgx.ConnectConfig(f.ctx, c)
 }
 
-// dialer lets lib/pq reach the network in memory.
+// dialer connects lib/pq to the simulated network.
 type dialer struct{ *fleet }
 
 func (d dialer) Dial(network, address string) (net.Conn, error) {
@@ -131,14 +131,14 @@
 	return d.dial(ctx, network, address)
 }
 
-func (f *fleet) pq(entry int) *sql.DB {
-	c, err := pq.NewConnector(f.address(entry, "crew", password, "require"))
+func (f *fleet) pq(instance int) *sql.DB {
+	c, err := pq.NewConnector(f.address(instance, "crew", password, "require"))
 	must.NoError(f, err)
 	c.Dialer(dialer{f})
 	return sql.OpenDB(c)
 }
 
-func refused(t *testing.T, err error, want *refuser.Reason) {
+func requireRefusal(t *testing.T, err error, want *refuser.Reason) {
 	t.Helper()
 	var e *pgconn.PgError
 	must.True(t, errors.As(err, &e), must.Sprint(err))
@@ -148,23 +148,24 @@
 }
 
 func TestPasswords(t *testing.T) {
-	secured(t, func(f *fleet) {
+	withSecureFleet(t, func(f *fleet) {
 		_, err := f.pgx(0, "crew", password+"!", "require")
-		refused(f.T, err, refuser.BadPassword)
+		requireRefusal(f.T, err, refuser.BadPassword)
 		_, err = f.pgx(0, "nobody", password, "require")
-		refused(f.T, err, refuser.BadPassword)
+		requireRefusal(f.T, err, refuser.BadPassword)
 		_, err = f.pgx(0, "crew", password, "disable")
-		refused(f.T, err, refuser.EncryptionRequired)
+		requireRefusal(f.T, err, refuser.EncryptionRequired)
 	})
 }
 
-// pgx writes on one instance, prepared and in a pipeline, and reads on another.
+// pgx writes through one instance, with a prepared statement, a batch and a transaction, and
+// reads the writes through another.
 func TestPGX(t *testing.T) {
-	secured(t, func(f *fleet) {
+	withSecureFleet(t, func(f *fleet) {
 		a, err := f.pgx(0, "crew", password, "require")
 		must.NoError(f, err)
 		defer a.Close(f.ctx)
-		_, err = a.Prepare(f.ctx, "lodge", lodge)
+		_, err = a.Prepare(f.ctx, "lodge", insertSQL)
 		must.NoError(f, err)
 		for i := range 3 {
 			_, err = a.Exec(f.ctx, "lodge", fmt.Sprint("sheet-", i), "lodged")
@@ -172,7 +173,7 @@
 		}
 		b := &pgx.Batch{}
 		for i := range 3 {
-			b.Queue(look, fmt.Sprint("sheet-", i)).QueryRow(func(row pgx.Row) error {
+			b.Queue(selectSQL, fmt.Sprint("sheet-", i)).QueryRow(func(row pgx.Row) error {
 				var v string
 				must.NoError(f, row.Scan(&v))
 				must.Eq(f, "lodged", v)
@@ -181,7 +182,7 @@
 		}
 		must.NoError(f, a.SendBatch(f.ctx, b).Close())
 		must.NoError(f, pgx.BeginFunc(f.ctx, a, func(tx pgx.Tx) error {
-			_, err := tx.Exec(f.ctx, lodge, "sheet-4", "open")
+			_, err := tx.Exec(f.ctx, insertSQL, "sheet-4", "open")
 			must.NoError(f, err)
 			_, err = tx.Exec(f.ctx, "UPDATE ledger SET value = $1 WHERE key = $2", "signed", "sheet-4")
 			return err
@@ -190,28 +191,28 @@
 		must.NoError(f, err)
 		defer c.Close(f.ctx)
 		var v string
-		must.NoError(f, c.QueryRow(f.ctx, look, "sheet-4").Scan(&v))
+		must.NoError(f, c.QueryRow(f.ctx, selectSQL, "sheet-4").Scan(&v))
 		must.Eq(f, "signed", v)
 	})
 }
 
-// lib/pq does the same: prepared statements, a transaction that commits, one
-// that is rolled back, and a read on another instance.
+// lib/pq writes through one instance, with a prepared statement, a commit and a rollback, and
+// reads through another.
 func TestPQ(t *testing.T) {
-	secured(t, func(f *fleet) {
+	withSecureFleet(t, func(f *fleet) {
 		a := f.pq(0)
 		defer a.Close()
-		p, err := a.PrepareContext(f.ctx, lodge)
+		p, err := a.PrepareContext(f.ctx, insertSQL)
 		must.NoError(f, err)
 		_, err = p.ExecContext(f.ctx, "sheet-1", "lodged")
 		must.NoError(f, err)
 		must.NoError(f, p.Close())
-		for key, keep := range map[string]bool{"sheet-2": true, "sheet-3": false} {
+		for key, commit := range map[string]bool{"sheet-2": true, "sheet-3": false} {
 			tx, err := a.BeginTx(f.ctx, nil)
 			must.NoError(f, err)
-			_, err = tx.ExecContext(f.ctx, lodge, key, "lodged")
+			_, err = tx.ExecContext(f.ctx, insertSQL, key, "lodged")
 			must.NoError(f, err)
-			if keep {
+			if commit {
 				must.NoError(f, tx.Commit())
 				continue
 			}
@@ -221,7 +222,7 @@
 		defer b.Close()
 		for key, want := range map[string]error{"sheet-1": nil, "sheet-2": nil, "sheet-3": sql.ErrNoRows} {
 			var v string
-			must.Eq(f, want, b.QueryRowContext(f.ctx, look, key).Scan(&v))
+			must.Eq(f, want, b.QueryRowContext(f.ctx, selectSQL, key).Scan(&v))
 		}
 	})
 }
--- a/internal/greeter/greeter.go
+++ b/internal/greeter/greeter.go
@@ -1,6 +1,6 @@
-// Package greeter accepts callers: it carries out the start-up of the PostgreSQL
-// protocol, with encryption and authentication, and hands each caller to a
-// session.
+// Package greeter accepts clients: it carries out the start-up of the PostgreSQL
+// protocol, with encryption and authentication, and starts a session for each
+// client.
 package greeter
 
 import (
@@ -25,53 +25,50 @@
 	CountFailed   = "callers.failed"
 	countRefused  = "refused."
 
-	// refusalTimeout bounds the sending of a refusal to a caller whose start-up took too
-	// long: one that has stopped reading gets none.
+	// refusalTimeout bounds the sending of a refusal after the start-up timeout.
 	refusalTimeout = time.Second
 )
 
-// maxExcessClients is how many callers above the limit are read far enough to be
-// told why they are refused; more are closed at once, so that a flood of callers
-// can't cost more memory than the limit plus this.
+// maxExcessClients is the number of clients above the limit that receive a refusal. Any
+// further connection is closed at once, which bounds memory.
 const maxExcessClients = 64
 
-// acceptRetryDelay spaces the tries after a failed accept.
+// acceptRetryDelay is the pause after a failed accept.
 const acceptRetryDelay = 50 * time.Millisecond
 
 type (
-	// Greeter accepts callers. Set the exported fields, then call Run.
+	// Greeter accepts clients. Set the exported fields, then call Run.
 	Greeter struct {
 		Address string
 		Network networker.Network
 		Log     log.Logger
-		// Open makes the session of a caller from its start-up parameters, or
-		// refuses it.
+		// Open creates a client's session from its start-up parameters, or returns a
+		// refusal.
 		Open func(parameters map[string]string) (*relayer.Session, *refuser.Refusal)
-		// Cancel carries out a cancel request; nil: it is passed over.
+		// Cancel carries out a cancel request; if nil, they are ignored.
 		Cancel func(ctx context.Context, pid, secret uint32)
-		// Authentication is how callers prove who they are; empty refuses all.
+		// Authentication is the authentication method; if empty, all clients are refused.
 		Authentication loader.Authentication
-		// Mode says whether TLS may or must be used; TLS has the certificate.
+		// Mode says whether TLS is off, allowed or required; TLS has the certificate.
 		Mode loader.EncryptionMode
 		TLS  *tls.Config
-		// Verifier returns what a user's password is checked against; an empty
-		// text when there is no such user.
+		// Verifier returns the password verifier of a user, empty for an unknown one.
 		Verifier func(user string) string
-		// Limits bound what callers can cost; zero values are the defaults.
+		// Limits bound connections and start-ups; zero values are the defaults.
 		Limits loader.Limits
-		// Count counts an event by name, for the metrics; nil counts nothing.
+		// Count increments a counter by name; it may be nil.
 		Count func(name string)
 
-		mutex    sync.Mutex
-		listener net.Listener
-		stopped  bool
-		connected     int
+		mutex     sync.Mutex
+		listener  net.Listener
+		stopped   bool
+		connected int
 	}
 
 	sessionResult struct{ err error }
 )
 
-// Run accepts callers until the context ends, and waits for their sessions.
+// Run accepts clients until the context ends, then waits for their sessions.
 func (g *Greeter) Run(ctx context.Context) error {
 	g.defaults()
 	l, err := g.listen()
@@ -86,10 +83,10 @@
 		case c := <-accepted:
 			running++
 			g.count(CountAccepted)
-			place := g.addClient()
+			number := g.addClient()
 			go func() {
 				defer g.removeClient()
-				done <- sessionResult{g.serve(ctx, c, place)}
+				done <- sessionResult{g.serve(ctx, c, number)}
 			}()
 		case <-done:
 			running--
@@ -125,7 +122,7 @@
 func (g *Greeter) listen() (net.Listener, error) {
 	l, err := g.Network.Listen(g.Address)
 	if err != nil {
-		return nil, errors.Wrap(err, "listen for callers")
+		return nil, errors.Wrap(err, "listen for clients")
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -136,8 +133,8 @@
 	return l, nil
 }
 
-// StopAccepting refuses new callers from now on, as a process does that is gone:
-// the balancer and the drivers then turn to another instance. Sessions go on.
+// StopAccepting closes the listener, so that load balancers and drivers connect to another
+// instance. Existing sessions continue.
 func (g *Greeter) StopAccepting() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -147,14 +144,14 @@
 	}
 }
 
-// Callers returns how many callers are connected.
+// Callers returns the number of connected clients.
 func (g *Greeter) Callers() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.connected
 }
 
-// addClient counts a caller in and returns its place, from 1.
+// addClient counts a new client and returns the number now connected.
 func (g *Greeter) addClient() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -168,9 +165,8 @@
 	g.connected--
 }
 
-// accept hands on connections until the listener is closed. Any other error
-// passes, such as too many open files: an instance that stopped accepting on it
-// would look alive for good and serve nobody new.
+// accept forwards connections until the listener is closed. Other errors, such as too many
+// open files, are temporary, so it retries after them.
 func accept(ctx context.Context, l net.Listener, accepted chan<- net.Conn) error {
 	for {
 		c, err := l.Accept()
@@ -189,24 +185,24 @@
 	}
 }
 
-func (g *Greeter) serve(ctx context.Context, conn net.Conn, place int) error {
+func (g *Greeter) serve(ctx context.Context, conn net.Conn, number int) error {
 	defer conn.Close()
-	if place > g.Limits.Callers+maxExcessClients {
+	if number > g.Limits.Callers+maxExcessClients {
 		g.count(countRefused + refuser.TooManyCallers.Name)
-		return errors.New("far too many callers")
+		return errors.New("too many clients above the limit")
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	// The deadline covers the whole start-up: a caller that sends a byte now
-	// and then must not hold its place for longer. What it is told then still goes out.
-	until := time.Now().Add(g.Limits.StartUp)
-	_ = conn.SetReadDeadline(until)
-	_ = conn.SetWriteDeadline(until.Add(refusalTimeout))
-	s := &startUp{greeter: g, conn: conn, overLimit: place > g.Limits.Callers}
-	defer func() { _ = s.conn.Close() }() // ends TLS in form, where it was begun
-	limited, cancel := context.WithTimeout(ctx, g.Limits.StartUp)
+	// One deadline covers the whole start-up, also of a client that sends single bytes. The
+	// later write deadline leaves time for the refusal.
+	deadline := time.Now().Add(g.Limits.StartUp)
+	_ = conn.SetReadDeadline(deadline)
+	_ = conn.SetWriteDeadline(deadline.Add(refusalTimeout))
+	s := &startUp{greeter: g, conn: conn, overLimit: number > g.Limits.Callers}
+	defer func() { _ = s.conn.Close() }() // sends the TLS closing alert if TLS was started
+	startUpCtx, cancel := context.WithTimeout(ctx, g.Limits.StartUp)
 	defer cancel()
-	session, err := s.run(limited)
+	session, err := s.run(startUpCtx)
 	if err != nil || session == nil {
 		return err
 	}
--- a/internal/greeter/greeter_test.go
+++ b/internal/greeter/greeter_test.go
@@ -23,48 +23,48 @@
 
 const address = "10.0.0.1:5432"
 
-// known is the answer to a start-up that got as far as the choice of a service.
-var known = refuser.NoService
+// accepted is the refusal that the test's Open returns, after a successful start-up.
+var accepted = refuser.NoService
 
-type stage struct {
+type harness struct {
 	*testing.T
-	greeter *greeter.Greeter
-	caller  *wirer.Host
-	seen    map[string]string
+	greeter    *greeter.Greeter
+	client     *wirer.Host
+	parameters map[string]string
 }
 
-// try runs a greeter on virtual time; its callers get as far as the service.
-func try(t *testing.T, change func(*greeter.Greeter), run func(*stage)) {
+// runGreeter runs a greeter on virtual time. Its clients complete the start-up but get no session.
+func runGreeter(t *testing.T, change func(*greeter.Greeter), run func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		n := wirer.New(1)
-		s := &stage{T: t, caller: n.Host("10.0.0.2", "a")}
+		s := &harness{T: t, client: n.Host("10.0.0.2", "a")}
 		s.greeter = &greeter.Greeter{
 			Address: address, Network: n.Host("10.0.0.1", "a"), Log: log.NewNopLogger(), Authentication: loader.Trust,
-			Open: func(parameters map[string]string) (*relayer.Session, *refuser.Refusal) {
-				s.seen = parameters
-				return nil, refuser.New(known, "as far as it goes")
+			Open: func(p map[string]string) (*relayer.Session, *refuser.Refusal) {
+				s.parameters = p
+				return nil, refuser.New(accepted, "start-up complete")
 			},
 		}
 		change(s.greeter)
-		ended := make(chan error, 1)
-		go func() { ended <- s.greeter.Run(ctx) }()
+		stopped := make(chan error, 1)
+		go func() { stopped <- s.greeter.Run(ctx) }()
 		synctest.Wait()
 		run(s)
 		cancel()
-		<-ended
+		<-stopped
 	})
 }
 
-func (s *stage) dial() net.Conn {
+func (s *harness) dial() net.Conn {
 	s.Helper()
-	c, err := s.caller.Dial(s.Context(), address)
+	c, err := s.client.Dial(s.Context(), address)
 	must.NoError(s.T, err)
 	return c
 }
 
-// refused reads the refusal that ends a connection.
-func (s *stage) refused(c net.Conn, want *refuser.Reason) {
+// requireRefusal checks that the connection ends with the given refusal.
+func (s *harness) requireRefusal(c net.Conn, want *refuser.Reason) {
 	s.Helper()
 	f := pgproto3.NewFrontend(c, c)
 	for {
@@ -91,10 +91,10 @@
 	return b
 }
 
-func user(more ...string) map[string]string {
+func userParameters(extra ...string) map[string]string {
 	p := map[string]string{"user": "crew", "database": "lockers"}
-	for i := 0; i+1 < len(more); i += 2 {
-		p[more[i]] = more[i+1]
+	for i := 0; i+1 < len(extra); i += 2 {
+		p[extra[i]] = extra[i+1]
 	}
 	return p
 }
@@ -107,38 +107,37 @@
 	return b
 }
 
-func code(n uint32) []byte {
+func requestCode(n uint32) []byte {
 	return binary.BigEndian.AppendUint32([]byte{0, 0, 0, 8}, n)
 }
 
-// Whatever a caller begins with, it gets one clear answer, and its connection
-// ends.
+// Every start-up, valid or not, gets exactly one response before the connection is closed.
 func TestStartUp(t *testing.T) {
 	v3 := uint32(pgproto3.ProtocolVersion30)
 	for name, c := range map[string]struct {
 		stream []byte
 		want   *refuser.Reason
-		// declined is how many requests for encryption get the answer no.
+		// declined is the number of encryption requests that are declined.
 		declined int
 	}{
-		"protocol 3.0":        {startUp(v3, user()), known, 0},
-		"protocol 3.2":        {startUp(pgproto3.ProtocolVersion32, user()), known, 0},
-		"protocol 2.0":        {code(2 << 16), refuser.BadStartUp, 0},
-		"protocol 4.0":        {code(4 << 16), refuser.BadStartUp, 0},
-		"no user":             {startUp(v3, map[string]string{"database": "lockers"}), refuser.BadStartUp, 0},
-		"replication":         {startUp(v3, user("replication", "database")), refuser.NoReplication, 0},
-		"no replication":      {startUp(v3, user("replication", "off")), known, 0},
-		"protocol extension":  {startUp(v3, user("_pq_.something", "on")), known, 0},
-		"options":             {startUp(v3, user("options", "-c oriole.kind=drop-status")), known, 0},
-		"options of a server": {startUp(v3, user("options", "-F")), refuser.BadStartUp, 0},
-		"HTTP":                {[]byte("GET / HTTP/1.1\r\n\r\n"), refuser.BadStartUp, 0},
-		"too long":            {[]byte{0, 1, 0, 0, 0, 3, 0, 0}, refuser.BadStartUp, 0},
-		"TLS, which is off":   {append(encode(&pgproto3.SSLRequest{}), startUp(v3, user())...), known, 1},
-		"GSSAPI":              {append(encode(&pgproto3.GSSEncRequest{}), startUp(v3, user())...), known, 1},
-		"asked for TLS again": {bytes.Repeat(encode(&pgproto3.SSLRequest{}), 3), refuser.BadStartUp, 2},
+		"protocol 3.0":         {startUp(v3, userParameters()), accepted, 0},
+		"protocol 3.2":         {startUp(pgproto3.ProtocolVersion32, userParameters()), accepted, 0},
+		"protocol 2.0":         {requestCode(2 << 16), refuser.BadStartUp, 0},
+		"protocol 4.0":         {requestCode(4 << 16), refuser.BadStartUp, 0},
+		"no user":              {startUp(v3, map[string]string{"database": "lockers"}), refuser.BadStartUp, 0},
+		"replication":          {startUp(v3, userParameters("replication", "database")), refuser.NoReplication, 0},
+		"no replication":       {startUp(v3, userParameters("replication", "off")), accepted, 0},
+		"protocol extension":   {startUp(v3, userParameters("_pq_.something", "on")), accepted, 0},
+		"options":              {startUp(v3, userParameters("options", "-c oriole.kind=drop-status")), accepted, 0},
+		"server options":       {startUp(v3, userParameters("options", "-F")), refuser.BadStartUp, 0},
+		"HTTP":                 {[]byte("GET / HTTP/1.1\r\n\r\n"), refuser.BadStartUp, 0},
+		"too long":             {[]byte{0, 1, 0, 0, 0, 3, 0, 0}, refuser.BadStartUp, 0},
+		"TLS, disabled":        {append(encode(&pgproto3.SSLRequest{}), startUp(v3, userParameters())...), accepted, 1},
+		"GSSAPI":               {append(encode(&pgproto3.GSSEncRequest{}), startUp(v3, userParameters())...), accepted, 1},
+		"repeated TLS request": {bytes.Repeat(encode(&pgproto3.SSLRequest{}), 3), refuser.BadStartUp, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			try(t, func(*greeter.Greeter) {}, func(s *stage) {
+			runGreeter(t, func(*greeter.Greeter) {}, func(s *harness) {
 				conn := s.dial()
 				_, err := conn.Write(c.stream)
 				must.NoError(s, err)
@@ -146,13 +145,13 @@
 				_, err = io.ReadFull(conn, declined)
 				must.NoError(s, err)
 				must.Eq(s, strings.Repeat("N", c.declined), string(declined))
-				s.refused(conn, c.want)
+				s.requireRefusal(conn, c.want)
 			})
 		})
 	}
 }
 
-// The parameter "options" carries what a driver can't say otherwise.
+// The parameter "options" sets parameters that a driver does not support by itself.
 func TestOptions(t *testing.T) {
 	for options, want := range map[string]string{
 		`-c oriole.kind=drop-status`:                     "drop-status",
@@ -161,95 +160,92 @@
 		`-c oriole.kind=past\ sheets -c search_path=a\\`: "past sheets",
 	} {
 		t.Run(options, func(t *testing.T) {
-			try(t, func(*greeter.Greeter) {}, func(s *stage) {
+			runGreeter(t, func(*greeter.Greeter) {}, func(s *harness) {
 				conn := s.dial()
-				_, err := conn.Write(startUp(pgproto3.ProtocolVersion30, user("options", options)))
+				_, err := conn.Write(startUp(pgproto3.ProtocolVersion30, userParameters("options", options)))
 				must.NoError(s, err)
-				s.refused(conn, known)
-				must.Eq(s, want, s.seen["oriole.kind"])
+				s.requireRefusal(conn, accepted)
+				must.Eq(s, want, s.parameters["oriole.kind"])
 			})
 		})
 	}
 }
 
-// A caller connects and says nothing, or a byte now and then. It is told so
-// once its time is up, and its place is free again.
+// A client that sends nothing or single bytes is refused at the start-up timeout and no longer
+// counts as connected.
 func TestSlowStartUp(t *testing.T) {
-	try(t, func(g *greeter.Greeter) { g.Limits.StartUp = 2 * time.Second }, func(s *stage) {
+	runGreeter(t, func(g *greeter.Greeter) { g.Limits.StartUp = 2 * time.Second }, func(s *harness) {
 		conn := s.dial()
-		began := time.Now()
+		start := time.Now()
 		for range 3 {
 			_, err := conn.Write([]byte{0})
 			must.NoError(s, err)
 			time.Sleep(500 * time.Millisecond)
 		}
-		s.refused(conn, refuser.StartUpTimeout)
-		must.Eq(s, 2*time.Second, time.Since(began))
+		s.requireRefusal(conn, refuser.StartUpTimeout)
+		must.Eq(s, 2*time.Second, time.Since(start))
 		synctest.Wait()
 		must.Eq(s, 0, s.greeter.Callers())
 	})
 }
 
-// One caller more than the limit is told that there are too many; when one
-// leaves, the next is served.
+// A client above the limit is refused; after another disconnects, the next one is served.
 func TestTooManyCallers(t *testing.T) {
-	try(t, func(g *greeter.Greeter) { g.Limits.Callers = 1 }, func(s *stage) {
+	runGreeter(t, func(g *greeter.Greeter) { g.Limits.Callers = 1 }, func(s *harness) {
 		first, second := s.dial(), s.dial()
 		synctest.Wait()
-		_, err := second.Write(startUp(pgproto3.ProtocolVersion30, user()))
+		_, err := second.Write(startUp(pgproto3.ProtocolVersion30, userParameters()))
 		must.NoError(s, err)
-		s.refused(second, refuser.TooManyCallers)
+		s.requireRefusal(second, refuser.TooManyCallers)
 		must.NoError(s, first.Close())
 		synctest.Wait()
 		third := s.dial()
-		_, err = third.Write(startUp(pgproto3.ProtocolVersion30, user()))
+		_, err = third.Write(startUp(pgproto3.ProtocolVersion30, userParameters()))
 		must.NoError(s, err)
-		s.refused(third, known)
+		s.requireRefusal(third, accepted)
 	})
 }
 
-// Without TLS no password is asked for, and nothing else is served either.
+// With TLS required, an unencrypted start-up is refused without a password request.
 func TestEncryptionRequired(t *testing.T) {
-	try(t, func(g *greeter.Greeter) { g.Mode = loader.EncryptionRequire }, func(s *stage) {
+	runGreeter(t, func(g *greeter.Greeter) { g.Mode = loader.EncryptionRequire }, func(s *harness) {
 		conn := s.dial()
-		_, err := conn.Write(startUp(pgproto3.ProtocolVersion30, user()))
+		_, err := conn.Write(startUp(pgproto3.ProtocolVersion30, userParameters()))
 		must.NoError(s, err)
-		s.refused(conn, refuser.EncryptionRequired)
+		s.requireRefusal(conn, refuser.EncryptionRequired)
 	})
 }
 
-// After StopAccepting new callers are refused as by a process that is gone; the
-// one that is there is still served.
+// After StopAccepting new connections fail, while a connected client is still served.
 func TestStopAccepting(t *testing.T) {
-	try(t, func(*greeter.Greeter) {}, func(s *stage) {
+	runGreeter(t, func(*greeter.Greeter) {}, func(s *harness) {
 		conn := s.dial()
 		synctest.Wait()
 		s.greeter.StopAccepting()
-		_, err := s.caller.Dial(s.Context(), address)
+		_, err := s.client.Dial(s.Context(), address)
 		must.Error(s, err)
-		_, err = conn.Write(startUp(pgproto3.ProtocolVersion30, user()))
+		_, err = conn.Write(startUp(pgproto3.ProtocolVersion30, userParameters()))
 		must.NoError(s, err)
-		s.refused(conn, known)
+		s.requireRefusal(conn, accepted)
 	})
 }
 
-// A caller that sends anything at all gets an answer or an end, and the greeter
-// lives on.
+// Arbitrary input gets a response or a closed connection, and the greeter keeps serving others.
 func FuzzStartUp(f *testing.F) {
-	f.Add(startUp(pgproto3.ProtocolVersion30, user()))
-	f.Add(append(encode(&pgproto3.SSLRequest{}), startUp(pgproto3.ProtocolVersion30, user("options", `-c a=\`))...))
+	f.Add(startUp(pgproto3.ProtocolVersion30, userParameters()))
+	f.Add(append(encode(&pgproto3.SSLRequest{}), startUp(pgproto3.ProtocolVersion30, userParameters("options", `-c a=\`))...))
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
-	f.Add(code(80877102))
+	f.Add(requestCode(80877102))
 	f.Fuzz(func(t *testing.T, stream []byte) {
-		try(t, func(g *greeter.Greeter) { g.Limits.StartUp = time.Second }, func(s *stage) {
+		runGreeter(t, func(g *greeter.Greeter) { g.Limits.StartUp = time.Second }, func(s *harness) {
 			conn := s.dial()
 			_, err := conn.Write(stream)
 			must.NoError(s, err)
 			_, _ = io.ReadAll(conn)
 			again := s.dial()
-			_, err = again.Write(startUp(pgproto3.ProtocolVersion30, user()))
+			_, err = again.Write(startUp(pgproto3.ProtocolVersion30, userParameters()))
 			must.NoError(s, err)
-			s.refused(again, known)
+			s.requireRefusal(again, accepted)
 		})
 	})
 }
--- a/internal/greeter/start.go
+++ b/internal/greeter/start.go
@@ -17,17 +17,16 @@
 )
 
 const (
-	// protocolOption begins the names of start-up parameters that ask for
-	// extensions of the protocol.
+	// protocolOption is the prefix of start-up parameters that request protocol
+	// extensions.
 	protocolOption = "_pq_."
 
-	// maxStartMessage bounds a message of a caller that is not authenticated;
-	// passwords are shorter. maxMessage bounds any other: the session refuses
-	// what is too large, with a reason, long before that.
+	// maxStartMessage and maxMessage are the limits in bytes of messages before and after
+	// authentication. The session refuses large requests below maxMessage.
 	maxStartMessage = 4 << 10
 	maxMessage      = 64 << 20
 
-	// cancelKeyBytes is the length of the secrets that this proxy gives out.
+	// cancelKeyBytes is the length of the cancel secrets that sessions get.
 	cancelKeyBytes = 4
 
 	parameterUser        = "user"
@@ -35,20 +34,20 @@
 	parameterReplication = "replication"
 )
 
-// startUp is the startUp-up of one caller.
+// startUp carries out the start-up of one client connection.
 type startUp struct {
 	greeter *Greeter
 	conn    net.Conn
 	backend *pgproto3.Backend
-	// overLimit is set for a caller above the limit, which is only told so.
+	// overLimit is set for a client above the limit, which receives only a refusal.
 	overLimit bool
-	// encrypted and asked tell what has been negotiated.
-	encrypted bool
-	encryptionRequests     int
+	// encrypted is set once TLS is active. encryptionRequests counts declined requests.
+	encrypted          bool
+	encryptionRequests int
 }
 
-// run carries out the start-up; a nil session without error is a connection
-// that only brought a cancel request.
+// run carries out the start-up. It returns neither session nor error for a connection that
+// only carried a cancel request.
 func (s *startUp) run(ctx context.Context) (*relayer.Session, error) {
 	s.backend = newBackend(s.conn)
 	m, refusal := s.receiveStartUp(ctx)
@@ -81,8 +80,8 @@
 	return b
 }
 
-// receiveStartUp returns the start-up message, after encryption was negotiated; nil
-// for a cancel request.
+// receiveStartUp negotiates encryption and returns the start-up message, or nil for a cancel
+// request.
 func (s *startUp) receiveStartUp(ctx context.Context) (*pgproto3.StartupMessage, *refuser.Refusal) {
 	for {
 		m, err := s.backend.ReceiveStartupMessage()
@@ -101,7 +100,7 @@
 			if refusal := s.startTLS(ctx); refusal != nil {
 				return nil, refusal
 			}
-		default: // encryption by GSSAPI
+		default: // GSSAPI encryption
 			if refusal := s.declineEncryption(); refusal != nil {
 				return nil, refusal
 			}
@@ -109,21 +108,20 @@
 	}
 }
 
-// receiveRefusal tells a caller that was too slow from one that broke the protocol.
+// receiveRefusal returns the refusal for a timeout or a protocol violation.
 func receiveRefusal(err error) *refuser.Refusal {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return refuser.New(refuser.StartUpTimeout, "nothing complete arrived in time")
+		return refuser.New(refuser.StartUpTimeout, "no complete message arrived in time")
 	}
 	return refuser.New(refuser.BadStartUp, "%v", err)
 }
 
-// declineEncryption answers a request for encryption with no; the caller may go on in
-// clear. A driver asks at most once for each way, so that more is an endless
-// loop or an attack.
+// declineEncryption declines an encryption request; the client may continue unencrypted. A
+// driver requests each method at most once, so more requests are refused.
 func (s *startUp) declineEncryption() *refuser.Refusal {
-	const ways = 2
-	if s.encryptionRequests++; s.encryptionRequests > ways || s.encrypted {
-		return refuser.New(refuser.BadStartUp, "encryption was asked for again")
+	const maxRequests = 2 // TLS and GSSAPI
+	if s.encryptionRequests++; s.encryptionRequests > maxRequests || s.encrypted {
+		return refuser.New(refuser.BadStartUp, "encryption was requested again")
 	}
 	if _, err := s.conn.Write([]byte("N")); err != nil {
 		return receiveRefusal(err)
@@ -131,15 +129,14 @@
 	return nil
 }
 
-// startTLS starts TLS. The backend is replaced: whatever the old one has read
-// ahead arrived in clear, perhaps from somebody between the two ends, and must
-// not count as if it had come through TLS.
+// startTLS performs the TLS handshake. It replaces the backend, so that plaintext that was
+// already buffered, possibly injected by an attacker, is discarded.
 func (s *startUp) startTLS(ctx context.Context) *refuser.Refusal {
 	if s.greeter.TLS == nil || s.greeter.Mode == loader.EncryptionOff {
 		return s.declineEncryption()
 	}
 	if s.encrypted {
-		return refuser.New(refuser.BadStartUp, "encryption was asked for again")
+		return refuser.New(refuser.BadStartUp, "encryption was requested again")
 	}
 	if _, err := s.conn.Write([]byte("S")); err != nil {
 		return receiveRefusal(err)
@@ -152,7 +149,7 @@
 	return nil
 }
 
-// validate returns the parameters of an acceptable start-up message.
+// validate checks a start-up message and returns its parameters.
 func (s *startUp) validate(m *pgproto3.StartupMessage) (map[string]string, *refuser.Refusal) {
 	parameters := map[string]string{}
 	var unknown []string
@@ -170,9 +167,9 @@
 	case s.overLimit:
 		return nil, refuser.New(refuser.TooManyCallers, "limit %d", s.greeter.Limits.Callers)
 	case s.greeter.Mode == loader.EncryptionRequire && !s.encrypted:
-		return nil, refuser.New(refuser.EncryptionRequired, "sslmode=require or better, please")
+		return nil, refuser.New(refuser.EncryptionRequired, "use sslmode=require or stricter")
 	case parameters[parameterUser] == "":
-		return nil, refuser.New(refuser.BadStartUp, "no user named")
+		return nil, refuser.New(refuser.BadStartUp, "no user given")
 	case r != "" && r != "false" && r != "off" && r != "no" && r != "0":
 		return nil, refuser.New(refuser.NoReplication, "replication=%s", r)
 	}
@@ -183,9 +180,9 @@
 	return parameters, nil
 }
 
-// expandOptions takes the parameter "options" apart: "-c name=value" or "--name=value",
-// with spaces and backslashes escaped by a backslash. It is how callers pass
-// oriole.token and oriole.kind where the driver knows only libpq's parameters.
+// expandOptions replaces the parameter "options" by the parameters in it, given as
+// "-c name=value" or "--name=value" and escaped by backslashes. Clients use it where a driver
+// supports only libpq's parameters.
 func expandOptions(parameters map[string]string) error {
 	words := splitOptions(parameters[parameterOptions])
 	delete(parameters, parameterOptions)
@@ -193,7 +190,7 @@
 		word, ok := strings.CutPrefix(words[i], "--")
 		if !ok {
 			if word, ok = strings.CutPrefix(words[i], "-c"); !ok {
-				return errors.Errorf("options: %q is not supported, only -c name=value", words[i])
+				return errors.Errorf("options: %q is not supported, want -c name=value or --name=value", words[i])
 			}
 			if word == "" && i+1 < len(words) {
 				i++
@@ -212,32 +209,32 @@
 func splitOptions(options string) []string {
 	var words []string
 	var word strings.Builder
-	escaped, open := false, false
+	escaped, inWord := false, false
 	for _, r := range options {
 		switch {
 		case escaped:
 			word.WriteRune(r)
 			escaped = false
 		case r == '\\':
-			escaped, open = true, true
+			escaped, inWord = true, true
 		case r == ' ' || r == '\t' || r == '\n':
-			if open {
+			if inWord {
 				words = append(words, word.String())
 			}
 			word.Reset()
-			open = false
+			inWord = false
 		default:
 			word.WriteRune(r)
-			open = true
+			inWord = true
 		}
 	}
-	if open {
+	if inWord {
 		words = append(words, word.String())
 	}
 	return words
 }
 
-// refuse tells the caller why, and returns the refusal as the start-up's error.
+// refuse sends a refusal to the client and returns it as an error.
 func (s *startUp) refuse(r *refuser.Refusal) error {
 	s.greeter.count(countRefused + r.Reason.Name)
 	s.greeter.count(CountFailed)
--- a/internal/greeter/stream_test.go
+++ b/internal/greeter/stream_test.go
@@ -24,10 +24,9 @@
 
 func query(sql string) pgproto3.FrontendMessage { return &pgproto3.Query{String: sql} }
 
-// FuzzStream sends anything at all after a sound start-up. The caller gets an
-// answer or an end; the next caller, which borrows the same connections to the
-// targets, finds neither settings nor statements nor a transaction of the first,
-// and gets the answers to its own requests.
+// FuzzStream sends arbitrary input after a valid start-up. The next client, which uses the same
+// target connections, must find no settings, statements or transaction of the first, and get
+// the responses to its own requests.
 func FuzzStream(f *testing.F) {
 	sync := &pgproto3.Sync{}
 	f.Add(frontend(query("SELECT 1"), query("SET search_path = jobs"), query("BEGIN")))
@@ -50,23 +49,23 @@
 			must.NoError(t, err)
 			defer func() {
 				fleet.Close()
-				time.Sleep(20 * time.Second) // pgx ends given up connections by itself
+				time.Sleep(20 * time.Second) // pgx closes cancelled connections in the background
 			}()
 			must.NoError(t, fleet.Ready(ctx))
 			sendRaw(t, ctx, fleet, stream)
 			c, err := fleet.Connect(ctx, fleet.Instances[0], stager.DefaultService, nil)
 			must.NoError(t, err)
 			defer c.Close(ctx)
-			must.Eq(t, "", get(t, ctx, c, "SHOW search_path"))
+			must.Eq(t, "", queryValue(t, ctx, c, "SHOW search_path"))
 			_, err = c.Exec(ctx, "INSERT INTO own (key, value) VALUES ($1, $2)", "mine", "kept")
 			must.NoError(t, err)
-			must.Eq(t, "kept", get(t, ctx, c, "SELECT value FROM own WHERE key = 'mine'"))
+			must.Eq(t, "kept", queryValue(t, ctx, c, "SELECT value FROM own WHERE key = 'mine'"))
 			must.Eq(t, byte('I'), c.PgConn().TxStatus())
 		})
 	})
 }
 
-// sendRaw begins a session and sends the stream as it is.
+// sendRaw starts a session and sends the unmodified stream.
 func sendRaw(t *testing.T, ctx context.Context, fleet *stager.Fleet, stream []byte) {
 	t.Helper()
 	conn, err := fleet.Net.Host("10.0.9.1", "callers").Dial(ctx, fleet.Instances[0].IP+":5432")
@@ -75,19 +74,19 @@
 	_, err = conn.Write(startUp(pgproto3.ProtocolVersion30, map[string]string{"user": "crew", "database": stager.DefaultService}))
 	must.NoError(t, err)
 	for ready := false; !ready; {
-		var head [5]byte
-		_, err := io.ReadFull(conn, head[:])
+		var header [5]byte
+		_, err := io.ReadFull(conn, header[:])
 		must.NoError(t, err)
-		_, err = io.CopyN(io.Discard, conn, int64(binary.BigEndian.Uint32(head[1:]))-4)
+		_, err = io.CopyN(io.Discard, conn, int64(binary.BigEndian.Uint32(header[1:]))-4)
 		must.NoError(t, err)
-		ready = head[0] == 'Z'
+		ready = header[0] == 'Z'
 	}
 	_, _ = conn.Write(stream)
 	_ = conn.SetReadDeadline(time.Now().Add(2 * time.Second))
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-func get(t *testing.T, ctx context.Context, c *pgx.Conn, sql string) string {
+func queryValue(t *testing.T, ctx context.Context, c *pgx.Conn, sql string) string {
 	t.Helper()
 	var v string
 	must.NoError(t, c.QueryRow(ctx, sql).Scan(&v))
