--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,9 +1,8 @@
-// Package controller runs the control state of an instance: one goroutine, one
-// queue of events, and the slices that decide. A slice has no clock, no network
-// and no goroutine of its own: it is given the time and an event, and returns
-// actions. Performers carry the actions out, each in a goroutine, and answer
-// with further events. The same slices therefore run in a process, under a
-// virtual clock, and many times over in one test.
+// Package controller runs the control loop of an instance: one goroutine passes events from a
+// queue to slices, which decide. A slice is a deterministic state machine without clock,
+// network or goroutines: it gets the time and an event and returns actions. Performers
+// execute the actions concurrently and return further events. Tests can therefore run the same
+// slices on virtual time.
 package controller
 
 import (
@@ -12,37 +11,36 @@
 )
 
 type (
-	// Event is something that happened. Its name stands in logs and metrics.
+	// Event is an input of the slices. Its name appears in logs and metrics.
 	Event interface{ EventName() string }
 
-	// Action is something that a slice wants done.
+	// Action is an operation that a slice requests.
 	Action interface{ ActionName() string }
 
-	// Slice is the state and the decisions of one duty.
+	// Slice is the state machine of one control task.
 	Slice interface {
 		Step(now time.Time, e Event) []Action
 	}
 
-	// Performer carries out the actions it knows. It returns nil for no event,
-	// and ok false for an action that is not its own.
+	// Performer executes the actions that it supports. It returns a nil event if there is
+	// none, and ok false for an unsupported action.
 	Performer interface {
 		Perform(ctx context.Context, a Action) (e Event, ok bool)
 	}
 
-	// Emit hands an event to all slices, in the same turn.
+	// Emit passes an event to all slices before the next queued event.
 	Emit struct{ Event Event }
 
-	// Tick is the passing of time; it comes every Interval.
+	// Tick is the event sent every Interval.
 	Tick struct{}
 
-	// Controller owns the slices. Set the exported fields, then call Run.
+	// Controller runs the slices. Set the exported fields, then call Open and Run.
 	Controller struct {
 		Slices     []Slice
 		Performers []Performer
 		// Interval is the time between ticks; 0 means DefaultInterval.
 		Interval time.Duration
-		// Unknown is told about an action that no performer took: a broken
-		// invariant of the program.
+		// Unknown is called with an action that no performer supports, which is a bug.
 		Unknown func(Action)
 
 		events chan Event
@@ -50,8 +48,8 @@
 )
 
 const (
-	// DefaultInterval is the time between ticks. Decisions that wait for time
-	// to pass are late by at most this much.
+	// DefaultInterval is the default time between ticks, which bounds the delay of
+	// time-based decisions.
 	DefaultInterval = 50 * time.Millisecond
 
 	queueLength = 1024
@@ -63,10 +61,10 @@
 // EventName implements Event.
 func (Tick) EventName() string { return "tick" }
 
-// Open makes the queue, so that events can be posted before Run.
+// Open creates the event queue, so that events can be posted before Run.
 func (c *Controller) Open() { c.events = make(chan Event, queueLength) }
 
-// Post queues an event; it gives up when the context ends.
+// Post queues an event, unless the context ends first.
 func (c *Controller) Post(ctx context.Context, e Event) {
 	select {
 	case c.events <- e:
@@ -74,7 +72,7 @@
 	}
 }
 
-// Run decides until the context ends, and then waits for the performers.
+// Run processes events until the context ends, then waits for the running performers.
 func (c *Controller) Run(ctx context.Context) error {
 	interval := c.Interval
 	if interval == 0 {
@@ -82,7 +80,7 @@
 	}
 	t := time.NewTicker(interval)
 	defer t.Stop()
-	ended := make(chan struct{}, queueLength)
+	done := make(chan struct{}, queueLength)
 	running := 0
 	for {
 		var e Event
@@ -90,12 +88,12 @@
 		case e = <-c.events:
 		case <-t.C:
 			e = Tick{}
-		case <-ended:
+		case <-done:
 			running--
 			continue
 		case <-ctx.Done():
 			for ; running > 0; running-- {
-				<-ended
+				<-done
 			}
 			return ctx.Err()
 		}
@@ -103,21 +101,21 @@
 			running++
 			go func() {
 				c.perform(ctx, a)
-				ended <- struct{}{}
+				done <- struct{}{}
 			}()
 		}
 	}
 }
 
-// Turn gives one event to all slices, and the events that they emit, and returns
-// the actions that are left to perform.
+// Turn passes an event, and the events emitted in response, to all slices. It returns the
+// other actions.
 func Turn(slices []Slice, now time.Time, e Event) []Action {
 	var out []Action
 	for queue := []Event{e}; len(queue) > 0; queue = queue[1:] {
 		for _, s := range slices {
 			for _, a := range s.Step(now, queue[0]) {
-				if m, ok := a.(Emit); ok {
-					queue = append(queue, m.Event)
+				if emit, ok := a.(Emit); ok {
+					queue = append(queue, emit.Event)
 					continue
 				}
 				out = append(out, a)
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -206,18 +206,18 @@
 // update emits an event for each change: whether the target is leaving, and whether a
 // source other than a peer signals it.
 func (t *target) update(p targetKey, source string) []controller.Action {
-	leaving, own := len(t.signals) > 0, false
+	leaving, firstHand := len(t.signals) > 0, false
 	for o := range t.signals {
-		own = own || o.source != SourcePeer
+		firstHand = firstHand || o.source != SourcePeer
 	}
 	var out []controller.Action
 	if leaving != t.leaving {
 		t.leaving = leaving
 		out = append(out, controller.Emit{Event: TargetLeaving{Service: p.service, Member: p.member, Leaving: leaving, Source: source}})
 	}
-	if own != t.firstHand {
-		t.firstHand = own
-		out = append(out, controller.Emit{Event: Own{Service: p.service, Member: p.member, Leaving: own}})
+	if firstHand != t.firstHand {
+		t.firstHand = firstHand
+		out = append(out, controller.Emit{Event: Own{Service: p.service, Member: p.member, Leaving: firstHand}})
 	}
 	return out
 }
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -1,5 +1,5 @@
-// Package observer decides which targets this instance asks for their state, and
-// when, and passes on what they answer.
+// Package observer schedules the status polls of targets and emits their results. Instances
+// divide the polling among themselves and share the results (package gossiper).
 package observer
 
 import (
@@ -15,111 +15,99 @@
 )
 
 const (
-	// pollInterval is how often a target is asked. Half of it is the mean age of
-	// what is known of a replica, which every read with a stated age pays.
+	// pollInterval is how often a target is polled. The mean age of a replica's known state
+	// is half of it.
 	pollInterval = 100 * time.Millisecond
-	// idlePollInterval is how often a target that nobody here uses is asked, when
-	// questions are scarce.
+	// idlePollInterval is how often targets of idle groups are polled once polls are limited.
 	idlePollInterval = time.Second
-	// maxPollsPerSecond bounds the questions of this instance per second. Without it
-	// the cost of control grows with the groups that an instance happens to
-	// observe: 1,800 instances before 2,300 groups would spend the 2.1% of a
-	// core on questions alone (docs/CAPACITY.md). 9 instances before 3 groups
-	// of 3 members ask 90.
+	// maxPollsPerSecond limits the polls of this instance, whose cost would otherwise grow
+	// with the number of groups (docs/CAPACITY.md).
 	maxPollsPerSecond = 100
-	// idlePollsPerSecond and fallbackShare are the most of maxQuestions that go to groups
-	// that nobody here uses, and to those that this instance asks although it
-	// is no observer. Without the second, an instance that is cut off from the
-	// observers of many groups would ask for all, and starve those that others
-	// rely on it to observe.
+	// idlePollsPerSecond and fallbackPollsPerSecond limit the polls of idle groups and of
+	// groups polled as a fallback. The latter keeps an instance cut off from many
+	// observers from neglecting the groups that others rely on it to poll.
 	idlePollsPerSecond     = 25
 	fallbackPollsPerSecond = 15
 
-	// Shards is how many shards services fall into. A shard, not a service, has
-	// observers, so that an instance asks few peers for many groups: at 575
-	// groups in use, 64 peers and not 575.
+	// Shards is the number of shards of services. Observers are assigned to shards, not to
+	// services, so that an instance fetches reports from few peers.
 	Shards = 64
-	// Observers is how many instances of a zone observe a shard. Three, so that
-	// two may die or pause at once before any instance has to fall back.
+	// Observers is the number of instances per zone that poll a shard. Two may fail at once
+	// before others fall back to polling.
 	Observers = 3
 
-	// reportTimeout is how long an instance that relies on observers goes without
-	// news before it asks for itself: several reports' worth at the usual pace,
-	// and well below what a caller notices as stale. Where the budget of bytes
-	// makes reports rarer, it is gapsMissed of the usual gap.
+	// reportTimeout is how long a group may go without reports from observers before this
+	// instance polls it. Where reports are rarer, the timeout is maxMissedReports
+	// times their usual interval.
 	reportTimeout    = 1500 * time.Millisecond
 	maxMissedReports = 3
-	// fallbackDuration is how long it then goes on asking, so that a group does not
-	// swing between the two ways while lists disagree.
+	// fallbackDuration is how long fallback polling lasts, so that it does not flap while
+	// instance lists disagree.
 	fallbackDuration = 10 * time.Second
 	// inUseWindow is how long a service counts as in use after its last use.
 	inUseWindow = time.Minute
 )
 
 type (
-	// Slice decides which questions are asked. It answers the load of many
-	// instances before many groups: of each shard of services, Observers
-	// instances in each availability zone ask, chosen by rendezvous hashing
-	// over the instance list; the others hear of it (package gossiper). When
-	// nothing is heard for silence, an instance asks for itself, whatever the
-	// reason: lists that disagree, observers that died or paused, a zone that
-	// is cut. Set the exported fields before use.
+	// Slice decides which targets to poll. In each zone Observers instances, chosen by
+	// rendezvous hashing over the instance list, poll each shard of services and report to
+	// the others. An instance that receives no reports about a group in use polls it
+	// itself. Set the exported fields before use.
 	Slice struct {
 		Instance string
 		Zone     string
 
 		instances []lister.Instance
-		groups  map[string]*group
-		// ordered has the groups as the document has them, active those of them
-		// that this instance observes or uses: a part, where groups are many.
+		groups    map[string]*group
+		// ordered holds the groups in the order of the document, active those that this
+		// instance observes or uses.
 		ordered, active []*group
 	}
 
 	group struct {
 		service *configurer.Service
 		polls   map[string]*poll
-		// observed says that this instance is one of the shard's observers.
+		// observed is set when this instance is an observer of the shard.
 		observed bool
-		// lastReport is when an observation of another instance last came, or when
-		// waiting for the first began.
+		// lastReport is when the last report of another instance arrived, or when the group
+		// was configured.
 		lastReport time.Time
-		// reportGap is how far apart observations of others usually come.
-		reportGap  time.Duration
-		lastUsed time.Time
-		// fallbackUntil is until when this instance asks although it is no observer.
+		// reportGap is the moving average of the time between reports.
+		reportGap time.Duration
+		lastUsed  time.Time
+		// fallbackUntil is the end of fallback polling.
 		fallbackUntil time.Time
 	}
 
 	poll struct {
 		inFlight bool
-		nextAt time.Time
+		nextAt   time.Time
 	}
 
-	// Ask asks a target for its state.
+	// Ask requests the status of a target.
 	Ask struct {
 		Service string
 		Member  configurer.Member
-		// Wanted is set when a caller waits for the answer.
+		// Wanted is set when a client waits for the result.
 		Wanted bool
 	}
 
-	// Observed is what a target answered, or that it did not.
+	// Observed is the result of polling a target.
 	Observed struct {
 		Service string
 		Member  string
-		// Started is when the question was sent: what is observed is no older.
-		// For what another instance observed it is the time when this one asked
-		// for its report, less the age that the report gives.
+		// Started is when the poll was sent, so the status is at least as recent. For a
+		// report of another instance it is the time of the request minus the reported
+		// age.
 		Started time.Time
 		Status  commander.Status
 		Err     error
-		// From is the instance that observed it; empty for this one. What
-		// others observed is as good for positions and watermarks. It is no
-		// sign that this instance reaches the target, and it has no Followers.
+		// From is the reporting instance, empty for this one. Reports of others do not show
+		// that this instance can reach the target, and have no Followers.
 		From string
 	}
 
-	// Used says which services callers of this instance use.
+	// Used lists the services in use by clients of this instance.
 	Used struct{ Services []string }
 
 	// Asker performs Ask.
@@ -144,7 +132,7 @@
 	return h.Sum32() % Shards
 }
 
-// Of returns the observers of a shard in a zone, by this view of the instances.
+// Of returns the observers of a shard in a zone, given the instance list.
 func Of(shard uint32, zone string, instances []lister.Instance) []lister.Instance {
 	return lister.Top("observe/"+strconv.Itoa(int(shard)), zone, Observers, instances)
 }
@@ -172,8 +160,8 @@
 	return nil
 }
 
-// applyDocument keeps the open questions of what stays: asking all anew at each of 2,500
-// changes a day would double the questions in flight to a slow target.
+// applyDocument applies a new document. It keeps polls in flight, so that frequent changes do not
+// multiply the load on a slow target.
 func (s *Slice) applyDocument(now time.Time, d *configurer.Document) {
 	old := s.groups
 	s.ordered, s.groups = nil, map[string]*group{}
@@ -194,20 +182,20 @@
 	s.assignShards(now)
 }
 
-// assignShards works out which shards this instance observes. Without a list, it
-// observes all: too many questions for a while, never too few.
+// assignShards determines which shards this instance observes: all of them until there is an
+// instance list.
 func (s *Slice) assignShards(now time.Time) {
-	var mine [Shards]bool
-	for i := range mine {
-		mine[i] = s.instances == nil || lister.Holds(Of(uint32(i), s.Zone, s.instances), s.Instance)
+	var assigned [Shards]bool
+	for i := range assigned {
+		assigned[i] = s.instances == nil || lister.Holds(Of(uint32(i), s.Zone, s.instances), s.Instance)
 	}
 	for n, g := range s.groups {
-		g.observed = mine[Shard(n)]
+		g.observed = assigned[Shard(n)]
 	}
 	s.selectActive(now)
 }
 
-// selectActive picks the groups that may have to be asked.
+// selectActive updates the groups that may have to be polled.
 func (s *Slice) selectActive(now time.Time) {
 	s.active = s.active[:0]
 	for _, g := range s.ordered {
@@ -231,17 +219,17 @@
 	}
 }
 
-// recordReport notes news from another instance. The gap follows slowly, so that one
-// late report does not pass for the usual.
+// recordReport records a report from another instance. The average changes slowly, so that one
+// late report has little effect.
 func (g *group) recordReport(now time.Time) {
 	const weight = 8
-	if d := now.Sub(g.lastReport); d > controller.DefaultInterval { // members of one report come together
+	if d := now.Sub(g.lastReport); d > controller.DefaultInterval { // not another member of the same report
 		g.reportGap += (d - g.reportGap) / weight
 	}
 	g.lastReport = now
 }
 
-// shouldPoll tells whether this instance shouldPoll the group's members itself.
+// shouldPoll reports whether this instance polls the group's members.
 func (g *group) shouldPoll(now time.Time) bool {
 	if g.observed {
 		return true
@@ -255,9 +243,11 @@
 	return now.Before(g.fallbackUntil)
 }
 
-func (g *group) inUse(now time.Time) bool { return !g.lastUsed.IsZero() && now.Sub(g.lastUsed) < inUseWindow }
+func (g *group) inUse(now time.Time) bool {
+	return !g.lastUsed.IsZero() && now.Sub(g.lastUsed) < inUseWindow
+}
 
-// pollClass is why a group is asked; each pollClass has its share of the questions.
+// pollClass is the reason for polling a group. Each class has its share of the polls.
 type pollClass int
 
 const (
@@ -268,7 +258,7 @@
 	classCount
 )
 
-func (g *group) class(now time.Time) pollClass {
+func (g *group) pollClass(now time.Time) pollClass {
 	switch {
 	case !g.shouldPoll(now):
 		return classNone
@@ -281,20 +271,20 @@
 }
 
 func (s *Slice) duePolls(now time.Time) []controller.Action {
-	var count [classCount]int
-	of := make([]pollClass, len(s.active))
+	var members [classCount]int
+	classOf := make([]pollClass, len(s.active))
 	for i, g := range s.active {
-		of[i] = g.class(now)
-		count[of[i]] += len(g.service.Members)
+		classOf[i] = g.pollClass(now)
+		members[classOf[i]] += len(g.service.Members)
 	}
-	pauses := pollIntervals(count)
+	intervals := pollIntervals(members)
 	var out []controller.Action
 	for i, g := range s.active {
-		if of[i] == classNone {
+		if classOf[i] == classNone {
 			continue
 		}
 		for _, m := range g.service.Members {
-			if a, ok := g.startPoll(now, pauses[of[i]], g.service.Name, m); ok {
+			if a, ok := g.startPoll(now, intervals[classOf[i]], g.service.Name, m); ok {
 				out = append(out, a)
 			}
 		}
@@ -302,7 +292,7 @@
 	return out
 }
 
-func (g *group) startPoll(now time.Time, pause time.Duration, service string, m configurer.Member) (Ask, bool) {
+func (g *group) startPoll(now time.Time, interval time.Duration, service string, m configurer.Member) (Ask, bool) {
 	q := g.polls[m.Name]
 	if q == nil {
 		q = &poll{}
@@ -311,32 +301,31 @@
 	if q.inFlight || now.Before(q.nextAt) {
 		return Ask{}, false
 	}
-	q.inFlight, q.nextAt = true, now.Add(pause)
+	q.inFlight, q.nextAt = true, now.Add(interval)
 	return Ask{Service: service, Member: m}, true
 }
 
-// pollIntervals spreads maxQuestions over the members that are asked. While they
-// suffice, every member is asked each interval, used or not: a group that is
-// idle now is the one that a guest stands before at night. Past that, what no
-// class needs of its share goes to the groups that are observed and in use.
-func pollIntervals(count [classCount]int) (out [classCount]time.Duration) {
+// pollIntervals returns the poll interval of each class. If maxPollsPerSecond suffices, all
+// members are polled at pollInterval. Otherwise the idle and fallback classes are limited, and
+// observed groups in use get the remaining polls.
+func pollIntervals(members [classCount]int) (intervals [classCount]time.Duration) {
 	total := 0
 	for c := classUsed; c < classCount; c++ {
-		total += count[c]
-		out[c] = pollInterval
+		total += members[c]
+		intervals[c] = pollInterval
 	}
 	if time.Duration(total)*time.Second <= maxPollsPerSecond*pollInterval {
-		return out
+		return intervals
 	}
-	perSecond := func(c pollClass, share int, shortest time.Duration) int {
-		out[c] = max(shortest, time.Duration(count[c])*time.Second/time.Duration(share))
-		return int(time.Duration(count[c]) * time.Second / out[c])
+	limit := func(c pollClass, pollsPerSecond int, minInterval time.Duration) int {
+		intervals[c] = max(minInterval, time.Duration(members[c])*time.Second/time.Duration(pollsPerSecond))
+		return int(time.Duration(members[c]) * time.Second / intervals[c])
 	}
-	left := maxPollsPerSecond
-	left -= perSecond(classIdle, idlePollsPerSecond, idlePollInterval)
-	left -= perSecond(classFallback, fallbackPollsPerSecond, pollInterval)
-	perSecond(classUsed, left, pollInterval)
-	return out
+	remaining := maxPollsPerSecond
+	remaining -= limit(classIdle, idlePollsPerSecond, idlePollInterval)
+	remaining -= limit(classFallback, fallbackPollsPerSecond, pollInterval)
+	limit(classUsed, remaining, pollInterval)
+	return intervals
 }
 
 // Perform implements controller.Performer.
--- a/internal/prober/judge.go
+++ b/internal/prober/judge.go
@@ -1,57 +1,56 @@
-// Package prober finds connections that have gone silent for good while new
-// ones to the same target work: something between the two ends has lost track
-// of them. The kernel notices that after many minutes; until then a caller
-// waits, and a connection of the group's small budget is lost.
+// Package prober detects dead target connections, as left by a network device that lost
+// their state, much sooner than TCP timeouts do. Until then a client waits and the
+// connection is unavailable to the pool.
 package prober
 
 import "time"
 
 type (
-	// State is what the target says, over a fresh connection, of the old one's
-	// session.
+	// State is the state of a connection's session, as the target reports it over a
+	// new connection.
 	State int
 
-	// Look is what is known of an exchange whose answer has not come.
+	// Look is the status of a request whose response is outstanding.
 	Look struct {
-		// Silent is how long no byte has come.
+		// Silent is the time since the last byte was received.
 		Silent time.Duration
-		// Replaced: the target obeys a newer term than that of the connection,
+		// Replaced is set when the target accepted a newer term than the connection's,
 		// or a newer term has a primary.
 		Replaced bool
-		// Failing: the target does not answer the observer's questions.
+		// Failing is set when the target does not respond to status requests.
 		Failing bool
-		// Repeatable: the request can be tried on another target.
+		// Repeatable is set when the request can be retried on another target.
 		Repeatable bool
-		// State is the newest answer to a probe; Idle counts how many in a row
-		// said that the session has nothing to do.
+		// State is the latest probe result; Idle counts the consecutive results that
+		// found the session idle or absent.
 		State State
 		Idle  int
-		// Unanswered is how long probes have had no answer either.
+		// Unanswered is how long probes have failed.
 		Unanswered time.Duration
-		// Hold is how long a request may wait for a primary.
+		// Hold is the longest time that a request may wait for a primary.
 		Hold time.Duration
-		// NextProbe is the silence at which the next probe is due.
+		// NextProbe is the value of Silent at which the next probe is due.
 		NextProbe time.Duration
 	}
 
-	// Advice is what to do about it.
+	// Advice is the decision about an outstanding request.
 	Advice int
 )
 
-// The answers to a probe.
+// The results of a probe.
 const (
-	// Unknown: the target has not been asked, or did not answer.
+	// Unknown means that the target was not probed or did not respond.
 	Unknown State = iota
-	// Running: the session works on a statement.
+	// Running means that the session runs a statement.
 	Running
-	// Idle: the session has nothing to do, so it has answered, or never got the
-	// request.
+	// Idle means that the session waits for a statement: it has responded already, or
+	// never received the request.
 	Idle
-	// Absent: the target knows no such session.
+	// Absent means that the target has no such session.
 	Absent
 )
 
-// The advices.
+// The decisions.
 const (
 	Wait Advice = iota
 	Probe
@@ -59,33 +58,31 @@
 )
 
 const (
-	// Interval is how often a silent exchange is looked at. A look reads memory
-	// only, so it bounds how late a change of primary is noticed, at no cost.
+	// Interval is how often an outstanding request is checked. It bounds the delay
+	// after which a change of primary is noticed.
 	Interval = 200 * time.Millisecond
-	// FirstProbe is the silence after which the target is asked. Statements of
-	// the two users take milliseconds; one second keeps probes rare and finds a
-	// silent connection before a person gives up.
+	// FirstProbe is how long a connection must be silent before its first probe. It
+	// exceeds the duration of usual statements, so that probes are rare.
 	FirstProbe = time.Second
-	// maxProbeInterval bounds the pause between two probes of a long statement.
+	// maxProbeInterval bounds the time between probes of a long statement.
 	maxProbeInterval = 10 * time.Second
-	// minIdleReplies is how many answers in a row must say that the session has
-	// nothing to do: after one, the answer may still be on its way.
+	// minIdleReplies is how many consecutive probes must find the session idle, since a
+	// response may still be in flight after the first.
 	minIdleReplies = 2
 )
 
-// Judge decides about an exchange that is silent.
+// Judge decides whether to keep waiting for a response, probe the target, or give up.
 func Judge(l Look) Advice {
 	switch {
 	case l.Replaced:
-		// A majority obeys the newer term: the answer could not be used.
+		// A majority accepted the newer term, so a response could not be used.
 		return GiveUp
 	case l.Failing && l.Repeatable:
 		return GiveUp
 	case l.Idle >= minIdleReplies:
 		return GiveUp
 	case l.Unanswered > 0 && l.Unanswered >= l.Hold:
-		// Neither the target nor a new primary has come for as long as any
-		// request may wait.
+		// The target did not respond and no new primary appeared within the hold time.
 		return GiveUp
 	case l.Silent >= l.NextProbe:
 		return Probe
@@ -93,8 +90,8 @@
 	return Wait
 }
 
-// Next returns the silence at which the following probe is due. While sessions
-// run, probes become rarer; a session that seems idle is asked again at once.
+// Next returns the value of Silent at which the next probe is due. The interval grows while
+// the session runs a statement; an idle or absent session is probed again soon.
 func Next(silent time.Duration, s State) time.Duration {
 	switch s {
 	case Idle, Absent:
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -9,19 +9,17 @@
 	"github.com/oriolegw/oriolegw/internal/networker"
 )
 
-// probeTimeout bounds a probe, a new connection included.
+// probeTimeout bounds a probe, connecting included.
 const probeTimeout = time.Second
 
-// Prober asks targets over fresh connections. Set the exported fields, then call
-// Ask.
+// Prober queries targets over new connections. Set the exported fields, then call Ask.
 type Prober struct {
 	Network     networker.Network
 	Application string
 }
 
-// Ask asks the target about a session, over a connection opened for it that never
-// becomes a session: silent connections come in numbers, and when all of the
-// instance's share is silent there is no place left for one more.
+// Ask returns the state of a session on a target. It uses a connection that never becomes a
+// session, so it works when all connections of this instance's share are dead.
 func (p *Prober) Ask(ctx context.Context, address string, pid uint32) (State, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -1,5 +1,5 @@
-// Package publisher puts a configuration document into force for operators: a
-// check, then one compare-and-swap against the version that the operator saw.
+// Package publisher publishes configuration documents for operators: it validates a
+// document, then replaces the version that the operator saw by a compare-and-swap.
 package publisher
 
 import (
@@ -18,45 +18,45 @@
 	// Publisher publishes documents. Set the exported fields before use.
 	Publisher struct {
 		Store storer.Store
-		// Pause spaces the reads after a lost answer; 0 means DefaultPause.
+		// Pause is the time between reads after a lost response; 0 means DefaultPause.
 		Pause time.Duration
 	}
 
-	// Published is a document that is in the store. Version 0 is none.
+	// Published is the document in the store; Version is 0 if there is none.
 	Published struct {
 		Version  int64
 		Text     []byte
 		Document *configurer.Document
 	}
 
-	// Outcome is how a try to publish ended.
+	// Outcome is the outcome of an attempt to publish.
 	Outcome string
 
-	// Result is how a try to publish ended, and what the store holds now.
+	// Result is the outcome of an attempt to publish, and the document now in the store.
 	Result struct {
 		Outcome Outcome
 		Now     Published
-		// Changes are what another operator changed since the version seen,
-		// when the outcome is Raced.
+		// Changes lists another operator's changes since the version seen, if the
+		// outcome is Raced.
 		Changes []configurer.Change
 	}
 )
 
 // The outcomes.
 const (
-	// Accepted: the document is in the store under Now.Version.
+	// Accepted means that the document is in the store as Now.Version.
 	Accepted Outcome = "accepted"
-	// Raced: another operator published first; nothing was changed.
+	// Raced means that another operator published first and nothing was changed.
 	Raced Outcome = "raced"
-	// Unknown: the store gave no answer and could not be read afterwards. The
-	// document may be in force, now or a little later.
+	// Unknown means that the store did not respond and could not be read afterwards.
+	// The document may take effect, now or later.
 	Unknown Outcome = "unknown"
 )
 
-// DefaultPause spaces the reads after a lost answer.
+// DefaultPause is the default time between reads after a lost response.
 const DefaultPause = 200 * time.Millisecond
 
-// Current reads what is published.
+// Current reads the published document.
 func (p *Publisher) Current(ctx context.Context) (Published, error) {
 	pair, err := p.Store.Get(ctx, configurer.Key)
 	if err != nil {
@@ -71,29 +71,28 @@
 	}
 	d, err := configurer.Decode(pair.Value)
 	if err != nil {
-		return Published{}, errors.Wrap(err, "the published document")
+		return Published{}, errors.Wrap(err, "decode the published document")
 	}
 	return Published{Version: pair.Revision, Text: pair.Value, Document: d}, nil
 }
 
-// Publish checks a document, also whether it may follow the one seen, and swaps
-// it in if the version is still the one seen; Version 0 means that none was
-// published. Of seen, the version is enough: the document is then read. Problems
-// and configurer.ErrUnsafeChange come as an error, and nothing is changed.
+// Publish validates a document and its change from the one seen, and replaces that one if it
+// is still current. Only the Version of seen is required; 0 means that there was none. An
+// invalid document or configurer.ErrUnsafeChange is returned as an error.
 func (p *Publisher) Publish(ctx context.Context, seen Published, file string, text []byte) (Result, error) {
 	next, problems := configurer.Check(file, text)
 	if len(problems) > 0 {
 		return Result{}, problems
 	}
 	if seen.Version != 0 && seen.Document == nil {
-		now, err := p.Current(ctx)
+		current, err := p.Current(ctx)
 		if err != nil {
 			return Result{}, err
 		}
-		if now.Version != seen.Version {
-			return conflict(seen, now), nil
+		if current.Version != seen.Version {
+			return conflict(seen, current), nil
 		}
-		seen = now
+		seen = current
 	}
 	if seen.Document != nil {
 		if err := configurer.CheckChange(seen.Document, next); err != nil {
@@ -123,11 +122,9 @@
 	return Result{Outcome: Raced, Now: now, Changes: configurer.Diff(seen.Document, now.Document)}
 }
 
-// readBack finds out what became of a swap whose answer was lost. A blind
-// second swap would find the version raised by the first and report a race that
-// the operator lost to nobody but themselves; a read tells. While the old
-// version still stands the first swap may be on its way, and the same swap can
-// be sent again: the version that it compares lets only one of the two through.
+// readBack determines the outcome of a swap whose response was lost, so that the operator's own
+// change is not reported as another's. While the old version is current it repeats the swap,
+// which can succeed only once.
 func (p *Publisher) readBack(ctx context.Context, seen Published, want storer.Pair, cause error) (Result, error) {
 	pause := p.Pause
 	if pause == 0 {
@@ -137,7 +134,7 @@
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
-			return Result{Outcome: Unknown}, errors.Wrap(cause, "no answer, and no read after it")
+			return Result{Outcome: Unknown}, errors.Wrap(cause, "no response from the store, and reading it failed")
 		}
 		pair, err := p.Store.Get(ctx, configurer.Key)
 		if err != nil {
@@ -159,23 +156,23 @@
 	}
 }
 
-// MarkLeaving returns the text of a document with a member marked as leaving or
-// not; comments stay.
+// MarkLeaving returns the text of a document with a member's leaving mark set or cleared.
+// Comments are preserved.
 func MarkLeaving(p Published, service, member string, leaving bool) ([]byte, error) {
 	if p.Document == nil {
 		return nil, errors.New("no document is published")
 	}
-	at, err := memberPath(p.Document, service, member)
+	path, err := memberPath(p.Document, service, member)
 	if err != nil {
 		return nil, err
 	}
 	v, err := hujson.Parse(bytes.Clone(p.Text))
 	if err != nil {
-		return nil, errors.Wrap(err, "the published document")
+		return nil, errors.Wrap(err, "decode the published document")
 	}
-	patch := fmt.Sprintf(`[{"op": "add", "path": %q, "value": %t}]`, at+"/leaving", leaving)
+	patch := fmt.Sprintf(`[{"op": "add", "path": %q, "value": %t}]`, path+"/leaving", leaving)
 	if err := v.Patch([]byte(patch)); err != nil {
-		return nil, errors.Wrap(err, "mark member")
+		return nil, errors.Wrap(err, "patch member")
 	}
 	return v.Pack(), nil
 }
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -14,40 +14,40 @@
 )
 
 const (
-	first = `{"services": [{
+	firstDocument = `{"services": [{
   "name": "lockers", "connections": 20, "slots": 3, // three are plenty
   "members": [
     {"name": "m1", "address": "10.0.0.1:5432", "availability-zone": "hobart"},
     {"name": "m2", "address": "10.0.0.2:5432", "availability-zone": "burnie"},
   ],
 }]}`
-	patience = 10 * time.Second
+	testTimeout = 10 * time.Second
 )
 
-func edit(old, new string) []byte { return []byte(strings.Replace(first, old, new, 1)) }
+func edit(old, new string) []byte { return []byte(strings.Replace(firstDocument, old, new, 1)) }
 
-type stage struct {
+type harness struct {
 	*testing.T
 	ctx   context.Context
 	store *storer.Memory
 	p     *publisher.Publisher
 }
 
-// try runs a test on virtual time with the first document published.
-func try(t *testing.T, run func(*stage, publisher.Published)) {
+// runPublished runs a test on virtual time with firstDocument published.
+func runPublished(t *testing.T, run func(*harness, publisher.Published)) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		store := storer.NewMemory()
-		s := &stage{T: t, ctx: ctx, store: store, p: &publisher.Publisher{Store: store}}
-		s.publish(publisher.Published{}, []byte(first), publisher.Accepted)
+		s := &harness{T: t, ctx: ctx, store: store, p: &publisher.Publisher{Store: store}}
+		s.publish(publisher.Published{}, []byte(firstDocument), publisher.Accepted)
 		seen, err := s.p.Current(ctx)
 		must.NoError(t, err)
 		run(s, seen)
 	})
 }
 
-func (s *stage) publish(seen publisher.Published, text []byte, want publisher.Outcome) publisher.Result {
+func (s *harness) publish(seen publisher.Published, text []byte, want publisher.Outcome) publisher.Result {
 	s.Helper()
 	r, err := s.p.Publish(s.ctx, seen, "d.json", text)
 	must.NoError(s.T, err)
@@ -55,10 +55,10 @@
 	return r
 }
 
-// Two operators saw the same version. The first one's change is accepted; the
-// second is told what the first changed, and has changed nothing.
-func TestRace(t *testing.T) {
-	try(t, func(s *stage, seen publisher.Published) {
+// Of two operators that saw the same version, the second gets the changes of the first and
+// changes nothing.
+func TestConcurrentPublish(t *testing.T) {
+	runPublished(t, func(s *harness, seen publisher.Published) {
 		s.publish(seen, edit("20", "30"), publisher.Accepted)
 		r := s.publish(seen, edit("20", "40"), publisher.Raced)
 		must.Eq(t, []configurer.Change{{Path: "service lockers connections", Old: "20", New: "30"}}, r.Changes)
@@ -66,21 +66,19 @@
 	})
 }
 
-// The swap takes effect, and its answer is lost. A blind repeat would tell the
-// operator of a race; the read finds their own document.
-func TestAnswerLost(t *testing.T) {
-	try(t, func(s *stage, seen publisher.Published) {
+// A lost response to a successful swap is not reported as a race.
+func TestLostResponse(t *testing.T) {
+	runPublished(t, func(s *harness, seen publisher.Published) {
 		s.store.SetFaults(func(f *storer.Faults) { f.LoseAnswers = 1 })
 		r := s.publish(seen, edit("20", "30"), publisher.Accepted)
 		must.Eq(t, seen.Version+1, r.Now.Version)
-		must.Eq(t, 2, s.store.Calls()["swap"]) // the first document, and this one
+		must.Eq(t, 2, s.store.Calls()["swap"]) // firstDocument and this one
 	})
 }
 
-// The store is down when the operator publishes and comes back while the
-// program still waits: the document gets there once.
-func TestStoreComesBack(t *testing.T) {
-	try(t, func(s *stage, seen publisher.Published) {
+// A store that recovers before the timeout gets the document exactly once.
+func TestStoreRecovers(t *testing.T) {
+	runPublished(t, func(s *harness, seen publisher.Published) {
 		s.store.SetFaults(func(f *storer.Faults) { f.Down = true })
 		time.AfterFunc(time.Second, func() { s.store.SetFaults(func(f *storer.Faults) { f.Down = false }) })
 		r := s.publish(seen, edit("20", "30"), publisher.Accepted)
@@ -88,10 +86,9 @@
 	})
 }
 
-// The store stays down: the operator is told that the outcome is unknown, not
-// that it failed.
-func TestStoreStaysDown(t *testing.T) {
-	try(t, func(s *stage, seen publisher.Published) {
+// While the store stays unavailable the outcome is unknown, not failed.
+func TestStoreUnavailable(t *testing.T) {
+	runPublished(t, func(s *harness, seen publisher.Published) {
 		s.store.SetFaults(func(f *storer.Faults) { f.Down = true })
 		r, err := s.p.Publish(s.ctx, seen, "d.json", edit("20", "30"))
 		must.ErrorIs(t, err, storer.ErrUnavailable)
@@ -99,11 +96,11 @@
 	})
 }
 
-// A document that replaces the group's only two members at once would let a
-// majority of the new ones promote without a write that the old ones hold.
+// Replacing both members of a group at once is refused: a majority of the new members could
+// promote a primary without a write that only the old ones hold.
 func TestUnsafeChange(t *testing.T) {
-	try(t, func(s *stage, seen publisher.Published) {
-		text := []byte(strings.NewReplacer("10.0.0.1", "10.0.0.7", "10.0.0.2", "10.0.0.8").Replace(first))
+	runPublished(t, func(s *harness, seen publisher.Published) {
+		text := []byte(strings.NewReplacer("10.0.0.1", "10.0.0.7", "10.0.0.2", "10.0.0.8").Replace(firstDocument))
 		for _, base := range []publisher.Published{seen, {Version: seen.Version}} {
 			_, err := s.p.Publish(s.ctx, base, "d.json", text)
 			must.ErrorIs(t, err, configurer.ErrUnsafeChange)
@@ -114,8 +111,8 @@
 	})
 }
 
-func TestMistakesAreNotPublished(t *testing.T) {
-	try(t, func(s *stage, seen publisher.Published) {
+func TestInvalidDocument(t *testing.T) {
+	runPublished(t, func(s *harness, seen publisher.Published) {
 		_, err := s.p.Publish(s.ctx, seen, "d.json", edit("20", "0"))
 		must.ErrorContains(t, err, "d.json:2:37: services[0].connections: found 0")
 		now, err := s.p.Current(s.ctx)
@@ -124,9 +121,9 @@
 	})
 }
 
-// A mark changes the one member and keeps the operator's comments.
+// MarkLeaving changes only the one member and preserves comments.
 func TestMarkLeaving(t *testing.T) {
-	try(t, func(s *stage, seen publisher.Published) {
+	runPublished(t, func(s *harness, seen publisher.Published) {
 		text, err := publisher.MarkLeaving(seen, "lockers", "m2", true)
 		must.NoError(t, err)
 		must.StrContains(t, string(text), "// three are plenty")
