--- a/pkg/orderer/orderer.go
+++ b/pkg/orderer/orderer.go
@@ -1,10 +1,9 @@
-// Package orderer orders the log positions of a database group.
+// Package orderer compares log positions of a database group.
 //
-// A position is the pair (term, offset) of the last entry of a log. Positions
-// compare by term first. That order is what makes a floor taken in an older
-// term usable after a promotion: the new primary starts its term with an entry
-// of its own, behind every acknowledged entry of the older terms, so any log
-// that holds an entry of the new term also holds those.
+// A position is the (term, offset) pair of the last entry of a log and compares by
+// term first. A position of an older term stays comparable after a promotion: a new
+// primary starts its term with an entry after all acknowledged entries of older
+// terms, so a log that holds an entry of the new term also holds those.
 package orderer
 
 import (
@@ -15,16 +14,15 @@
 	"github.com/go-faster/errors"
 )
 
-// Position is a place in the log of a database group. The zero value stands
-// before every entry.
+// Position is a position in the log of a database group. The zero value is before every entry.
 type Position struct {
-	// Term counts the changes of primary, from 1; 0 means unknown.
+	// Term increases with each change of primary, from 1; 0 means unknown.
 	Term uint64
-	// Offset counts log entries from 1, over all terms.
+	// Offset is the number of the log entry, from 1, across all terms.
 	Offset uint64
 }
 
-// Compare returns -1, 0 or +1 as p is before, at or behind q.
+// Compare returns -1, 0 or +1 if p is before, equal to or after q.
 func (p Position) Compare(q Position) int {
 	if c := cmp.Compare(p.Term, q.Term); c != 0 {
 		return c
@@ -39,7 +37,7 @@
 // IsZero reports whether p is before every entry.
 func (p Position) IsZero() bool { return p == Position{} }
 
-// String returns "term/offset", the form that targets report.
+// String returns "term/offset", the format that targets report.
 func (p Position) String() string {
 	return strconv.FormatUint(p.Term, 10) + "/" + strconv.FormatUint(p.Offset, 10)
 }
@@ -52,7 +50,7 @@
 	return q
 }
 
-// Parse reads the form that String writes.
+// Parse parses the format of String.
 func Parse(s string) (Position, error) {
 	term, offset, ok := strings.Cut(s, "/")
 	if !ok {
--- a/pkg/refuser/refuser.go
+++ b/pkg/refuser/refuser.go
@@ -1,7 +1,6 @@
-// Package refuser lists every reason for which a request is refused, each with a
-// stable code that is never used for anything else, what the refusal says about
-// the request, and when to come back. The table in reasons.go is the only place
-// where a reason is added; docs/REFUSALS.md and the metrics come from it.
+// Package refuser defines the reasons for refusing a request: a stable code, whether the request
+// may have run, and when to retry. Reasons are added only to the table in reasons.go, from which
+// docs/REFUSALS.md and the metrics are generated.
 package refuser
 
 import (
@@ -12,50 +11,50 @@
 )
 
 type (
-	// Outcome is what a refusal says about the request.
+	// Outcome says whether a refused request may have run.
 	Outcome string
 
-	// Reason is one reason, described for readers and programs.
+	// Reason describes one reason for a refusal.
 	Reason struct {
 		// Code is stable: "OR" and three digits.
 		Code string
-		// Name is the metric's name, kebab-case.
+		// Name is the kebab-case name used in metrics.
 		Name string
-		// Title is one line; Text says when it happens and what to do.
+		// Title is a one-line summary; Text explains the cause and the remedy.
 		Title, Text string
 		// Since is the version that introduced the reason.
 		Since string
-		// SQLState is the code that drivers see.
+		// SQLState is the SQLSTATE sent to clients.
 		SQLState string
 		Outcome  Outcome
-		// RetryAfter is when to come back; 0 means that a retry won't help.
+		// RetryAfter is the suggested delay of a retry; 0 means not to retry.
 		RetryAfter time.Duration
-		// Fatal reasons end the caller's connection.
+		// Fatal reasons close the client's connection.
 		Fatal bool
 	}
 
-	// Refusal is one refusal: a reason with its particulars. It is an error.
+	// Refusal is an error with a reason and details.
 	Refusal struct {
 		Reason *Reason
-		// Detail says what happened to this request.
+		// Detail describes this particular refusal.
 		Detail string
-		// RetryAfter replaces that of the reason when it is not 0.
+		// RetryAfter overrides that of the reason when it is not 0.
 		RetryAfter time.Duration
 	}
 )
 
 // The outcomes.
 const (
-	// NotRun: no target ran any part of the request, or what it ran has been
-	// rolled back. Sending it again can't run it twice.
+	// NotRun means that no part of the request ran or that it was rolled back, so a
+	// retry cannot run it twice.
 	NotRun Outcome = "not-run"
-	// Unknown: the request may have taken effect, now or a little later.
+	// Unknown means that the request may have taken effect or may still do so.
 	Unknown Outcome = "unknown"
-	// Failed: the request was refused for good.
+	// Failed means that the request was refused permanently.
 	Failed Outcome = "failed"
 )
 
-// New makes a refusal.
+// New returns a refusal with a formatted detail.
 func New(r *Reason, format string, a ...any) *Refusal {
 	return &Refusal{Reason: r, Detail: fmt.Sprintf(format, a...)}
 }
@@ -65,7 +64,7 @@
 	return r.Reason.Code + " " + r.Reason.Title + ": " + r.Detail
 }
 
-// After returns when to come back; 0 means never.
+// After returns the suggested delay of a retry; 0 means not to retry.
 func (r *Refusal) After() time.Duration {
 	if r.RetryAfter != 0 {
 		return r.RetryAfter
@@ -73,7 +72,7 @@
 	return r.Reason.RetryAfter
 }
 
-// Hint is the machine-readable line that callers get with the error:
+// Hint returns the machine-readable hint that clients get with the error:
 // "code=OR101 outcome=not-run retry-after-ms=100".
 func (r *Refusal) Hint() string {
 	h := "code=" + r.Reason.Code + " outcome=" + string(r.Reason.Outcome)
@@ -83,7 +82,7 @@
 	return h
 }
 
-// Parse reads the line that Hint writes.
+// Parse parses the format of Hint.
 func Parse(hint string) (code string, outcome Outcome, after time.Duration) {
 	for _, f := range strings.Fields(hint) {
 		k, v, _ := strings.Cut(f, "=")
--- a/pkg/refuser/refuser_test.go
+++ b/pkg/refuser/refuser_test.go
@@ -16,7 +16,7 @@
 	// Output: code=OR201 outcome=not-run retry-after-ms=500
 }
 
-// Every reason is whole, and no code or name stands twice or is retired.
+// Every reason is complete, and codes and names are unique and not retired.
 func TestReasons(t *testing.T) {
 	seen := map[string]bool{}
 	for _, r := range refuser.Reasons {
--- a/pkg/sealer/sealer.go
+++ b/pkg/sealer/sealer.go
@@ -1,8 +1,7 @@
-// Package sealer writes and checks session tokens. A token carries a session's
-// floor, the position of its newest acknowledged write, to whatever instance the
-// caller reaches next. It is authenticated, since a caller that forged a floor
-// could make reads wait or be refused, and versioned, since instances of two
-// versions run side by side during an upgrade.
+// Package sealer creates and verifies session tokens. A token carries the position of a
+// session's newest acknowledged write (its floor) to any instance that the client connects
+// to. Tokens are authenticated, since a forged floor could delay or fail reads, and
+// versioned, since two versions run side by side during an upgrade.
 package sealer
 
 import (
@@ -16,37 +15,37 @@
 )
 
 const (
-	version  = 1
-	macBytes = 16
-	minKeyBytes   = 16
-	// headerBytes: version, key number, length of the service's name.
+	version     = 1
+	macBytes    = 16
+	minKeyBytes = 16
+	// headerBytes is the size of version, key number and length of the service name.
 	headerBytes = 3
 )
 
 type (
-	// Key is a secret that the instances of a fleet share. Number tells keys
-	// apart while one replaces another.
+	// Key is a secret shared by the instances of a fleet. Number identifies the key during
+	// key rotation.
 	Key struct {
 		Number uint8
 		Secret []byte
 	}
 
-	// Sealer seals with its first key and opens with any.
+	// Sealer seals tokens with its first key and opens tokens of any key.
 	Sealer struct {
 		Keys []Key
 	}
 )
 
-// The ways in which a token is refused.
+// The errors of Open and Check.
 var (
 	ErrMalformed = errors.New("malformed token")
-	ErrVersion   = errors.New("token of an unknown version")
-	ErrForged    = errors.New("token not sealed by this fleet")
-	ErrForeign   = errors.New("token of another service")
+	ErrVersion   = errors.New("unsupported token version")
+	ErrForged    = errors.New("token not authenticated by a key of this fleet")
+	ErrForeign   = errors.New("token belongs to another service")
 	ErrKey       = errors.New("token key: want at least 16 bytes")
 )
 
-// Check reports whether the keys can be used.
+// Check returns an error unless there is a key and all keys are long enough.
 func (s *Sealer) Check() error {
 	if len(s.Keys) == 0 {
 		return errors.Wrap(ErrKey, "no key")
@@ -70,10 +69,10 @@
 	return base64.RawURLEncoding.EncodeToString(append(b, mac(k.Secret, b)...))
 }
 
-// Open checks a token and returns its floor.
+// Open verifies a token and returns its floor.
 func (s *Sealer) Open(service, token string) (orderer.Position, error) {
 	b, err := base64.RawURLEncoding.DecodeString(token)
-	// The decoder passes over line breaks and spare bits; a token has one form.
+	// The decoder ignores line breaks and trailing bits, but a token has one valid encoding.
 	if err != nil || len(b) < 1 || base64.RawURLEncoding.EncodeToString(b) != token {
 		return orderer.Position{}, ErrMalformed
 	}
--- a/pkg/sealer/sealer_test.go
+++ b/pkg/sealer/sealer_test.go
@@ -18,11 +18,11 @@
 
 func TestOpen(t *testing.T) {
 	floor := orderer.Position{Term: 3, Offset: 120}
-	old, replaced := &sealer.Sealer{Keys: []sealer.Key{key(1, 'a')}}, &sealer.Sealer{Keys: []sealer.Key{key(2, 'b'), key(1, 'a')}}
+	old, rotated := &sealer.Sealer{Keys: []sealer.Key{key(1, 'a')}}, &sealer.Sealer{Keys: []sealer.Key{key(2, 'b'), key(1, 'a')}}
 	token := old.Seal("lockers", floor)
 
-	t.Run("while a key is replaced", func(t *testing.T) {
-		p, err := replaced.Open("lockers", token)
+	t.Run("during key rotation", func(t *testing.T) {
+		p, err := rotated.Open("lockers", token)
 		must.NoError(t, err)
 		must.Eq(t, floor, p)
 	})
@@ -41,11 +41,11 @@
 		want    error
 	}{
 		"empty":                     {old, "lockers", "", sealer.ErrMalformed},
-		"cut":                       {old, "lockers", token[:len(token)-2], sealer.ErrMalformed},
-		"of another service":        {old, "jobs", token, sealer.ErrForeign},
-		"of another fleet":          {&sealer.Sealer{Keys: []sealer.Key{key(1, 'x')}}, "lockers", token, sealer.ErrForged},
-		"of a key that is gone":     {&sealer.Sealer{Keys: []sealer.Key{key(2, 'a')}}, "lockers", token, sealer.ErrForged},
-		"of a version to come":      {old, "lockers", "Ag" + token[2:], sealer.ErrVersion},
+		"truncated":                 {old, "lockers", token[:len(token)-2], sealer.ErrMalformed},
+		"other service":             {old, "jobs", token, sealer.ErrForeign},
+		"other fleet":               {&sealer.Sealer{Keys: []sealer.Key{key(1, 'x')}}, "lockers", token, sealer.ErrForged},
+		"removed key":               {&sealer.Sealer{Keys: []sealer.Key{key(2, 'a')}}, "lockers", token, sealer.ErrForged},
+		"future version":            {old, "lockers", "Ag" + token[2:], sealer.ErrVersion},
 		"not in the token alphabet": {old, "lockers", "+/+/", sealer.ErrMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +62,7 @@
 	f.Fuzz(func(t *testing.T, service, token string) {
 		p, err := s.Open(service, token)
 		if err == nil && s.Seal(service, p) != token {
-			t.Fatalf("opened %q, which nobody sealed", token)
+			t.Fatalf("opened %q, which was not sealed", token)
 		}
 	})
 }
--- a/pkg/verifier/verifier.go
+++ b/pkg/verifier/verifier.go
@@ -1,7 +1,6 @@
-// Package verifier makes and checks password verifiers in the form that
-// PostgreSQL stores for SCRAM-SHA-256 (RFC 5802), so that the configuration
-// document holds no password, and verifiers of an existing database can be used
-// as they are.
+// Package verifier creates and checks SCRAM-SHA-256 password verifiers (RFC 5802) in
+// PostgreSQL's format, so that the configuration document holds no passwords and existing
+// verifiers can be reused.
 package verifier
 
 import (
@@ -18,16 +17,15 @@
 
 const (
 	schemePrefix = "SCRAM-SHA-256$"
-	// DefaultIterations is what PostgreSQL uses; a check takes about a
-	// millisecond, which bounds how fast passwords can be guessed.
+	// DefaultIterations is PostgreSQL's default. It limits the rate of password guesses.
 	DefaultIterations = 4096
 	minIterations     = 4096
-	// maxIterations bounds what one caller's start-up can cost an instance.
+	// maxIterations bounds the CPU time of a password check.
 	maxIterations = 100000
 	saltBytes     = 16
 )
 
-// Verifier is what a password is checked against.
+// Verifier holds what is needed to check a password without storing it.
 type Verifier struct {
 	Iterations int
 	Salt       []byte
@@ -35,14 +33,14 @@
 	ServerKey  []byte
 }
 
-// ErrMalformed means that a text is no verifier of SCRAM-SHA-256.
+// ErrMalformed means that a text is not a valid SCRAM-SHA-256 verifier.
 var ErrMalformed = errors.New("not a SCRAM-SHA-256 verifier")
 
-// New makes a verifier for a password with a random salt.
+// New returns a verifier for a password, with a random salt.
 func New(password string) (Verifier, error) {
 	salt := make([]byte, saltBytes)
 	if _, err := rand.Read(salt); err != nil {
-		return Verifier{}, errors.Wrap(err, "make salt")
+		return Verifier{}, errors.Wrap(err, "generate salt")
 	}
 	return derive(password, salt, DefaultIterations)
 }
@@ -62,7 +60,7 @@
 	return h.Sum(nil)
 }
 
-// Parse reads the form that String writes.
+// Parse parses the format of String.
 func Parse(text string) (Verifier, error) {
 	rest, ok := strings.CutPrefix(text, schemePrefix)
 	if !ok {
@@ -93,14 +91,13 @@
 	return v, nil
 }
 
-// String is "SCRAM-SHA-256$iterations:salt$stored-key:server-key".
+// String returns "SCRAM-SHA-256$iterations:salt$stored-key:server-key".
 func (v Verifier) String() string {
 	b := base64.StdEncoding.EncodeToString
 	return schemePrefix + strconv.Itoa(v.Iterations) + ":" + b(v.Salt) + "$" + b(v.StoredKey) + ":" + b(v.ServerKey)
 }
 
-// Matches reports whether the password is the one that the verifier was made
-// from. It takes the same time for every wrong password.
+// Matches reports whether the password is correct, comparing in constant time.
 func (v Verifier) Matches(password string) bool {
 	got, err := derive(password, v.Salt, v.Iterations)
 	return err == nil && hmac.Equal(got.StoredKey, v.StoredKey)
