--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -18,7 +18,8 @@
 	// pollInterval is how often a target is polled. The mean age of a replica's known state
 	// is half of it.
 	pollInterval = 100 * time.Millisecond
-	// idlePollInterval is how often targets of idle groups are polled once polls are limited.
+	// idlePollInterval is how often targets of idle groups, which no client of this instance
+	// uses, are polled once polls are limited.
 	idlePollInterval = time.Second
 	// maxPollsPerSecond limits the polls of this instance, whose cost would otherwise grow
 	// with the number of groups (docs/CAPACITY.md).
@@ -214,8 +215,8 @@
 		g.recordReport(now)
 		return
 	}
-	if q := g.polls[e.Member]; q != nil {
-		q.inFlight = false
+	if p := g.polls[e.Member]; p != nil {
+		p.inFlight = false
 	}
 }
 
@@ -293,15 +294,15 @@
 }
 
 func (g *group) startPoll(now time.Time, interval time.Duration, service string, m configurer.Member) (Ask, bool) {
-	q := g.polls[m.Name]
-	if q == nil {
-		q = &poll{}
-		g.polls[m.Name] = q
+	p := g.polls[m.Name]
+	if p == nil {
+		p = &poll{}
+		g.polls[m.Name] = p
 	}
-	if q.inFlight || now.Before(q.nextAt) {
+	if p.inFlight || now.Before(p.nextAt) {
 		return Ask{}, false
 	}
-	q.inFlight, q.nextAt = true, now.Add(interval)
+	p.inFlight, p.nextAt = true, now.Add(interval)
 	return Ask{Service: service, Member: m}, true
 }
 
--- a/pkg/refuser/reasons.go
+++ b/pkg/refuser/reasons.go
@@ -161,7 +161,7 @@
 	}
 )
 
-// Reasons lists all reasons, by groups of codes.
+// Reasons lists all reasons in the order of their codes.
 var Reasons = []*Reason{
 	NoService, NoConfiguration, TooManySessions, InstanceLeaving,
 	NoPrimary, NoTarget, NoConnection, FloorUnknown, Cancelled,
