--- a/cmd/oriolegwctl/document.go
+++ b/cmd/oriolegwctl/document.go
@@ -155,9 +155,9 @@
 	}
 	switch r.Outcome {
 	case publisher.Accepted:
-		fmt.Fprintf(t.out, "accepted as version %d\n", r.Now.Version)
+		fmt.Fprintf(t.out, "accepted as version %d\n", r.Current.Version)
 		return nil
-	case publisher.Raced:
+	case publisher.Conflict:
 		return t.lost(seen, r, file, text)
 	case publisher.Unknown:
 		return errors.Wrap(err, "outcome unknown, the document may be in force: look with get before you publish again")
@@ -171,11 +171,11 @@
 	what := "since then it changed:"
 	if seen.Document == nil { // only the version was given
 		mine, _ := configurer.Check(file, text)
-		changes, what = configurer.Diff(mine, r.Now.Document), "it differs from your document by:"
+		changes, what = configurer.Diff(mine, r.Current.Document), "it differs from your document by:"
 	}
 	fmt.Fprintln(t.out, what)
 	t.printChanges(changes)
-	return errors.Errorf("nothing was changed: version %d is in force, not version %d", r.Now.Version, seen.Version)
+	return errors.Errorf("nothing was changed: version %d is in force, not version %d", r.Current.Version, seen.Version)
 }
 
 func prepareVerifier(_ *flag.FlagSet, t *terminal) func(context.Context, []string) error {
--- a/cmd/oriolegwctl/fleet.go
+++ b/cmd/oriolegwctl/fleet.go
@@ -138,7 +138,7 @@
 			return err
 		}
 		if r.Outcome == publisher.Accepted {
-			fmt.Fprintf(t.out, "service %s member %s: leaving %t, version %d\n", service, member, leaving, r.Now.Version)
+			fmt.Fprintf(t.out, "service %s member %s: leaving %t, version %d\n", service, member, leaving, r.Current.Version)
 			return nil
 		}
 	}
--- a/internal/admitter/simulate_test.go
+++ b/internal/admitter/simulate_test.go
@@ -112,7 +112,7 @@
 		if d.Refusal != nil {
 			c := s.resultsOf(x.request.Customer)
 			c.refused[d.Refusal.Reason.Name]++
-			c.retryAfter = append(c.retryAfter, d.Refusal.After())
+			c.retryAfter = append(c.retryAfter, d.Refusal.RetryDelay())
 			continue
 		}
 		s.start(now, x)
--- a/internal/allocator/performer.go
+++ b/internal/allocator/performer.go
@@ -184,7 +184,7 @@
 // only cut them off from those when the partition heals.
 func (p *Performer) evict(ctx context.Context, a Evict) error {
 	for _, address := range a.Addresses {
-		if err := commander.Prove(ctx, p.Network, address); err != nil {
+		if err := commander.Ping(ctx, p.Network, address); err != nil {
 			return err
 		}
 	}
--- a/internal/commander/urgency.go
+++ b/internal/commander/urgency.go
@@ -3,36 +3,35 @@
 import "context"
 
 type (
-	// Urgency is what a control statement may do to get a connection.
-	Urgency int
+	// Priority is the priority of a control statement when it waits for a connection.
+	Priority int
 
 	urgencyKey struct{}
 )
 
 const (
-	// Routine statements take no connection from the places that traffic is
-	// likely to need.
-	Routine Urgency = iota
-	// Wanted ones, for which a caller waits, may take an idle connection.
-	Wanted
-	// Order is for statements that replace a primary: they go before traffic.
-	Order
+	// Routine statements do not take connections that client requests are likely to need.
+	Routine Priority = iota
+	// ClientWaiting statements, for which a client waits, may take an idle connection.
+	ClientWaiting
+	// Failover statements change the primary and take precedence over client requests.
+	Failover
 )
 
-// WithWanted marks a status question as one that a caller waits for.
-func WithWanted(ctx context.Context) context.Context {
-	return context.WithValue(ctx, urgencyKey{}, Wanted)
+// WithClientWaiting marks status requests as ones that a client waits for.
+func WithClientWaiting(ctx context.Context) context.Context {
+	return context.WithValue(ctx, urgencyKey{}, ClientWaiting)
 }
 
-// WithOrder marks a status question as part of a change of primary.
-func WithOrder(ctx context.Context) context.Context {
-	return context.WithValue(ctx, urgencyKey{}, Order)
+// WithFailover marks status requests as part of a failover or switchover.
+func WithFailover(ctx context.Context) context.Context {
+	return context.WithValue(ctx, urgencyKey{}, Failover)
 }
 
-func urgency(ctx context.Context, sql string) Urgency {
+func urgency(ctx context.Context, sql string) Priority {
 	if sql != statusQuery {
-		return Order
+		return Failover
 	}
-	u, _ := ctx.Value(urgencyKey{}).(Urgency)
+	u, _ := ctx.Value(urgencyKey{}).(Priority)
 	return u
 }
--- a/internal/detector/evidence.go
+++ b/internal/detector/evidence.go
@@ -39,7 +39,7 @@
 	if k.Failures > 0 || k.Status.Role != commander.RoleReplica || k.Status.Term != g.view.Term() || now.Sub(k.StatusAt) > maxReportAge {
 		return false, false
 	}
-	return k.Status.Heard < 0 || k.Status.Heard >= heartbeatTimeout, true
+	return k.Status.LastMessageAge < 0 || k.Status.LastMessageAge >= heartbeatTimeout, true
 }
 
 // assessLeaderless detects a term without a primary: its promoter died, or the primary failed
--- a/internal/detector/slice_test.go
+++ b/internal/detector/slice_test.go
@@ -78,7 +78,7 @@
 		}
 		for _, n := range []string{"m-2", "m-3"} {
 			deliver(observer.Observed{Service: "s", Member: n, Started: now, Status: commander.Status{
-				Role: commander.RoleReplica, Term: 1, Following: "m-1", Heard: heartbeatAge, Received: orderer.Position{Term: 1, Offset: 5},
+				Role: commander.RoleReplica, Term: 1, Following: "m-1", LastMessageAge: heartbeatAge, Received: orderer.Position{Term: 1, Offset: 5},
 			}})
 		}
 	}
@@ -123,16 +123,16 @@
 	}{
 		{"healthy", scenario{}, never, never},
 		{"crash: connections refused, replication streams broken", scenario{primaryErr: commander.ErrUnreachable, heartbeatAge: -1}, 200 * time.Millisecond, 400 * time.Millisecond},
-		{"freeze: silent, replicas miss heartbeats", scenario{primaryErr: commander.ErrSilent, heartbeatAge: 1}, 1100 * time.Millisecond, 1300 * time.Millisecond},
-		{"silent, replicas receive heartbeats", scenario{primaryErr: commander.ErrSilent}, never, never},
+		{"freeze: silent, replicas miss heartbeats", scenario{primaryErr: commander.ErrTimeout, heartbeatAge: 1}, 1100 * time.Millisecond, 1300 * time.Millisecond},
+		{"silent, replicas receive heartbeats", scenario{primaryErr: commander.ErrTimeout}, never, never},
 		{"connections refused, replicas receive heartbeats", scenario{primaryErr: commander.ErrUnreachable}, never, never},
-		{"silent, reached by another instance, replicas miss heartbeats", scenario{primaryErr: commander.ErrSilent, heartbeatAge: 1, relayed: true}, 1100 * time.Millisecond, 1300 * time.Millisecond},
-		{"silent, alive in other zones", scenario{primaryErr: commander.ErrSilent, zoneReports: map[string]bool{"a": false, "c": false}}, never, never},
-		{"never seen, replicas receive heartbeats", scenario{primaryErr: commander.ErrSilent, primaryNeverSeen: true}, never, never},
-		{"never seen, replicas miss heartbeats", scenario{primaryErr: commander.ErrSilent, primaryNeverSeen: true, heartbeatAge: -1}, 700 * time.Millisecond, 1200 * time.Millisecond},
+		{"silent, reached by another instance, replicas miss heartbeats", scenario{primaryErr: commander.ErrTimeout, heartbeatAge: 1, relayed: true}, 1100 * time.Millisecond, 1300 * time.Millisecond},
+		{"silent, alive in other zones", scenario{primaryErr: commander.ErrTimeout, zoneReports: map[string]bool{"a": false, "c": false}}, never, never},
+		{"never seen, replicas receive heartbeats", scenario{primaryErr: commander.ErrTimeout, primaryNeverSeen: true}, never, never},
+		{"never seen, replicas miss heartbeats", scenario{primaryErr: commander.ErrTimeout, primaryNeverSeen: true, heartbeatAge: -1}, 700 * time.Millisecond, 1200 * time.Millisecond},
 		{"partitioned from its replicas, idle", scenario{heartbeatAge: 1}, 1000 * time.Millisecond, 1300 * time.Millisecond},
 		// Guards against treating one old response as a lasting stall.
-		{"no free connection, last response shows an entry in flight", scenario{primaryErr: commander.ErrBusy, entryInFlight: true}, never, never},
+		{"no free connection, last response shows an entry in flight", scenario{primaryErr: commander.ErrNoConnection, entryInFlight: true}, never, never},
 		{"writes unconfirmed, heartbeats received", scenario{writes: true}, 1500 * time.Millisecond, 1800 * time.Millisecond},
 	}
 	for _, c := range tests {
@@ -175,7 +175,7 @@
 		for _, m := range service.Members {
 			o := observer.Observed{Service: "s", Member: m.Name, Started: now, Status: commander.Status{Role: commander.RoleFenced, Term: 2}}
 			if i > 0 && !answer {
-				o.Err = commander.ErrBusy
+				o.Err = commander.ErrNoConnection
 			}
 			out = append(out, s.Step(now, o)...)
 		}
--- a/internal/detector/view.go
+++ b/internal/detector/view.go
@@ -69,7 +69,7 @@
 func (m *MemberState) update(e observer.Observed) {
 	// Ignores responses received out of order, and requests that were not sent for lack of a
 	// connection.
-	if e.Started.Before(m.StatusAt) || errors.Is(e.Err, commander.ErrBusy) {
+	if e.Started.Before(m.StatusAt) || errors.Is(e.Err, commander.ErrNoConnection) {
 		return
 	}
 	if e.Err == nil {
--- a/internal/dispatcher/session.go
+++ b/internal/dispatcher/session.go
@@ -19,7 +19,7 @@
 	session struct {
 		server     *Server
 		net        net.Conn
-		statements messenger.Statements
+		statements messenger.StatementReader
 		database   string
 		// key is the digest of the key that the caller presented, if hasKey is set.
 		key         identifier.Key
--- a/internal/editor/pages.go
+++ b/internal/editor/pages.go
@@ -129,13 +129,13 @@
 	case errors.Is(err, configurer.ErrUnsafeChange):
 		p.show(w, r, http.StatusUnprocessableEntity, view{Copy: c, Open: r.FormValue("open"), Notice: "Nothing was changed: " + err.Error() + "."})
 	case result.Outcome == publisher.Accepted:
-		p.log("Document was published.", result.Now.Version)
+		p.log("Document was published.", result.Current.Version)
 		p.show(w, r, http.StatusOK, view{
-			Copy:   Copy{Version: result.Now.Version, Text: string(result.Now.Text)},
+			Copy:   Copy{Version: result.Current.Version, Text: string(result.Current.Text)},
 			Open:   r.FormValue("open"),
-			Notice: "Accepted as version " + strconv.FormatInt(result.Now.Version, 10) + ".",
+			Notice: "Accepted as version " + strconv.FormatInt(result.Current.Version, 10) + ".",
 		})
-	case result.Outcome == publisher.Raced:
+	case result.Outcome == publisher.Conflict:
 		p.showRace(w, r, c, result)
 	default:
 		http.Error(w, "outcome unknown, the document may be in force; look at the start page before you publish again: "+err.Error(), http.StatusServiceUnavailable)
@@ -149,8 +149,8 @@
 	p.show(w, r, http.StatusConflict, view{
 		Copy:   c,
 		Open:   r.FormValue("open"),
-		Notice: "Nothing was changed: another operator published version " + strconv.FormatInt(result.Now.Version, 10) + " first.",
-		Theirs: configurer.Diff(mine, result.Now.Document),
+		Notice: "Nothing was changed: another operator published version " + strconv.FormatInt(result.Current.Version, 10) + " first.",
+		Theirs: configurer.Diff(mine, result.Current.Document),
 	})
 }
 
--- a/internal/elector/departed.go
+++ b/internal/elector/departed.go
@@ -24,7 +24,7 @@
 		if !l.Answered || max(l.Status.Term, l.Status.Received.Term) > sv.lastLeader.Term {
 			return false
 		}
-		found = found || id == sv.lastLeader.ID && l.StartTime == sv.lastLeader.Born
+		found = found || id == sv.lastLeader.ID && l.StartTime == sv.lastLeader.StartTime
 	}
 	return found
 }
--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -108,9 +108,9 @@
 
 	// Leadership identifies a primary by member, incarnation and term.
 	Leadership struct {
-		ID   string
-		Born int64
-		Term uint64
+		ID        string
+		StartTime int64
+		Term      uint64
 	}
 
 	// record is the value stored for a group.
--- a/internal/elector/elector_test.go
+++ b/internal/elector/elector_test.go
@@ -125,7 +125,7 @@
 		if !a.owns() {
 			o = b.ownership.Load()
 		}
-		leader := elector.Leadership{ID: "m", Born: 7, Term: 3}
+		leader := elector.Leadership{ID: "m", StartTime: 7, Term: 3}
 		fence, err := o.NextFencingToken(t.Context(), elector.State{Members: map[string]string{"m": "10.0.0.1:1"}, PromotionPending: true, Leader: leader})
 		must.NoError(t, err)
 		m.SetFaults(func(f *storer.Faults) { f.Down = true })
--- a/internal/elector/ownership.go
+++ b/internal/elector/ownership.go
@@ -21,7 +21,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	r := decodeOrEmpty(e.ownership(o.group).record.Value)
-	return State{Members: r.Members, PromotionPending: r.Open, Leader: Leadership{ID: r.Leader, Born: r.LeaderBorn, Term: r.Term}}
+	return State{Members: r.Members, PromotionPending: r.Open, Leader: Leadership{ID: r.Leader, StartTime: r.LeaderBorn, Term: r.Term}}
 }
 
 // NextFencingToken records the group's state and returns the record's new revision as the
@@ -35,7 +35,7 @@
 	old := p.Revision
 	r := decodeOrEmpty(p.Value)
 	r.Members, r.Open = s.Members, s.PromotionPending
-	r.Leader, r.LeaderBorn, r.Term = s.Leader.ID, s.Leader.Born, s.Leader.Term
+	r.Leader, r.LeaderBorn, r.Term = s.Leader.ID, s.Leader.StartTime, s.Leader.Term
 	p.Value = e.encode(r, lease)
 	now, ok, err := e.Store.Swap(ctx, p, lease)
 	if err != nil {
--- a/internal/elector/supervisor.go
+++ b/internal/elector/supervisor.go
@@ -295,7 +295,7 @@
 	for _, l := range sv.members {
 		if l.Answered && l.Status.Primary && l.Status.Term > term {
 			term, sv.primary = l.Status.Term, l.ID
-			sv.recordLeader(Leadership{ID: l.ID, Born: l.StartTime, Term: l.Status.Term})
+			sv.recordLeader(Leadership{ID: l.ID, StartTime: l.StartTime, Term: l.Status.Term})
 		}
 	}
 	p := sv.members[sv.primary]
--- a/internal/forwarder/serve.go
+++ b/internal/forwarder/serve.go
@@ -67,7 +67,7 @@
 func (fw *Forwarder) forward(stream wire.DRPCNeighbours_LendStream, p *lender.Pool, conn *lender.Conn) error {
 	fw.lent.Add(1)
 	defer fw.lent.Add(-1)
-	if err := stream.Send(&wire.LendReply{Member: conn.Member, Born: conn.Born, State: encodeState(conn.State())}); err != nil {
+	if err := stream.Send(&wire.LendReply{Member: conn.Member, Born: conn.MemberStartTime, State: encodeState(conn.State())}); err != nil {
 		conn.Close()
 		p.Return(conn)
 		return err
@@ -75,7 +75,7 @@
 	var ending atomic.Bool
 	// Clears the previous user's deadlines, which may have passed.
 	_ = conn.NetConn().SetDeadline(time.Time{})
-	balance := fw.Codec.Balance()
+	balance := fw.Codec.NewInFlightCounter()
 	copied := make(chan error, 1)
 	go func() { copied <- copyToPeer(stream, conn, &ending, balance.Received) }()
 	end, err := copyToTarget(stream, conn, balance.Sent)
@@ -83,7 +83,7 @@
 	_ = conn.NetConn().SetReadDeadline(time.Now())
 	// A connection with an outstanding reply must not be reused: its next borrower would read
 	// that reply.
-	if extra := <-copied; extra != nil || err != nil || end.Broken || !balance.Even() {
+	if extra := <-copied; extra != nil || err != nil || end.Broken || !balance.AllAnswered() {
 		conn.Close()
 	} else {
 		conn.SetState(decodeState(end.State))
--- a/internal/gossiper/leaving.go
+++ b/internal/gossiper/leaving.go
@@ -27,7 +27,7 @@
 }
 
 // handleOwnNotice records this instance's own notice that a target is leaving, or no longer is.
-func (s *Slice) handleOwnNotice(now time.Time, e drainer.Own) []controller.Action {
+func (s *Slice) handleOwnNotice(now time.Time, e drainer.LocalSignal) []controller.Action {
 	at := [2]string{e.Service, e.Member}
 	m := s.editMember(at)
 	if m == nil || m.leaving == e.Leaving {
@@ -58,7 +58,7 @@
 		s.leavingNotices[at] = storedNotice{LeavingNotice: g, givenAt: now.Add(-g.Age)}
 		s.dirty = true
 	}
-	out := []controller.Action{controller.Emit{Event: drainer.Sign{
+	out := []controller.Action{controller.Emit{Event: drainer.LeavingSignal{
 		Service: g.Service, Member: g.Member, Leaving: g.Leaving, Source: drainer.SourcePeer, Peer: g.Origin,
 	}}}
 	if changed {
@@ -99,7 +99,7 @@
 	} else {
 		delete(p.reportedLeaving, at)
 	}
-	return []controller.Action{controller.Emit{Event: drainer.Sign{
+	return []controller.Action{controller.Emit{Event: drainer.LeavingSignal{
 		Service: at[0], Member: at[1], Leaving: m.Leaving, Source: drainer.SourcePeer, Peer: from,
 	}}}
 }
--- a/internal/gossiper/observations.go
+++ b/internal/gossiper/observations.go
@@ -89,7 +89,7 @@
 	}
 	var out []controller.Action
 	for _, z := range zones {
-		for _, i := range observer.Of(shard, z, s.members) {
+		for _, i := range observer.ShardObservers(shard, z, s.members) {
 			if i.Name != s.Self.Name {
 				out = append(out, s.announce(i, &wire.Announcement{Urgent: true}))
 			}
--- a/internal/gossiper/planner.go
+++ b/internal/gossiper/planner.go
@@ -19,7 +19,7 @@
 	}
 	shards := map[string]map[uint32]bool{}
 	intervals := map[string]time.Duration{}
-	for shard := range uint32(observer.Shards) {
+	for shard := range uint32(observer.ShardCount) {
 		if s.shardZones[shard] == nil {
 			continue
 		}
@@ -37,7 +37,7 @@
 
 // peersForShard returns the peers to ask for a shard, and how often.
 func (s *Slice) peersForShard(shard uint32) ([]lister.Instance, time.Duration) {
-	zoneObservers := observer.Of(shard, s.Self.Zone, s.members)
+	zoneObservers := observer.ShardObservers(shard, s.Self.Zone, s.members)
 	key := s.Self.Name + "/" + strconv.Itoa(int(shard))
 	if !lister.Contains(zoneObservers, s.Self.Name) {
 		r := lister.Rank(key, zoneObservers)
@@ -51,7 +51,7 @@
 		if z == s.Self.Zone {
 			continue
 		}
-		r := lister.Rank(key, observer.Of(shard, z, s.members))
+		r := lister.Rank(key, observer.ShardObservers(shard, z, s.members))
 		out = append(out, r[:min(peersPerZone, len(r))]...)
 	}
 	if s.hasSuspicion(shard) {
--- a/internal/gossiper/slice.go
+++ b/internal/gossiper/slice.go
@@ -68,10 +68,10 @@
 		positions      map[[2]string][2]int
 		members        []lister.Instance
 		seedPeers      []lister.Instance
-		usedShards     [observer.Shards]bool
+		usedShards     [observer.ShardCount]bool
 		observedGroups []*observedGroup
 		// shardZones are the zones with members of the shard's groups.
-		shardZones     [observer.Shards][]string
+		shardZones     [observer.ShardCount][]string
 		sequence       uint64
 		dirty          bool
 		leaving        bool
@@ -154,13 +154,13 @@
 		s.chooseSeedPeers()
 		s.choosePeers()
 		s.publish()
-	case observer.Used:
+	case observer.ServicesInUse:
 		s.setUsed(e)
 	case observer.Observed:
 		s.handleObserved(e)
 	case Suspicion:
 		return s.handleSuspicion(e)
-	case drainer.Own:
+	case drainer.LocalSignal:
 		return s.handleOwnNotice(now, e)
 	case drainer.InstanceLeaving:
 		return s.startLeaving()
@@ -201,7 +201,7 @@
 	s.documents[e.Version] = e.Document
 	s.dropOldDocuments()
 	s.observedGroups, s.positions = make([]*observedGroup, len(e.Document.Services)), map[[2]string][2]int{}
-	s.shardZones = [observer.Shards][]string{}
+	s.shardZones = [observer.ShardCount][]string{}
 	for i, v := range e.Document.Services {
 		shard := observer.Shard(v.Name)
 		for j, m := range v.Members {
@@ -232,8 +232,8 @@
 }
 
 // setUsed records the shards of the groups that local requests use.
-func (s *Slice) setUsed(e observer.Used) {
-	var used [observer.Shards]bool
+func (s *Slice) setUsed(e observer.ServicesInUse) {
+	var used [observer.ShardCount]bool
 	for _, n := range e.Services {
 		used[observer.Shard(n)] = true
 	}
--- a/internal/gossiper/snapshot.go
+++ b/internal/gossiper/snapshot.go
@@ -76,9 +76,9 @@
 		g.Age = now.Sub(g.givenAt)
 		out.Signs = append(out.Signs, noticeToWire(g.LeavingNotice))
 	}
-	var requested [observer.Shards]bool
+	var requested [observer.ShardCount]bool
 	for _, n := range r.Shards {
-		if n < observer.Shards {
+		if n < observer.ShardCount {
 			requested[n] = true
 		}
 	}
--- a/internal/launcher/pages.go
+++ b/internal/launcher/pages.go
@@ -38,6 +38,6 @@
 }
 
 func (i *Instance) serveHTTP(ctx context.Context, address string, h http.Handler) error {
-	err := networker.ServePages(ctx, i.Network, address, &http.Server{Handler: h})
+	err := networker.ServeHTTP(ctx, i.Network, address, &http.Server{Handler: h})
 	return errors.Wrap(err, address)
 }
--- a/internal/lender/conn.go
+++ b/internal/lender/conn.go
@@ -40,15 +40,15 @@
 	// Conn is a connection to a member. It is not safe for concurrent use.
 	Conn struct {
 		Member string
-		// Born identifies the incarnation of the member that it was opened to.
-		Born int64
+		// MemberStartTime identifies the incarnation of the member that it was opened to.
+		MemberStartTime int64
 		// Customer is the customer named to the member at the start of the connection, "" without
 		// one.
 		Customer string
 
 		net      net.Conn
 		codec    messenger.MemberCodec
-		replies  messenger.Replies
+		replies  messenger.ReplyReader
 		values   Values
 		prepared map[Prepared]string
 		// unreadReplies is the number of outstanding replies.
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "dial member")
 	}
-	c := &Conn{Member: m.ID, Born: m.StartTime, net: raw, codec: codec, replies: codec.Replies(raw), prepared: map[Prepared]string{}}
+	c := &Conn{Member: m.ID, MemberStartTime: m.StartTime, net: raw, codec: codec, replies: codec.Replies(raw), prepared: map[Prepared]string{}}
 	if deadline, ok := ctx.Deadline(); ok {
 		_ = raw.SetDeadline(deadline)
 	}
@@ -122,7 +122,7 @@
 		return
 	}
 	_ = c.net.SetWriteDeadline(time.Now().Add(writeTimeout))
-	_, _ = c.net.Write(c.codec.AppendEnd(nil))
+	_, _ = c.net.Write(c.codec.AppendTerminate(nil))
 	c.Close()
 }
 
--- a/internal/lender/remote.go
+++ b/internal/lender/remote.go
@@ -44,7 +44,7 @@
 // returned.
 func NewRemoteConn(n net.Conn, codec messenger.MemberCodec, member string, born int64, s SessionState, giveBack func(LoanEnd)) *Conn {
 	return &Conn{
-		Member: member, Born: born, net: n, codec: codec, replies: codec.Replies(n),
+		Member: member, MemberStartTime: born, net: n, codec: codec, replies: codec.Replies(n),
 		values: s.Values, prepared: s.Prepared, giveBack: giveBack,
 	}
 }
--- a/internal/limiter/customer.go
+++ b/internal/limiter/customer.go
@@ -11,7 +11,7 @@
 type customer struct {
 	// tokens are leased until leasedUntil.
 	tokens      int
-	leasedUntil Stamp
+	leasedUntil Timestamp
 	// unreported counts operations that are in no report yet, inFlight those in the report that
 	// awaits a reply, reported those in acknowledged reports.
 	unreported, inFlight, reported window
@@ -19,20 +19,20 @@
 	waiters int
 	// demand is the requested operations per second as of demandAt.
 	demand   float64
-	demandAt Stamp
+	demandAt Timestamp
 	// leaseRequiredUntil is until when every operation requires a lease.
-	leaseRequiredUntil Stamp
+	leaseRequiredUntil Timestamp
 	// refuseUntil is until when operations are refused without asking the accountant, retryAt when
 	// it expects to have tokens.
-	refuseUntil, retryAt Stamp
+	refuseUntil, retryAt Timestamp
 	// grantedAt is when the report was sent whose reply set the lease and fallback rate; 0 without
 	// a reply.
-	grantedAt Stamp
+	grantedAt Timestamp
 	// fallbackRate is the assigned fallback rate in operations per second, fallbackTokens the
 	// number of operations that may run without a lease, as of refilledAt.
 	fallbackRate   float64
 	fallbackTokens float64
-	refilledAt     Stamp
+	refilledAt     Timestamp
 	// phase is the initial fraction of a fallback token, different on each instance; isolated is
 	// set while the instance is isolated.
 	phase    float64
@@ -40,7 +40,7 @@
 }
 
 // customer returns the state of a customer, which is created on first use.
-func (m *Meter) customer(now Stamp, name string, limit identifier.Limit) *customer {
+func (m *Meter) customer(now Timestamp, name string, limit identifier.Limit) *customer {
 	if m.customers == nil {
 		m.customers = map[string]*customer{}
 	}
@@ -66,13 +66,13 @@
 // enterIsolation starts admission at the fallback rate. All instances become isolated at the same
 // time if the accountant fails: it limits each to a fraction of a token, since a whole token on
 // each would exceed a small customer's limit.
-func (c *customer) enterIsolation(at Stamp) {
+func (c *customer) enterIsolation(at Timestamp) {
 	c.fallbackTokens = min(c.fallbackTokens, c.phase)
 	c.refilledAt = max(c.refilledAt, at)
 }
 
 // countDemand adds a requested operation to the demand estimate.
-func (c *customer) countDemand(now Stamp) {
+func (c *customer) countDemand(now Timestamp) {
 	c.demand = decayed(c.demand, now-c.demandAt, demandHalfLife) + demandStep
 	c.demandAt = now
 }
@@ -96,7 +96,7 @@
 // refill adds tokens for the time since the last call. Only isolated instances accumulate more
 // than one: together with outstanding leases, all instances would exceed the limit when the
 // accountant fails.
-func (c *customer) refill(now Stamp, limit identifier.Limit, instances int, reportExpected bool) {
+func (c *customer) refill(now Timestamp, limit identifier.Limit, instances int, reportExpected bool) {
 	rate, maxTokens := c.currentFallbackRate(limit, instances, reportExpected), 1.0
 	if c.isolated {
 		maxTokens = max(1, rate*fallbackBurstSpan.Seconds())
@@ -106,11 +106,11 @@
 }
 
 // currentDemand returns the demand estimate at now.
-func (c *customer) currentDemand(now Stamp) float64 {
+func (c *customer) currentDemand(now Timestamp) float64 {
 	return decayed(c.demand, now-c.demandAt, demandHalfLife)
 }
 
 // inactive reports whether the customer has no recent operations and none waiting.
-func (c *customer) inactive(now Stamp) bool {
+func (c *customer) inactive(now Timestamp) bool {
 	return c.unreported.sum(now) == 0 && c.waiters == 0 && c.currentDemand(now) < minDemand
 }
--- a/internal/limiter/fleet.go
+++ b/internal/limiter/fleet.go
@@ -20,7 +20,7 @@
 
 // fleetStatus counts the expected instances by whether they report to this accountant.
 type fleetStatus struct {
-	now Stamp
+	now Timestamp
 	// expected is the number of expected instances. reservedByPredecessor counts those that have
 	// reported past usage here and whose fallback rates the previous accountant reserves.
 	expected, reservedByPredecessor int
@@ -34,7 +34,7 @@
 }
 
 // fleetStatus determines which expected instances report to this accountant.
-func (l *Ledger) fleetStatus(now Stamp) fleetStatus {
+func (l *Ledger) fleetStatus(now Timestamp) fleetStatus {
 	if l.ExpectedInstances == nil {
 		return fleetStatus{}
 	}
@@ -67,11 +67,13 @@
 }
 
 // unreachable reports whether the instance may be isolated or report to another accountant.
-func (r *reporter) unreachable(now Stamp) bool { return r.hasLeft || now-r.lastReport > silenceTimeout }
+func (r *reporter) unreachable(now Timestamp) bool {
+	return r.hasLeft || now-r.lastReport > silenceTimeout
+}
 
 // reservedFraction returns the fraction of the limit reserved for unreachable instances, which
 // admit operations at their assigned fallback rates, or else at an even share.
-func (a *account) reservedFraction(now Stamp, fleet fleetStatus) float64 {
+func (a *account) reservedFraction(now Timestamp, fleet fleetStatus) float64 {
 	sum := a.unknownRate(fleet)
 	for _, p := range a.shares {
 		if p.unreachable(now) {
--- a/internal/limiter/ledger.go
+++ b/internal/limiter/ledger.go
@@ -23,7 +23,7 @@
 
 		// openedAt is when the accounts were opened, initialInstances which instances ran
 		// operations then.
-		openedAt         Stamp
+		openedAt         Timestamp
 		initialInstances map[string]bool
 		// hasPredecessor is set if an instance has reported to an earlier accountant, which may
 		// still serve others.
@@ -36,12 +36,12 @@
 	// reporter is an instance that reports here.
 	reporter struct {
 		incarnation, sequence uint64
-		lastReport            Stamp
+		lastReport            Timestamp
 		// expected is set for an instance that ExpectedInstances lists.
 		expected bool
 		// reservedFrom is when the previous accountant starts to reserve the instance's fallback
 		// rates.
-		reservedFrom Stamp
+		reservedFrom Timestamp
 		// synced is set once it has reported its usage from before the accounts were opened,
 		// hasLeft once it reports to another accountant.
 		synced, hasLeft bool
@@ -55,7 +55,7 @@
 		// tokens is the balance of the token bucket before outstanding leases, as of updatedAt;
 		// negative after an overrun.
 		tokens    float64
-		updatedAt Stamp
+		updatedAt Timestamp
 		shares    map[string]*instanceShare
 		// predecessorRates are the fallback rates that the previous accountant assigned.
 		predecessorRates map[*reporter]float64
@@ -67,10 +67,10 @@
 		// leased tokens are valid until leasedUntil. assumedUsed are expired leases that count as
 		// used since assumedAt, until a report contains the actual usage.
 		leased, assumedUsed    int
-		leasedUntil, assumedAt Stamp
+		leasedUntil, assumedAt Timestamp
 		// demand is the requested operations per second as of demandAt.
 		demand   float64
-		demandAt Stamp
+		demandAt Timestamp
 		// fallbackRate is the instance's rate in operations per second while it is isolated.
 		fallbackRate float64
 	}
@@ -89,7 +89,7 @@
 
 // Open opens new accounts when this instance becomes the accountant. It keeps the old ones if
 // they have received reports within the window.
-func (l *Ledger) Open(now Stamp, limits map[string]identifier.Limit) {
+func (l *Ledger) Open(now Timestamp, limits map[string]identifier.Limit) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, r := range l.reporters {
@@ -106,7 +106,7 @@
 }
 
 // open replaces all accounts by empty ones.
-func (l *Ledger) open(now Stamp) {
+func (l *Ledger) open(now Timestamp) {
 	l.accounts, l.reporters, l.initialInstances, l.openedAt = map[string]*account{}, map[string]*reporter{}, map[string]bool{}, now
 	l.hasPredecessor = false
 	l.Incarnation++
@@ -114,7 +114,7 @@
 
 // HandleReport processes a report and returns the reply. limitOf returns a customer's limit; the reply
 // omits customers without one.
-func (l *Ledger) HandleReport(now Stamp, r Report, limitOf func(customer string) identifier.Limit) Reply {
+func (l *Ledger) HandleReport(now Timestamp, r Report, limitOf func(customer string) identifier.Limit) Reply {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.accounts == nil {
@@ -175,7 +175,7 @@
 }
 
 // instanceRestarted counts the leases of an instance's previous incarnation as used.
-func (l *Ledger) instanceRestarted(now Stamp, instance string) {
+func (l *Ledger) instanceRestarted(now Timestamp, instance string) {
 	for _, a := range l.accounts {
 		if p, ok := a.shares[instance]; ok {
 			a.consume(now, p.leased)
@@ -194,7 +194,7 @@
 }
 
 // account returns a customer's account as of now, which is opened on first use.
-func (l *Ledger) account(now Stamp, customer string, limit identifier.Limit, fleet fleetStatus) *account {
+func (l *Ledger) account(now Timestamp, customer string, limit identifier.Limit, fleet fleetStatus) *account {
 	a, ok := l.accounts[customer]
 	if !ok {
 		a = &account{tokens: initialBurstFraction * l.Tolerance.burst(limit), updatedAt: now, shares: map[string]*instanceShare{}, predecessorRates: map[*reporter]float64{}}
@@ -206,7 +206,7 @@
 }
 
 // advance refills the token bucket and expires leases and instances.
-func (a *account) advance(now Stamp, t Tolerance, fleet fleetStatus) {
+func (a *account) advance(now Timestamp, t Tolerance, fleet fleetStatus) {
 	for name, p := range a.shares {
 		if p.leased > 0 && now > p.leasedUntil {
 			// The holder has been isolated or removed: it may have used them.
@@ -224,14 +224,14 @@
 }
 
 // consume records operations as run now.
-func (a *account) consume(now Stamp, n int) {
+func (a *account) consume(now Timestamp, n int) {
 	a.used.add(now, n)
 	a.tokens -= float64(n)
 }
 
 // consumeReported records reported operations by slot. Those of the last reserved time are not
 // deducted from the balance: the instance's fallback rate was reserved meanwhile.
-func (a *account) consumeReported(now Stamp, used []int, reserved time.Duration) {
+func (a *account) consumeReported(now Timestamp, used []int, reserved time.Duration) {
 	a.used.addList(now, used)
 	for i, n := range used {
 		if slotAge(used, i) >= reserved {
@@ -242,7 +242,7 @@
 
 // addPastUsage records what an instance has reported to other accountants since its last report
 // here.
-func (a *account) addPastUsage(now Stamp, past []int, sinceLastReport time.Duration) {
+func (a *account) addPastUsage(now Timestamp, past []int, sinceLastReport time.Duration) {
 	for i, n := range past {
 		age := slotAge(past, i)
 		if age >= sinceLastReport {
@@ -256,14 +256,14 @@
 }
 
 // available returns how many tokens can be leased now.
-func (a *account) available(now Stamp, t Tolerance, fleet fleetStatus) float64 {
+func (a *account) available(now Timestamp, t Tolerance, fleet fleetStatus) float64 {
 	leased := a.totalLeased()
 	maxTokens := t.leaseLimit(a.limit) * (1 - a.reservedFraction(now, fleet))
 	return min(a.tokens, maxTokens-float64(a.used.sum(now))) - leased
 }
 
 // currentDemand returns the instance's demand. That of an unreachable instance doesn't decay.
-func (p *instanceShare) currentDemand(now Stamp) float64 {
+func (p *instanceShare) currentDemand(now Timestamp) float64 {
 	if p.unreachable(now) {
 		return p.demand
 	}
@@ -271,7 +271,7 @@
 }
 
 // totalDemand returns the requested operations per second on all instances.
-func (a *account) totalDemand(now Stamp) float64 {
+func (a *account) totalDemand(now Timestamp) float64 {
 	var sum float64
 	for _, p := range a.shares {
 		sum += p.currentDemand(now)
@@ -289,7 +289,7 @@
 }
 
 // grant processes one customer's usage report and leases tokens to the instance.
-func (a *account) grant(now Stamp, instance string, from *reporter, s Usage, t Tolerance, fleet fleetStatus, reporters int) Grant {
+func (a *account) grant(now Timestamp, instance string, from *reporter, s Usage, t Tolerance, fleet fleetStatus, reporters int) Grant {
 	p, ok := a.shares[instance]
 	if !ok {
 		p = &instanceShare{reporter: from}
@@ -334,7 +334,7 @@
 }
 
 // Balances returns the current state of all accounts.
-func (l *Ledger) Balances(now Stamp) []Balance {
+func (l *Ledger) Balances(now Timestamp) []Balance {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var list []Balance
--- a/internal/limiter/ledger_test.go
+++ b/internal/limiter/ledger_test.go
@@ -12,7 +12,7 @@
 // testLedger is a ledger with hand-written reports.
 type testLedger struct {
 	ledger *limiter.Ledger
-	now    limiter.Stamp
+	now    limiter.Timestamp
 	limit  identifier.Limit
 	number uint64
 }
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -92,8 +92,8 @@
 )
 
 type (
-	// Stamp is a point in time, as in package tracker.
-	Stamp = tracker.Timestamp
+	// Timestamp is a point in time, as in package tracker.
+	Timestamp = tracker.Timestamp
 
 	// Tolerance is how far a customer may exceed its limit in a window because of distributed
 	// counting.
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -29,7 +29,7 @@
 	// network.
 	fleet struct {
 		random *rand.Rand
-		now    limiter.Stamp
+		now    limiter.Timestamp
 		limit  identifier.Limit
 		nodes  []*node
 		// accountant is the index of the accountant, -1 without one; accounts is its ledger.
@@ -52,18 +52,18 @@
 		isolated    bool
 		paused      bool
 		incarnation uint64
-		sentAt      limiter.Stamp
+		sentAt      limiter.Timestamp
 		waiting     bool
 		// waitingSince are the start times of operations that wait for a lease.
-		waitingSince []limiter.Stamp
+		waitingSince []limiter.Timestamp
 	}
 
 	message struct {
-		deliverAt limiter.Stamp
+		deliverAt limiter.Timestamp
 		node      int
 		// incarnation identifies the node's process; replies to an earlier one are dropped.
 		incarnation uint64
-		sent        limiter.Stamp
+		sent        limiter.Timestamp
 		report      *limiter.Report
 		answer      limiter.Reply
 	}
@@ -120,7 +120,7 @@
 }
 
 // request decides on an operation that was requested at a time.
-func (f *fleet) request(n int, since limiter.Stamp, attempt limiter.Attempt) {
+func (f *fleet) request(n int, since limiter.Timestamp, attempt limiter.Attempt) {
 	x := f.nodes[n]
 	switch v, retryAfter := x.meter.Decide(f.now, "c", f.limit, attempt); v {
 	case limiter.Admit:
--- a/internal/limiter/meter.go
+++ b/internal/limiter/meter.go
@@ -56,17 +56,17 @@
 		accountantIncarnation uint64
 		// lastAcked is when the last acknowledged report was sent, unackedSince when the first
 		// report after it was sent.
-		lastAcked, unackedSince Stamp
+		lastAcked, unackedSince Timestamp
 		// predecessorAcked is when the last report was sent that the previous accountant
 		// acknowledged.
-		predecessorAcked Stamp
+		predecessorAcked Timestamp
 	}
 )
 
 // Decide decides on an operation of a customer. After RequestLease, the caller calls
 // AddWaiters, waits for the reply to a report, and calls Decide again. retryAfter is the delay
 // after which a refused caller may retry.
-func (m *Meter) Decide(now Stamp, name string, limit identifier.Limit, attempt Attempt) (v Decision, retryAfter time.Duration) {
+func (m *Meter) Decide(now Timestamp, name string, limit identifier.Limit, attempt Attempt) (v Decision, retryAfter time.Duration) {
 	if !limit.Limited() {
 		return Admit, 0
 	}
@@ -103,7 +103,7 @@
 }
 
 // Undo takes back an admitted operation that has not run.
-func (m *Meter) Undo(now Stamp, name string) {
+func (m *Meter) Undo(now Timestamp, name string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if c, ok := m.customers[name]; ok {
@@ -113,7 +113,7 @@
 
 // AddWaiters changes the number of operations that wait for a lease: by is 1 when one starts to wait and
 // -1 when it stops.
-func (m *Meter) AddWaiters(now Stamp, name string, by int) {
+func (m *Meter) AddWaiters(now Timestamp, name string, by int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if c, ok := m.customers[name]; ok {
@@ -122,13 +122,13 @@
 }
 
 // isolated reports whether the accountant has not replied within isolationTimeout.
-func (m *Meter) isolated(now Stamp) bool {
+func (m *Meter) isolated(now Timestamp) bool {
 	return m.unackedSince != 0 && m.unackedSince > m.lastAcked && now-m.unackedSince > isolationTimeout
 }
 
 // Due reports whether a report is due, and whether it should be sent before ReportInterval has
 // passed.
-func (m *Meter) Due(now Stamp) (due, soon bool) {
+func (m *Meter) Due(now Timestamp) (due, soon bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, c := range m.customers {
@@ -141,7 +141,7 @@
 }
 
 // NextReport returns the next report for the accountant. An unacknowledged report is repeated.
-func (m *Meter) NextReport(now Stamp) Report {
+func (m *Meter) NextReport(now Timestamp) Report {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.unackedSince <= m.lastAcked {
@@ -176,7 +176,7 @@
 
 // sincePredecessorAck returns the time since the previous accountant acknowledged a report, 0
 // without a previous accountant.
-func (m *Meter) sincePredecessorAck(now Stamp) time.Duration {
+func (m *Meter) sincePredecessorAck(now Timestamp) time.Duration {
 	if m.predecessorAcked == 0 {
 		return 0
 	}
@@ -184,7 +184,7 @@
 }
 
 // resend returns the unacknowledged report with its slots and ages updated to now.
-func (m *Meter) resend(now Stamp) Report {
+func (m *Meter) resend(now Timestamp) Report {
 	r := *m.pending
 	r.SincePredecessorAck = m.sincePredecessorAck(now)
 	r.Usages = slices.Clone(r.Usages)
@@ -202,7 +202,7 @@
 
 // HandleReply processes the reply to the report sent at sent. Leases count from then, so they expire
 // here before they expire at the accountant.
-func (m *Meter) HandleReply(sent Stamp, x Reply) {
+func (m *Meter) HandleReply(sent Timestamp, x Reply) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	// A new incarnation is known once it has acknowledged the past usage.
@@ -241,7 +241,7 @@
 
 // SwitchAccountant switches to another accountant, which has none of this instance's usage. It returns the
 // final report for the previous one.
-func (m *Meter) SwitchAccountant(now Stamp) Report {
+func (m *Meter) SwitchAccountant(now Timestamp) Report {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.accountantIncarnation, m.predecessorAcked = 0, m.lastAcked
@@ -264,7 +264,7 @@
 }
 
 // markReported moves the operations of the acknowledged report to the reported ones.
-func (m *Meter) markReported(now Stamp) {
+func (m *Meter) markReported(now Timestamp) {
 	for _, s := range m.pending.Usages {
 		if c, ok := m.customers[s.Customer]; ok {
 			c.reported.merge(now, &c.inFlight)
--- a/internal/limiter/window.go
+++ b/internal/limiter/window.go
@@ -17,7 +17,7 @@
 }
 
 // add counts n operations that ran at a time.
-func (w *window) add(at Stamp, n int) {
+func (w *window) add(at Timestamp, n int) {
 	slot := int64(at / slotTime)
 	w.roll(slot)
 	if slot > w.newest-Slots {
@@ -37,7 +37,7 @@
 }
 
 // sum returns the operations of the window that ends at now.
-func (w *window) sum(now Stamp) (n int) {
+func (w *window) sum(now Timestamp) (n int) {
 	w.roll(int64(now / slotTime))
 	for _, x := range w.counts {
 		n += x
@@ -47,7 +47,7 @@
 
 // list returns the counts of the window that ends at now, newest last, without leading empty
 // slots.
-func (w *window) list(now Stamp) []int {
+func (w *window) list(now Timestamp) []int {
 	if w.sum(now) == 0 {
 		return nil
 	}
@@ -61,7 +61,7 @@
 }
 
 // addList adds counts as list returns them.
-func (w *window) addList(now Stamp, list []int) {
+func (w *window) addList(now Timestamp, list []int) {
 	for i, n := range list {
 		w.add(now-slotAge(list, i), n)
 	}
@@ -71,10 +71,10 @@
 func slotAge(list []int, i int) time.Duration { return time.Duration(len(list)-1-i) * slotTime }
 
 // merge adds the counts of another window.
-func (w *window) merge(now Stamp, x *window) { w.addList(now, x.list(now)) }
+func (w *window) merge(now Timestamp, x *window) { w.addList(now, x.list(now)) }
 
 // undo removes the newest operation, if any.
-func (w *window) undo(now Stamp) {
+func (w *window) undo(now Timestamp) {
 	w.roll(int64(now / slotTime))
 	for i := range int64(Slots) {
 		if n := &w.counts[(w.newest+Slots-i)%Slots]; *n > 0 {
--- a/internal/pooler/control.go
+++ b/internal/pooler/control.go
@@ -21,7 +21,7 @@
 // it may open a connection or evict an idle one. ErrBusy means that no connection was free in
 // time although the target responds to a probe; without the probe, a dead target whose
 // connections all hang would be reported as busy.
-func (p *Pool) QueryControl(ctx context.Context, address, sql string, u commander.Urgency) ([][][]byte, error) {
+func (p *Pool) QueryControl(ctx context.Context, address, sql string, u commander.Priority) ([][][]byte, error) {
 	rows, err := p.queryWithReserve(ctx, address, sql, u)
 	if errors.Is(err, ErrBusy) {
 		if probeErr := p.probe(ctx, address); probeErr != nil {
@@ -31,7 +31,7 @@
 	return rows, err
 }
 
-func (p *Pool) queryWithReserve(ctx context.Context, address, sql string, u commander.Urgency) ([][][]byte, error) {
+func (p *Pool) queryWithReserve(ctx context.Context, address, sql string, u commander.Priority) ([][][]byte, error) {
 	if deadline, ok := ctx.Deadline(); ok {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, deadline.Add(-probeReserve))
@@ -80,8 +80,8 @@
 // checkoutControl checks out a connection for a control statement. A target is probed before a
 // slot is used for it: orders go to all members, and a frozen one would keep the slot. A waiter
 // keeps its queue position until served, so that orders aren't overtaken.
-func (p *Pool) checkoutControl(ctx context.Context, address string, u commander.Urgency) (*Conn, error) {
-	a := &controlWaiter{address: address, isOrder: u == commander.Order, handoff: make(chan *Conn, 1)}
+func (p *Pool) checkoutControl(ctx context.Context, address string, u commander.Priority) (*Conn, error) {
+	a := &controlWaiter{address: address, isOrder: u == commander.Failover, handoff: make(chan *Conn, 1)}
 	p.addControlWaiter(a)
 	defer p.removeControlWaiter(a)
 	probed := false
@@ -110,7 +110,7 @@
 }
 
 // tryCheckoutControl attempts to get a connection for a control statement.
-func (p *Pool) tryCheckoutControl(a *controlWaiter, u commander.Urgency, probed bool) checkout {
+func (p *Pool) tryCheckoutControl(a *controlWaiter, u commander.Priority, probed bool) checkout {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	a.waiting = false
@@ -135,7 +135,7 @@
 		a.waiting = false
 		return checkout{dial: true}
 	}
-	p.evictOneIdle(func(c *Conn) bool { return u >= commander.Wanted || !slices.Contains(p.wanted, c.Endpoint) })
+	p.evictOneIdle(func(c *Conn) bool { return u >= commander.ClientWaiting || !slices.Contains(p.wanted, c.Endpoint) })
 	return checkout{wait: p.changed}
 }
 
@@ -200,5 +200,5 @@
 func (p *Pool) probe(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, stuckAfter)
 	defer cancel()
-	return commander.Prove(ctx, p.Network, address)
+	return commander.Ping(ctx, p.Network, address)
 }
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -82,7 +82,7 @@
 )
 
 // ErrBusy means that no connection became free in time. It doesn't indicate a target failure.
-var ErrBusy = commander.ErrBusy
+var ErrBusy = commander.ErrNoConnection
 
 // Borrow checks out a connection to the place, or opens one if the share allows.
 func (p *Pool) Borrow(ctx context.Context, place Endpoint) (*Conn, error) {
--- a/internal/prober/judge.go
+++ b/internal/prober/judge.go
@@ -1,106 +1,103 @@
-// Package prober finds connections that have gone silent for good while new
-// ones to the same target work: something between the two ends has lost track
-// of them. The kernel notices that after many minutes; until then a caller
-// waits, and a connection of the group's small budget is lost.
+// Package prober detects dead target connections, as left by a network device that lost
+// their state, much sooner than TCP timeouts do. Until then a client waits and the
+// connection is unavailable to the pool.
 package prober
 
 import "time"
 
 type (
-	// State is what the target says, over a fresh connection, of the old one's
-	// session.
+	// State is the state of a connection's session, as the target reports it over a
+	// new connection.
 	State int
 
-	// Look is what is known of an exchange whose answer has not come.
-	Look struct {
-		// Silent is how long no byte has come.
-		Silent time.Duration
-		// Replaced: the target obeys a newer term than that of the connection,
+	// RequestStatus is the status of a request whose response is outstanding.
+	RequestStatus struct {
+		// SilentFor is the time since the last byte was received.
+		SilentFor time.Duration
+		// Superseded is set when the target accepted a newer term than the connection's,
 		// or a newer term has a primary.
-		Replaced bool
-		// Failing: the target does not answer the observer's questions.
-		Failing bool
-		// Repeatable: the request can be tried on another target.
-		Repeatable bool
-		// State is the newest answer to a probe; Idle counts how many in a row
-		// said that the session has nothing to do.
-		State State
-		Idle  int
-		// Unanswered is how long probes have had no answer either.
-		Unanswered time.Duration
-		// Hold is how long a request may wait for a primary.
-		Hold time.Duration
-		// NextProbe is the silence at which the next probe is due.
+		Superseded bool
+		// TargetUnresponsive is set when the target does not respond to status requests.
+		TargetUnresponsive bool
+		// Retryable is set when the request can be retried on another target.
+		Retryable bool
+		// State is the latest probe result; Idle counts the consecutive results that
+		// found the session idle or absent.
+		State       State
+		IdleReplies int
+		// ProbesFailingFor is how long probes have failed.
+		ProbesFailingFor time.Duration
+		// MaxWait is the longest time that a request may wait for a primary.
+		MaxWait time.Duration
+		// NextProbe is the value of Silent at which the next probe is due.
 		NextProbe time.Duration
 	}
 
-	// Advice is what to do about it.
-	Advice int
+	// Decision is the decision about an outstanding request.
+	Decision int
 )
 
-// The answers to a probe.
+// The results of a probe.
 const (
-	// Unknown: the target has not been asked, or did not answer.
+	// Unknown means that the target was not probed or did not respond.
 	Unknown State = iota
-	// Running: the session works on a statement.
+	// Running means that the session runs a statement.
 	Running
-	// Idle: the session has nothing to do, so it has answered, or never got the
-	// request.
+	// Idle means that the session waits for a statement: it has responded already, or
+	// never received the request.
 	Idle
-	// Absent: the target knows no such session.
+	// Absent means that the target has no such session.
 	Absent
 )
 
-// The advices.
+// The decisions.
 const (
-	Wait Advice = iota
+	Wait Decision = iota
 	Probe
 	GiveUp
 )
 
 const (
-	// Interval is how often a silent exchange is looked at. A look reads memory
-	// only, so it bounds how late a change of primary is noticed, at no cost.
-	Interval = 200 * time.Millisecond
-	// FirstProbe is the silence after which the target is asked. Statements of
-	// the two users take milliseconds; one second keeps probes rare and finds a
-	// silent connection before a person gives up.
-	FirstProbe = time.Second
-	// maxPause bounds the pause between two probes of a long statement.
-	maxPause = 10 * time.Second
-	// idleProof is how many answers in a row must say that the session has
-	// nothing to do: after one, the answer may still be on its way.
-	idleProof = 2
+	// CheckInterval is how often an outstanding request is checked. It bounds the delay
+	// after which a change of primary is noticed.
+	CheckInterval = 200 * time.Millisecond
+	// FirstProbeDelay is how long a connection must be silent before its first probe. It
+	// exceeds the duration of usual statements, so that probes are rare.
+	FirstProbeDelay = time.Second
+	// maxProbeInterval bounds the time between probes of a long statement.
+	maxProbeInterval = 10 * time.Second
+	// minIdleReplies is how many consecutive probes must find the session idle, since a
+	// response may still be in flight after the first.
+	minIdleReplies = 2
 )
 
-// Judge decides about an exchange that is silent.
-func Judge(l Look) Advice {
+// Decide decides whether to keep waiting for a response, probe the target, or give up.
+func Decide(l RequestStatus) Decision {
 	switch {
-	case l.Replaced:
-		// A majority obeys the newer term: the answer could not be used.
+	case l.Superseded:
+		// A majority accepted the newer term, so a response could not be used.
 		return GiveUp
-	case l.Failing && l.Repeatable:
+	case l.TargetUnresponsive && l.Retryable:
 		return GiveUp
-	case l.Idle >= idleProof:
+	case l.IdleReplies >= minIdleReplies:
 		return GiveUp
-	case l.Unanswered > 0 && l.Unanswered >= l.Hold:
-		// Neither the target nor a new primary has come for as long as any
-		// request may wait.
+	case l.ProbesFailingFor > 0 && l.ProbesFailingFor >= l.MaxWait:
+		// The target did not respond and no new primary appeared within the hold time.
 		return GiveUp
-	case l.Silent >= l.NextProbe:
+	case l.SilentFor >= l.NextProbe:
 		return Probe
 	}
 	return Wait
 }
 
-// Next returns the silence at which the following probe is due. While sessions
-// run, probes become rarer; a session that seems idle is asked again at once.
-func Next(silent time.Duration, s State) time.Duration {
+// NextProbe returns the value of Silent at which the next probe is due. The interval grows while
+// the session runs a statement; an idle or absent session is probed again soon.
+func NextProbe(silent time.Duration, s State) time.Duration {
 	switch s {
 	case Idle, Absent:
-		return silent + Interval
+		return silent + CheckInterval
 	case Running:
-		return silent + min(silent, maxPause)
+		return silent + min(silent, maxProbeInterval)
 	}
-	return silent + FirstProbe
+	return silent + FirstProbeDelay
 }
--- a/internal/prober/judge_test.go
+++ b/internal/prober/judge_test.go
@@ -11,25 +11,25 @@
 func TestJudge(t *testing.T) {
 	const hold = 10 * time.Second
 	for name, c := range map[string]struct {
-		look prober.Look
-		want prober.Advice
+		look prober.RequestStatus
+		want prober.Decision
 	}{
-		"a short silence":  {prober.Look{Silent: 200 * time.Millisecond}, prober.Wait},
-		"a long one":       {prober.Look{Silent: time.Second}, prober.Probe},
-		"a long statement": {prober.Look{Silent: 3 * time.Second, State: prober.Running, NextProbe: 4 * time.Second}, prober.Wait},
-		"idle once: the answer may be on its way": {prober.Look{Silent: time.Second, State: prober.Idle, Idle: 1, NextProbe: 1200 * time.Millisecond}, prober.Wait},
-		"idle twice":      {prober.Look{Silent: 1200 * time.Millisecond, State: prober.Idle, Idle: 2}, prober.GiveUp},
-		"a newer primary": {prober.Look{Silent: 200 * time.Millisecond, Replaced: true}, prober.GiveUp},
-		"a frozen target, and the request can move":   {prober.Look{Silent: time.Second, Failing: true, Repeatable: true}, prober.GiveUp},
-		"a frozen target, and the request is a write": {prober.Look{Silent: time.Second, Failing: true, NextProbe: 2 * time.Second}, prober.Wait},
-		"a frozen target for longer than any hold":    {prober.Look{Silent: 11 * time.Second, Failing: true, Unanswered: hold, NextProbe: 12 * time.Second}, prober.GiveUp},
+		"short silence":                        {prober.RequestStatus{SilentFor: 200 * time.Millisecond}, prober.Wait},
+		"long silence":                         {prober.RequestStatus{SilentFor: time.Second}, prober.Probe},
+		"long statement":                       {prober.RequestStatus{SilentFor: 3 * time.Second, State: prober.Running, NextProbe: 4 * time.Second}, prober.Wait},
+		"idle once, response may be in flight": {prober.RequestStatus{SilentFor: time.Second, State: prober.Idle, IdleReplies: 1, NextProbe: 1200 * time.Millisecond}, prober.Wait},
+		"idle twice":                           {prober.RequestStatus{SilentFor: 1200 * time.Millisecond, State: prober.Idle, IdleReplies: 2}, prober.GiveUp},
+		"newer primary":                        {prober.RequestStatus{SilentFor: 200 * time.Millisecond, Superseded: true}, prober.GiveUp},
+		"hung target, retryable request":       {prober.RequestStatus{SilentFor: time.Second, TargetUnresponsive: true, Retryable: true}, prober.GiveUp},
+		"hung target, write":                   {prober.RequestStatus{SilentFor: time.Second, TargetUnresponsive: true, NextProbe: 2 * time.Second}, prober.Wait},
+		"hung target beyond the hold time":     {prober.RequestStatus{SilentFor: 11 * time.Second, TargetUnresponsive: true, ProbesFailingFor: hold, NextProbe: 12 * time.Second}, prober.GiveUp},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c.look.Hold = hold
+			c.look.MaxWait = hold
 			if c.look.NextProbe == 0 {
-				c.look.NextProbe = prober.FirstProbe
+				c.look.NextProbe = prober.FirstProbeDelay
 			}
-			must.Eq(t, c.want, prober.Judge(c.look))
+			must.Eq(t, c.want, prober.Decide(c.look))
 		})
 	}
 }
--- a/internal/promoter/performer.go
+++ b/internal/promoter/performer.go
@@ -62,7 +62,7 @@
 	o := OrderResult{Order: a, Started: time.Now()}
 	switch a.Kind {
 	case OrderStatus:
-		ctx = commander.WithOrder(ctx)
+		ctx = commander.WithFailover(ctx)
 		o.Status, o.Err = p.Commander.Status(ctx, a.Address)
 	case OrderFence:
 		o.Status, o.Err = p.Commander.Fence(ctx, a.Address, a.Term, a.Owner)
--- a/internal/promoter/slice_test.go
+++ b/internal/promoter/slice_test.go
@@ -226,7 +226,7 @@
 		orders := h.takeOrders(promoter.OrderPromote)
 		must.MapLen(t, 1, orders)
 		must.MapContainsKey(t, orders, "m-2")
-		h.answer(orders["m-2"], commander.Status{}, commander.ErrSilent)
+		h.answer(orders["m-2"], commander.Status{}, commander.ErrTimeout)
 	}
 	h.actions = nil
 	h.advance(4 * time.Second)
--- /dev/null
+++ b/internal/relayer/outcome.go
@@ -0,0 +1,50 @@
+package relayer
+
+import "github.com/oriolegw/oriolegw/pkg/refuser"
+
+// requestState is what is known of a request without a complete answer. The outcome reported to
+// the caller derives from it alone: a wrong "not run" makes callers repeat writes.
+type requestState struct {
+	// written: part of the request may have reached the target.
+	written bool
+	// replica: the target rejects writes.
+	replica bool
+	// pure: no statement has side effects.
+	pure bool
+	// inTransaction: an earlier request began the transaction. The target rolls it back when
+	// the connection closes.
+	inTransaction bool
+	// mayCommit: some statement may commit a transaction.
+	mayCommit bool
+	// committed: the target reported a commit before the connection was lost.
+	committed bool
+	// rejected: the target reported that it did not run the request and rolled the transaction
+	// back.
+	rejected bool
+}
+
+// outcome returns what is certain about the request.
+func (f requestState) outcome() refuser.Outcome {
+	switch {
+	case !f.written:
+		return refuser.NotRun
+	case f.committed:
+		return refuser.Unknown
+	case f.rejected, f.replica, f.pure:
+		return refuser.NotRun
+	case f.inTransaction && !f.mayCommit:
+		return refuser.NotRun
+	}
+	return refuser.Unknown
+}
+
+// reason returns the refusal for a request that won't be retried.
+func (f requestState) reason() *refuser.Reason {
+	switch {
+	case f.outcome() == refuser.Unknown:
+		return refuser.ConnectionLost
+	case f.inTransaction:
+		return refuser.TransactionLost
+	}
+	return refuser.ReadLost
+}
--- a/internal/reporter/reporter.go
+++ b/internal/reporter/reporter.go
@@ -49,7 +49,7 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	return networker.ServePages(ctx, p.Network, p.Address, &http.Server{Handler: p.Handler(), ReadHeaderTimeout: headerTimeout})
+	return networker.ServeHTTP(ctx, p.Network, p.Address, &http.Server{Handler: p.Handler(), ReadHeaderTimeout: headerTimeout})
 }
 
 // Handler returns the pages.
--- a/internal/router/asker.go
+++ b/internal/router/asker.go
@@ -55,7 +55,7 @@
 	var out []controller.Action
 	for i, m := range g.Service.Members {
 		if g.Members[i].Failures == 0 {
-			out = append(out, observer.Ask{Service: g.Service.Name, Member: m, Wanted: true})
+			out = append(out, observer.Poll{Service: g.Service.Name, Member: m, ClientWaiting: true})
 		}
 	}
 	return out
--- a/internal/router/table.go
+++ b/internal/router/table.go
@@ -27,7 +27,7 @@
 		Replaced chan struct{}
 
 		// shards hold the groups, so that a change copies the map of one shard only.
-		shards [observer.Shards]map[string]*Group
+		shards [observer.ShardCount]map[string]*Group
 	}
 
 	// Group is the known state of one group.
@@ -160,7 +160,7 @@
 		}
 		next := g.clone()
 		n := &next.Members[i]
-		if errors.Is(e.Err, commander.ErrBusy) {
+		if errors.Is(e.Err, commander.ErrNoConnection) {
 			return false // the query was never sent
 		}
 		if e.Err != nil {
--- a/internal/runner/callers.go
+++ b/internal/runner/callers.go
@@ -6,15 +6,15 @@
 	"time"
 
 	"github.com/go-faster/errors"
+	"github.com/oriolegw/oriolegw/internal/acceptor"
 	"github.com/oriolegw/oriolegw/internal/controller"
 	"github.com/oriolegw/oriolegw/internal/drainer"
-	"github.com/oriolegw/oriolegw/internal/greeter"
 	"github.com/oriolegw/oriolegw/internal/loader"
 	"github.com/oriolegw/oriolegw/internal/reporter"
 )
 
 // statusPages returns the HTTP status pages, and registers the gauges that they show.
-func (i *Instance) statusPages(ctx context.Context, control *controller.Controller, clients *greeter.Greeter) *reporter.Pages {
+func (i *Instance) statusPages(ctx context.Context, control *controller.Controller, clients *acceptor.Greeter) *reporter.Pages {
 	if i.Register != nil {
 		tags := map[string]string{reporter.TagInstance: i.Settings.Name}
 		i.Register.Watch(reporter.GaugeCallers, tags, func() float64 { return float64(clients.Callers()) })
@@ -42,21 +42,21 @@
 }
 
 // newGreeter returns the listener for client connections.
-func (i *Instance) newGreeter() (*greeter.Greeter, error) {
-	g := &greeter.Greeter{
+func (i *Instance) newGreeter() (*acceptor.Greeter, error) {
+	g := &acceptor.Greeter{
 		Address: i.Settings.Callers, Network: i.Network, Log: i.Log, Open: i.openSession, Cancel: i.cancelRequest,
-		Authentication: i.Settings.Authentication, Mode: i.Settings.Encryption.Mode,
+		Authentication: i.Settings.Authentication, EncryptionMode: i.Settings.Encryption.Mode,
 		Verifier: i.passwordVerifier, Limits: i.Settings.Limits,
 		Count: func(n string) { i.Metrics.Counter(n).Inc(1) },
 	}
-	if g.Mode == loader.EncryptionOff || g.Mode == "" {
+	if g.EncryptionMode == loader.EncryptionOff || g.EncryptionMode == "" {
 		return g, nil
 	}
 	certificate, err := tls.LoadX509KeyPair(i.Settings.Encryption.Certificate, i.Settings.Encryption.Key)
 	if err != nil {
 		return nil, errors.Wrap(err, "load the TLS certificate for clients")
 	}
-	g.TLS = &tls.Config{GetCertificate: greeter.Certificate(certificate), MinVersion: tls.VersionTLS12}
+	g.TLS = &tls.Config{GetCertificate: acceptor.Certificate(certificate), MinVersion: tls.VersionTLS12}
 	return g, nil
 }
 
--- a/internal/runner/drain.go
+++ b/internal/runner/drain.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/oriolegw/oriolegw/internal/acceptor"
 	"github.com/oriolegw/oriolegw/internal/controller"
 	"github.com/oriolegw/oriolegw/internal/drainer"
-	"github.com/oriolegw/oriolegw/internal/greeter"
 	"github.com/oriolegw/oriolegw/internal/loader"
 	"github.com/oriolegw/oriolegw/internal/relayer"
 )
@@ -15,21 +15,21 @@
 // drain implements the graceful shutdown of the instance, as decided by drainer.Leaver.
 type drain struct {
 	instance     *Instance
-	clientLeaver relayer.Leaver
+	clientLeaver relayer.Drainer
 	leaving      atomic.Bool
 	drained      atomic.Bool
-	clients      *greeter.Greeter
+	clients      *acceptor.Greeter
 	stop         context.CancelFunc
 }
 
 // initialize prepares the drain and returns the slice that decides its steps.
-func (d *drain) initialize(i *Instance, clients *greeter.Greeter, stop context.CancelFunc) controller.Slice {
+func (d *drain) initialize(i *Instance, clients *acceptor.Greeter, stop context.CancelFunc) controller.Slice {
 	d.instance, d.clients, d.stop = i, clients, stop
 	limit := i.Settings.Limits.DrainTimeout
 	if limit == 0 {
 		limit = loader.DefaultDrainTimeout
 	}
-	return &drainer.Leaver{Limit: limit}
+	return &drainer.InstanceDrainer{Limit: limit}
 }
 
 // Step implements controller.Slice. It logs and counts the decisions.
@@ -40,8 +40,8 @@
 			_ = d.instance.Log.Log("part", "drain", "msg", "Instance is draining.")
 		}
 	case drainer.Stopping:
-		d.instance.Metrics.Counter("drain.cut").Inc(int64(e.Cut))
-		_ = d.instance.Log.Log("part", "drain", "msg", "Instance is stopping.", "cut", e.Cut)
+		d.instance.Metrics.Counter("drain.cut").Inc(int64(e.Disconnected))
+		_ = d.instance.Log.Log("part", "drain", "msg", "Instance is stopping.", "cut", e.Disconnected)
 	}
 	return nil
 }
@@ -51,7 +51,7 @@
 	switch a.(type) {
 	case drainer.StopAccepting:
 		d.clients.StopAccepting()
-		d.clientLeaver.Leave()
+		d.clientLeaver.Drain()
 	case drainer.CountCallers:
 		return drainer.CallersLeft{Callers: d.clients.Callers()}, true
 	case drainer.Stop:
--- a/internal/runner/peers.go
+++ b/internal/runner/peers.go
@@ -189,7 +189,7 @@
 		return nil, false
 	}
 	p.client.Links.CloseIdle(time.Now())
-	return observer.Used{Services: p.instance.usedServices()}, true
+	return observer.ServicesInUse{Services: p.instance.usedServices()}, true
 }
 
 // Step implements controller.Slice.
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -56,7 +56,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	members := &commander.Postgres{Network: i.Network, Application: i.Settings.Name, Source: i.runControlStatement}
+	members := &commander.Postgres{Network: i.Network, Application: i.Settings.Name, Pooled: i.runControlStatement}
 	defer members.Close()
 	control := &controller.Controller{}
 	peers := i.newPeers(control.Post)
@@ -64,9 +64,9 @@
 	*control = controller.Controller{
 		Slices: append(peers.slices(), &router.Slice{Published: &i.table}),
 		Performers: append(peers.performers(),
-			&observer.Asker{Commander: members},
+			&observer.Poller{Commander: members},
 		),
-		Unknown: func(a controller.Action) {
+		OnUnknownAction: func(a controller.Action) {
 			_ = i.Log.Log("part", "control", "msg", "No performer for an action.", "action", a.ActionName())
 		},
 	}
@@ -110,7 +110,7 @@
 		i.Metrics = tally.NoopScope
 	}
 	reporter.Declare(i.Metrics)
-	return i.sealer.Check()
+	return i.sealer.Validate()
 }
 
 // openSession creates the session of a client, or returns why it is refused.
--- a/internal/runner/sessions.go
+++ b/internal/runner/sessions.go
@@ -33,18 +33,18 @@
 // initSession sets the fields of a session that refer to the instance, and registers its
 // cancel key.
 func (i *Instance) initSession(s *relayer.Session, parameters map[string]string) *refuser.Refusal {
-	s.Settle(parameters)
+	s.ApplyStartupParameters(parameters)
 	s.Connected = time.Now()
 	s.HasToken = parameters[relayer.ParameterToken] != ""
-	s.Leaver, s.Home = &i.drain.clientLeaver, router.PreferenceSeed(i.Settings.Name)
+	s.Drainer, s.PreferenceSeed = &i.drain.clientLeaver, router.PreferenceSeed(i.Settings.Name)
 	s.Explainer, s.Prober = &i.sessions.explainer, &i.sessions.prober
-	s.Want = func(service string) { i.sessions.post(router.WatermarkWanted{Service: service}) }
+	s.RequestWatermark = func(service string) { i.sessions.post(router.WatermarkWanted{Service: service}) }
 	key, err := i.sessions.cancels.Add(s)
 	if err != nil {
 		return refuser.New(refuser.TooManySessions, "%v", err)
 	}
 	s.Network, s.PID, s.Secret = i.Network, key.PID, key.Secret
-	s.Ended = func() { i.sessions.cancels.Remove(key) }
+	s.OnEnd = func() { i.sessions.cancels.Remove(key) }
 	return nil
 }
 
--- a/internal/standin/keeper/keeper.go
+++ b/internal/standin/keeper/keeper.go
@@ -38,7 +38,7 @@
 // Run serves until the context ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	_ = k.Log.Log("part", "platform", "msg", "Store and instance list begin to be served.", "address", k.Address)
-	return networker.ServePages(ctx, k.Network, k.Address, &http.Server{Handler: k.Handler()})
+	return networker.ServeHTTP(ctx, k.Network, k.Address, &http.Server{Handler: k.Handler()})
 }
 
 // Handler returns the HTTP interface, fault switches included.
--- a/internal/standin/mesher/mesher.go
+++ b/internal/standin/mesher/mesher.go
@@ -199,7 +199,7 @@
 		return
 	}
 	n.mesh.Counts.Events++
-	for _, a := range controller.Turn(n.Slices, n.mesh.Now, e) {
+	for _, a := range controller.Dispatch(n.Slices, n.mesh.Now, e) {
 		n.perform(a)
 	}
 }
@@ -278,7 +278,7 @@
 	if n.Dead {
 		return
 	}
-	var u observer.Used
+	var u observer.ServicesInUse
 	if f := n.mesh.Plan.Used; f != nil {
 		u.Services = f(n)
 	} else if d := n.mesh.Plan.Document; d != nil {
--- a/internal/standin/mesher/mesher_test.go
+++ b/internal/standin/mesher/mesher_test.go
@@ -275,7 +275,7 @@
 
 func onObservers(m *mesher.Mesh, f func(*mesher.Node)) {
 	for _, z := range zones {
-		for _, i := range observer.Of(observer.Shard("service-1"), z, m.List) {
+		for _, i := range observer.ShardObservers(observer.Shard("service-1"), z, m.List) {
 			f(m.Node(i.Name))
 		}
 	}
--- a/internal/standin/mesher/performer.go
+++ b/internal/standin/mesher/performer.go
@@ -48,7 +48,7 @@
 		n.exchange(a)
 	case gossiper.Announce:
 		n.announce(a)
-	case observer.Ask:
+	case observer.Poll:
 		n.ask(a)
 	}
 }
@@ -170,7 +170,7 @@
 }
 
 // ask answers for a target, whose log grows by an entry each millisecond.
-func (n *Node) ask(a observer.Ask) {
+func (n *Node) ask(a observer.Poll) {
 	m, started := n.mesh, n.mesh.Now
 	n.Asked++
 	m.Counts.Questions++
--- a/internal/standin/platformer/platformer.go
+++ b/internal/standin/platformer/platformer.go
@@ -53,7 +53,7 @@
 
 // Run serves until the context ends.
 func (p *Platform) Run(ctx context.Context) error {
-	return networker.ServePages(ctx, p.Network, p.Address, &http.Server{Handler: p.Handler()})
+	return networker.ServeHTTP(ctx, p.Network, p.Address, &http.Server{Handler: p.Handler()})
 }
 
 // Handler returns the HTTP interface.
--- a/internal/standin/replicator/control_test.go
+++ b/internal/standin/replicator/control_test.go
@@ -146,12 +146,12 @@
 		{"replicas tell how long ago they heard the primary", func(b *bench) {
 			s, err := b.orders.Status(b.ctx, b.members[1].Address)
 			must.NoError(b.t, err)
-			must.Between(b.t, 0, s.Heard, 250*time.Millisecond)
+			must.Between(b.t, 0, s.LastMessageAge, 250*time.Millisecond)
 			b.members[0].Faults.Freeze()
 			time.Sleep(time.Second)
 			s, err = b.orders.Status(b.ctx, b.members[1].Address)
 			must.NoError(b.t, err)
-			must.Greater(b.t, 700*time.Millisecond, s.Heard)
+			must.Greater(b.t, 700*time.Millisecond, s.LastMessageAge)
 			b.members[0].Faults.Thaw()
 		}},
 		{"an order meets a silent connection", func(b *bench) {
@@ -168,7 +168,7 @@
 			must.ErrorIs(b.t, err, commander.ErrUnreachable)
 			b.members[1].Faults.Freeze()
 			_, err = b.orders.Status(b.ctx, b.members[1].Address)
-			must.ErrorIs(b.t, err, commander.ErrSilent)
+			must.ErrorIs(b.t, err, commander.ErrTimeout)
 			b.members[1].Faults.Thaw()
 		}},
 	}
--- a/internal/starter/starter.go
+++ b/internal/starter/starter.go
@@ -232,7 +232,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	text := configurer.Encode(&configurer.Document{Services: []configurer.Service{s}})
-	r, err := (&publisher.Publisher{Store: store, Pause: retryInterval}).Publish(ctx, publisher.Published{}, "the fleet's configuration", text)
+	r, err := (&publisher.Publisher{Store: store, RetryInterval: retryInterval}).Publish(ctx, publisher.Published{}, "the fleet's configuration", text)
 	if err != nil {
 		return err
 	}
