--- a/internal/experimenter/experimenter.go
+++ b/internal/experimenter/experimenter.go
@@ -1,6 +1,5 @@
-// Package experimenter sends load to any addresses and counts what comes back:
-// times, outcomes by refusal code, and reads that missed the session's own work.
-// It is a caller like any other: it knows addresses, a service and a driver.
+// Package experimenter is a load generator. It measures latencies, counts outcomes
+// by refusal code, and checks that sessions read their own writes.
 package experimenter
 
 import (
@@ -13,58 +12,58 @@
 )
 
 type (
-	// Experiment is a load. Set the exported fields, then call Run.
+	// Experiment describes a load. Set the exported fields, then call Run.
 	Experiment struct {
-		// Addresses are where callers connect, in turn.
+		// Addresses are the addresses that clients connect to, in turn.
 		Addresses []string
-		// Connect opens a connection; an empty token begins a new session.
+		// Connect opens a connection. An empty token starts a new session.
 		Connect func(ctx context.Context, address, token string) (*pgx.Conn, error)
-		// Workers is how many callers there are.
+		// Workers is the number of concurrent clients.
 		Workers int
-		// Rate is how many requests begin in a second, at random moments, on
-		// whichever caller is free; 0 lets each caller send as fast as it is
-		// answered. With a rate, times are measured from the moment at which a
-		// request should have begun, so that a stall shows in all it delays.
+		// Rate is the number of requests per second, with Poisson arrivals (open
+		// loop); with 0 each client sends its next request after a response
+		// (closed loop). With a rate, latency is measured from the scheduled
+		// start, to avoid coordinated omission.
 		Rate float64
-		// Count and Duration end the experiment; at least one is set.
+		// Count and Duration limit the experiment. At least one must be set.
 		Count    int
 		Duration time.Duration
-		// Writes is the share of requests that write, from 0 to 1.
+		// Writes is the fraction of requests that write, from 0 to 1.
 		Writes float64
-		// Kinds are the kinds of reads with their weights; none sends reads
-		// that name no kind.
+		// Kinds are the kinds of reads with their weights. If empty, reads have
+		// no kind.
 		Kinds []Kind
-		// Own is the share of reads that look at the session's own work; the
-		// others look at one of Keys shared keys.
+		// Own is the fraction of reads of the session's own key. The others read
+		// one of the shared keys.
 		Own float64
-		// Keys is how many shared keys there are; Skew above 1 makes some of
-		// them far more frequent than others, 0 makes all alike.
+		// Keys is the number of shared keys. Skew is the Zipf exponent of their
+		// distribution, above 1; 0 selects a uniform distribution.
 		Keys int
 		Skew float64
-		// Roam is the chance that a session moves to another address after a
-		// request, with its token if Token is set.
+		// Roam is the probability that a session reconnects to the next address
+		// after a request, with its token if Token is set.
 		Roam  float64
 		Token bool
 		Seed  uint64
 	}
 
-	// Kind is a kind of read.
+	// Kind is a kind of read, sent with a probability proportional to its weight.
 	Kind struct {
 		Name   string
 		Weight int
 	}
 
-	// order is one request that a caller is to send.
-	order struct {
+	// scheduledRequest is one request to send. A zero due time means at once.
+	scheduledRequest struct {
 		due time.Time
 	}
 )
 
-// queue is how many requests may wait for a free caller; more are counted as
-// not begun.
-const queue = 10000
+// queueCapacity is the number of requests that may wait for a client. Requests
+// beyond it are dropped and counted as missed.
+const queueCapacity = 10000
 
-// Check reports the first field that makes no sense.
+// Check returns an error for the first invalid field.
 func (e *Experiment) Check() error {
 	switch {
 	case len(e.Addresses) == 0:
@@ -74,7 +73,7 @@
 	case e.Count <= 0 && e.Duration <= 0:
 		return errors.New("count or duration must be set")
 	case e.Writes < 0 || e.Writes > 1 || e.Own < 0 || e.Own > 1 || e.Roam < 0 || e.Roam > 1:
-		return errors.New("shares and chances are from 0 to 1")
+		return errors.New("fractions and probabilities must be from 0 to 1")
 	case e.Skew != 0 && e.Skew <= 1:
 		return errors.New("skew: want 0, or more than 1")
 	case e.Keys < 1:
@@ -88,7 +87,7 @@
 	return nil
 }
 
-// Run carries the experiment out.
+// Run runs the experiment and returns the merged results of all clients.
 func (e *Experiment) Run(ctx context.Context) (*Report, error) {
 	if err := e.Check(); err != nil {
 		return nil, err
@@ -98,15 +97,15 @@
 		ctx, cancel = context.WithTimeout(ctx, e.Duration)
 		defer cancel()
 	}
-	orders := make(chan order, queue)
+	requests := make(chan scheduledRequest, queueCapacity)
 	began := time.Now()
 	ended := make(chan *Report, e.Workers)
 	for n := range e.Workers {
-		c := newCaller(e, n)
-		go func() { ended <- c.run(ctx, orders) }()
+		c := newClient(e, n)
+		go func() { ended <- c.run(ctx, requests) }()
 	}
-	missed := e.feed(ctx, orders)
-	close(orders)
+	missed := e.schedule(ctx, requests)
+	close(requests)
 	total := newReport()
 	for range e.Workers {
 		total.merge(<-ended)
@@ -115,14 +114,14 @@
 	return total, nil
 }
 
-// feed hands out the requests and returns how many no caller was free for.
-func (e *Experiment) feed(ctx context.Context, orders chan<- order) (missed int) {
+// schedule queues the requests and returns the number dropped because the queue was full.
+func (e *Experiment) schedule(ctx context.Context, requests chan<- scheduledRequest) (missed int) {
 	random := rand.New(rand.NewPCG(e.Seed, 0))
 	due := time.Now()
 	for n := 0; (e.Count <= 0 || n < e.Count) && ctx.Err() == nil; n++ {
 		if e.Rate <= 0 {
 			select {
-			case orders <- order{}:
+			case requests <- scheduledRequest{}:
 			case <-ctx.Done():
 			}
 			continue
@@ -132,7 +131,7 @@
 			break
 		}
 		select {
-		case orders <- order{due: due}:
+		case requests <- scheduledRequest{due: due}:
 		default:
 			missed++
 		}
@@ -140,8 +139,8 @@
 	return missed
 }
 
-func sleepUntil(ctx context.Context, at time.Time) bool {
-	return sleep(ctx, time.Until(at))
+func sleepUntil(ctx context.Context, deadline time.Time) bool {
+	return sleep(ctx, time.Until(deadline))
 }
 
 func sleep(ctx context.Context, d time.Duration) bool {
--- a/internal/experimenter/experimenter_test.go
+++ b/internal/experimenter/experimenter_test.go
@@ -13,9 +13,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// on runs an experiment on a staged fleet. Each connection first runs meddle, if
-// there is any, behind the experiment's back.
-func on(t *testing.T, e experimenter.Experiment, meddle string, check func(*testing.T, *experimenter.Report)) {
+// runOnFleet runs an experiment on a simulated fleet. Each new connection first runs
+// the statement tamper, if any, which the experiment does not know of.
+func runOnFleet(t *testing.T, e experimenter.Experiment, tamper string, check func(*testing.T, *experimenter.Report)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
@@ -23,7 +23,7 @@
 		must.NoError(t, err)
 		defer func() {
 			f.Close()
-			time.Sleep(20 * time.Second) // pgx ends given up connections by itself
+			time.Sleep(20 * time.Second) // pgx closes abandoned connections in the background
 		}()
 		must.NoError(t, f.Ready(ctx))
 		entries := map[string]*stager.Entry{}
@@ -37,8 +37,8 @@
 				parameters["oriole.token"] = token
 			}
 			c, err := f.Connect(ctx, entries[address], stager.DefaultService, parameters)
-			if err == nil && meddle != "" {
-				_, err = c.Exec(ctx, meddle)
+			if err == nil && tamper != "" {
+				_, err = c.Exec(ctx, tamper)
 			}
 			return c, err
 		}
@@ -48,38 +48,37 @@
 	})
 }
 
-// Sessions that move after every other request, with their tokens, see their
-// own work; every request is counted once.
+// Sessions that reconnect elsewhere with their token read their own writes, and
+// every request is counted once.
 func TestRoamingSessions(t *testing.T) {
 	e := experimenter.Experiment{Workers: 4, Count: 400, Writes: 0.3, Own: 1, Keys: 10, Roam: 0.5, Token: true, Seed: 7}
-	on(t, e, "", func(t *testing.T, r *experimenter.Report) {
+	runOnFleet(t, e, "", func(t *testing.T, r *experimenter.Report) {
 		must.Eq(t, 400, r.Total("ok"))
 		must.NoError(t, r.Err())
 		must.Greater(t, 50, r.Classes["connect"].Outcomes["ok"])
 	})
 }
 
-// The checks see what they are there for: work that is gone, and a write that ran
-// more often than its caller was told.
-func TestBrokenPromisesAreSeen(t *testing.T) {
-	for what, want := range map[string]string{"-1": "missed", "1": "more often"} {
+// Lost writes and writes that ran twice are reported.
+func TestViolationsAreReported(t *testing.T) {
+	for delta, want := range map[string]string{"-1": "missed", "1": "more often"} {
 		t.Run(want, func(t *testing.T) {
 			e := experimenter.Experiment{Workers: 1, Count: 50, Writes: 0.3, Own: 1, Keys: 10, Roam: 0.5, Token: true, Seed: 9}
-			meddle := "UPDATE ledger SET value = value + " + what + " WHERE key = 'session-9-0'"
-			on(t, e, meddle, func(t *testing.T, r *experimenter.Report) {
+			tamper := "UPDATE ledger SET value = value + " + delta + " WHERE key = 'session-9-0'"
+			runOnFleet(t, e, tamper, func(t *testing.T, r *experimenter.Report) {
 				must.ErrorContains(t, r.Err(), want)
 			})
 		})
 	}
 }
 
-// With a rate the load takes the time it should, and kinds are counted apart.
+// A rate limits the load, and each kind of read is reported separately.
 func TestRate(t *testing.T) {
 	e := experimenter.Experiment{
 		Workers: 8, Count: 500, Rate: 100, Keys: 10, Skew: 1.2, Seed: 3,
 		Kinds: []experimenter.Kind{{Name: "past-sheets", Weight: 3}, {Name: "sign-off", Weight: 1}},
 	}
-	on(t, e, "", func(t *testing.T, r *experimenter.Report) {
+	runOnFleet(t, e, "", func(t *testing.T, r *experimenter.Report) {
 		must.Eq(t, 500, r.Total("ok"))
 		must.Between(t, 4*time.Second, r.Elapsed, 6*time.Second)
 		must.Greater(t, r.Classes["read-sign-off"].Outcomes["ok"], r.Classes["read-past-sheets"].Outcomes["ok"])
@@ -90,8 +89,8 @@
 }
 
 func TestCheck(t *testing.T) {
-	good := experimenter.Experiment{Addresses: []string{"a"}, Workers: 1, Count: 1, Keys: 1}
-	must.NoError(t, good.Check())
+	valid := experimenter.Experiment{Addresses: []string{"a"}, Workers: 1, Count: 1, Keys: 1}
+	must.NoError(t, valid.Check())
 	for want, change := range map[string]func(*experimenter.Experiment){
 		"no addresses":      func(e *experimenter.Experiment) { e.Addresses = nil },
 		"workers":           func(e *experimenter.Experiment) { e.Workers = 0 },
@@ -101,7 +100,7 @@
 		`kind "a"`:          func(e *experimenter.Experiment) { e.Kinds = []experimenter.Kind{{Name: "a"}} },
 	} {
 		t.Run(want, func(t *testing.T) {
-			e := good
+			e := valid
 			change(&e)
 			must.ErrorContains(t, e.Check(), want)
 		})
--- a/internal/experimenter/report.go
+++ b/internal/experimenter/report.go
@@ -12,26 +12,27 @@
 )
 
 type (
-	// Report is what an experiment saw.
+	// Report holds the results of an experiment.
 	Report struct {
-		// Classes are the requests by class: connect, write, read or
+		// Classes has the results by class of request: connect, write, read or
 		// read-KIND.
 		Classes map[string]*Class
-		// Stale counts reads that missed the session's own acknowledged work.
+		// Stale counts reads that missed an acknowledged write of their own session.
 		Stale int
-		// Doubled counts reads that showed more writes than had been
-		// acknowledged or left unknown.
+		// Doubled counts reads that showed more writes than were acknowledged
+		// or of unknown outcome.
 		Doubled int
-		// Missed counts requests that no caller was free for.
+		// Missed counts requests dropped because the queue was full.
 		Missed  int
 		Elapsed time.Duration
 	}
 
-	// Class is what was seen of one class of requests.
+	// Class holds the results of one class of requests.
 	Class struct {
-		// Times are those of the requests that went well, in microseconds.
+		// Times has the latencies of successful requests, in microseconds.
 		Times *hdrhistogram.Histogram
-		// Outcomes counts by outcome; see the package's constants.
+		// Outcomes counts requests by outcome: ok, CODE-OUTCOME for a refusal,
+		// an SQLSTATE, or connection.
 		Outcomes map[string]int
 	}
 )
@@ -39,9 +40,9 @@
 const (
 	outcomeOK = "ok"
 
-	minTime = 1
-	maxTime = 10 * 60 * 1000 * 1000 // microseconds
-	digits  = 3
+	minLatency        = 1
+	maxLatency        = 10 * 60 * 1000 * 1000 // microseconds
+	significantDigits = 3
 )
 
 func newReport() *Report { return &Report{Classes: map[string]*Class{}} }
@@ -49,16 +50,16 @@
 func (r *Report) class(name string) *Class {
 	c := r.Classes[name]
 	if c == nil {
-		c = &Class{Times: hdrhistogram.New(minTime, maxTime, digits), Outcomes: map[string]int{}}
+		c = &Class{Times: hdrhistogram.New(minLatency, maxLatency, significantDigits), Outcomes: map[string]int{}}
 		r.Classes[name] = c
 	}
 	return c
 }
 
-func (c *Class) note(took time.Duration, outcome string) {
+func (c *Class) record(took time.Duration, outcome string) {
 	c.Outcomes[outcome]++
 	if outcome == outcomeOK {
-		_ = c.Times.RecordValue(min(max(took.Microseconds(), minTime), maxTime))
+		_ = c.Times.RecordValue(min(max(took.Microseconds(), minLatency), maxLatency))
 	}
 }
 
@@ -75,18 +76,18 @@
 	r.Missed += o.Missed
 }
 
-// Err tells which promise the callers saw broken; nil for none.
+// Err returns an error if a consistency guarantee was violated.
 func (r *Report) Err() error {
 	switch {
 	case r.Stale > 0:
-		return errors.Errorf("%d reads missed their session's own work", r.Stale)
+		return errors.Errorf("%d reads missed acknowledged writes of their own session", r.Stale)
 	case r.Doubled > 0:
-		return errors.Errorf("%d reads showed a write that ran more often than its caller was told", r.Doubled)
+		return errors.Errorf("%d reads showed writes that ran more often than acknowledged", r.Doubled)
 	}
 	return nil
 }
 
-// Total returns how many requests ended with the outcome, connects left out.
+// Total returns the number of requests with the outcome, excluding connects.
 func (r *Report) Total(outcome string) int {
 	n := 0
 	for name, c := range r.Classes {
@@ -97,7 +98,7 @@
 	return n
 }
 
-// Write prints one line a figure: "name value unit".
+// Write prints one result per line as "name value unit".
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "elapsed %.3f s\n", r.Elapsed.Seconds())
 	fmt.Fprintf(w, "rate %.1f requests/s\n", float64(r.Total(outcomeOK))/max(r.Elapsed.Seconds(), 1e-9))
--- a/internal/reporter/metrics.go
+++ b/internal/reporter/metrics.go
@@ -15,17 +15,17 @@
 )
 
 type (
-	// Metric describes a counter or gauge for docs/METRICS.md. Names have dots
-	// in the code; the page shows them as oriolegw_ and underscores.
+	// Metric describes a metric for docs/METRICS.md. Names are dotted; PageName
+	// converts them to Prometheus names.
 	Metric struct {
 		Name string
 		Kind string
 		Text string
 	}
 
-	// Register keeps what a tally scope reports and writes it as a page in the
-	// text format of Prometheus. The zero value is ready for use. It implements
-	// tally.CachedStatsReporter, so that a counter shows from its making, at 0.
+	// Register collects the metrics of tally scopes and renders them in the
+	// Prometheus text format. The zero value is ready for use. It implements
+	// tally.CachedStatsReporter, so that counters are exposed at 0 once created.
 	Register struct {
 		mutex  sync.Mutex
 		series map[string]*series
@@ -37,14 +37,14 @@
 		labels   string
 		kind     string
 		value    float64
-		// read, when set, gives the value at the moment of looking.
+		// read, when set, supplies the value each time the page is rendered.
 		read func() float64
 	}
 
-	// timer is a series of times: how many, and their sum in seconds.
+	// timer has the count of the recorded times and their sum in seconds.
 	timer struct{ count, sum *series }
 
-	// histogram has a series for each bucket.
+	// histogram creates a series for each bucket.
 	histogram struct {
 		register *Register
 		name     string
@@ -57,56 +57,55 @@
 	KindCounter = "counter"
 	KindGauge   = "gauge"
 
-	// GaugeCallers and GaugeVersion are the gauges; TagInstance is the label of
-	// all that an instance shows.
+	// GaugeCallers and GaugeVersion name the gauges. TagInstance labels all
+	// metrics of an instance.
 	GaugeCallers = "callers.open"
 	GaugeVersion = "configuration.version"
 	TagInstance  = "instance"
 
-	// ReportInterval is how often a scope hands its values over; a page is late
-	// by at most that.
+	// ReportInterval is the interval at which scopes report, and so the maximum
+	// delay of the values on the page.
 	ReportInterval = time.Second
 
-	prefix         = "oriolegw_"
-	refusedCounter = "refused."
+	metricPrefix  = "oriolegw_"
+	refusedPrefix = "refused."
 )
 
-// Metrics lists the metrics beside those of the refusals, in order of names. A
-// counter that is used and missing here fails the tests of this package.
+// Metrics lists all metrics except the refusal counters, sorted by name. A test
+// fails if a counter in the code is missing here.
 var Metrics = []Metric{
 	{"callers.accepted", KindCounter, "Callers that connected."},
-	{"callers.cancels", KindCounter, "Connections that only brought a cancel request."},
-	{"callers.failed", KindCounter, "Callers that were refused, broke the protocol, or left, before their session began."},
-	{GaugeCallers, KindGauge, "Callers that are connected now."},
-	{"cancels.failed", KindCounter, "Cancel requests that found no request to cancel, or could not be passed on."},
-	{"configuration-rejected", KindCounter, "Published versions that the instance could not read; the version in force stayed."},
-	{GaugeVersion, KindGauge, "Version of the configuration in force; 0 is none."},
-	{"drain.cut", KindCounter, "Callers cut off because they were in a transaction at the limit of the instance's drain."},
-	{"given-up.silent", KindCounter, "Requests given up because their connection to the target had gone silent and a fresh one had not."},
-	{"peer-failed.exchange", KindCounter, "Exchanges with another instance that failed."},
-	{"peer-refused.connections", KindCounter, "Peer connections refused because there were too many."},
-	{"peer-refused.foreign-fleet", KindCounter, "Peer connections refused because the other end is of another fleet."},
-	{"peer-refused.handshake-timeout", KindCounter, "Peer connections refused because the handshake took too long."},
-	{"peer-refused.unproved", KindCounter, "Peer connections refused because the other end did not prove that it belongs to the fleet."},
-	{"peer-refused.wire-version", KindCounter, "Peer connections refused because the other end speaks a version that this one does not."},
-	{"probe", KindCounter, "Probes on fresh connections to targets, sent because an open one had been silent."},
-	{"retry.behind", KindCounter, "Reads tried elsewhere because the replica turned out to be behind what the request needs."},
-	{"retry.connect", KindCounter, "Requests tried again because no connection to the target could be opened; nothing had been sent."},
-	{"retry.not-quiet", KindCounter, "Requests tried again because the idle connection that was taken for them had ended, or held an answer too many; nothing had been sent."},
-	{"retry.not-run", KindCounter, "Requests tried again because the target ran nothing of them: it was fenced, or said so."},
-	{"retry.write", KindCounter, "Requests sent to the primary because a replica met a write that their words did not show."},
-	{"target-leaving.list", KindCounter, "Signs that a target is leaving, from the platform's list."},
-	{"target-leaving.operator", KindCounter, "Signs that a target is leaving, from the document."},
-	{"target-leaving.peer", KindCounter, "Signs that a target is leaving, from another instance."},
-	{"target-leaving.target", KindCounter, "Signs that a target is leaving, from the target."},
+	{"callers.cancels", KindCounter, "Connections that carried only a cancel request."},
+	{"callers.failed", KindCounter, "Callers that were refused, violated the protocol or disconnected before their session started."},
+	{GaugeCallers, KindGauge, "Callers currently connected."},
+	{"cancels.failed", KindCounter, "Cancel requests that matched no running request or could not be forwarded."},
+	{"configuration-rejected", KindCounter, "Published versions that the instance could not read; the previous version stayed in force."},
+	{GaugeVersion, KindGauge, "Version of the configuration in force; 0 if there is none."},
+	{"drain.cut", KindCounter, "Callers disconnected because they were still in a transaction at the drain timeout of the instance."},
+	{"given-up.silent", KindCounter, "Requests abandoned because their connection to the target stopped responding while a new connection worked."},
+	{"peer-failed.exchange", KindCounter, "Failed gossip exchanges with another instance."},
+	{"peer-refused.connections", KindCounter, "Peer connections refused because the connection limit was reached."},
+	{"peer-refused.foreign-fleet", KindCounter, "Peer connections refused because the peer belongs to another fleet."},
+	{"peer-refused.handshake-timeout", KindCounter, "Peer connections refused because the handshake timed out."},
+	{"peer-refused.unproved", KindCounter, "Peer connections refused because the peer failed to authenticate as a member of the fleet."},
+	{"peer-refused.wire-version", KindCounter, "Peer connections refused because the peer has no common protocol version."},
+	{"probe", KindCounter, "Probes on new connections to targets, sent because an open connection stopped responding."},
+	{"retry.behind", KindCounter, "Reads retried on another target because the replica lagged behind the position that the request requires."},
+	{"retry.connect", KindCounter, "Requests retried because no connection to the target could be opened; nothing had been sent."},
+	{"retry.not-quiet", KindCounter, "Requests retried because the idle connection checked out for them was closed or had unread data; nothing had been sent."},
+	{"retry.not-run", KindCounter, "Requests retried because the target ran no part of them: it was fenced or reported so."},
+	{"retry.write", KindCounter, "Requests retried on the primary because a replica encountered a write that their text did not reveal."},
+	{"target-leaving.list", KindCounter, "Notices that a target is leaving, from the platform's instance list."},
+	{"target-leaving.operator", KindCounter, "Notices that a target is leaving, from the configuration document."},
+	{"target-leaving.peer", KindCounter, "Notices that a target is leaving, from another instance."},
+	{"target-leaving.target", KindCounter, "Notices that a target is leaving, from the target itself."},
 }
 
-// RefusalMetric is the name of the counter of a reason.
-func RefusalMetric(r *refuser.Reason) string { return refusedCounter + r.Name }
+// RefusalMetric returns the name of the counter of refusals with a reason.
+func RefusalMetric(r *refuser.Reason) string { return refusedPrefix + r.Name }
 
-// Declare makes every refusal and retry counter, so that all show from the
-// start, at 0: a graph of a counter that first appears with its first refusal
-// has no increase to show.
+// Declare creates every counter at 0. A counter that appeared only with its first
+// event would show no increase for that event.
 func Declare(s tally.Scope) {
 	for _, r := range refuser.Reasons {
 		s.Counter(RefusalMetric(r))
@@ -118,13 +117,13 @@
 	}
 }
 
-// Open makes a scope that reports into the register until it is closed.
+// Open creates a scope that reports to the register until it is closed.
 func (r *Register) Open(tags map[string]string) (tally.Scope, io.Closer) {
 	return tally.NewRootScope(tally.ScopeOptions{CachedReporter: r, Tags: tags, OmitCardinalityMetrics: true}, ReportInterval)
 }
 
-// Watch adds a gauge that is read when the page is asked for. The function must
-// not use the register.
+// Watch adds a gauge whose value is read whenever the page is rendered. The function
+// must not use the register, whose lock is held.
 func (r *Register) Watch(name string, tags map[string]string, read func() float64) {
 	s := r.add(name, KindGauge, tags)
 	r.mutex.Lock()
@@ -138,7 +137,7 @@
 	if r.series == nil {
 		r.series = map[string]*series{}
 	}
-	s := &series{register: r, name: PageName(name), labels: labels(tags), kind: kind}
+	s := &series{register: r, name: PageName(name), labels: formatLabels(tags), kind: kind}
 	if old := r.series[s.name+s.labels]; old != nil {
 		return old
 	}
@@ -146,12 +145,12 @@
 	return s
 }
 
-// PageName is a metric's name on the page.
+// PageName returns the Prometheus name of a metric.
 func PageName(name string) string {
-	return prefix + strings.NewReplacer(".", "_", "-", "_").Replace(name)
+	return metricPrefix + strings.NewReplacer(".", "_", "-", "_").Replace(name)
 }
 
-func labels(tags map[string]string) string {
+func formatLabels(tags map[string]string) string {
 	if len(tags) == 0 {
 		return ""
 	}
@@ -163,7 +162,7 @@
 	return "{" + strings.Join(out, ",") + "}"
 }
 
-// Page is the page of metrics.
+// Page renders all metrics in the Prometheus text format.
 func (r *Register) Page() []byte {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -187,20 +186,20 @@
 	return out.Bytes()
 }
 
-func (s *series) change(to func(old float64) float64) {
+func (s *series) update(compute func(old float64) float64) {
 	s.register.mutex.Lock()
 	defer s.register.mutex.Unlock()
-	s.value = to(s.value)
+	s.value = compute(s.value)
 }
 
-// ReportCount implements tally.CachedCount; the value is an increase.
+// ReportCount implements tally.CachedCount. The value is an increment.
 func (s *series) ReportCount(value int64) {
-	s.change(func(old float64) float64 { return old + float64(value) })
+	s.update(func(old float64) float64 { return old + float64(value) })
 }
 
 // ReportGauge implements tally.CachedGauge.
 func (s *series) ReportGauge(value float64) {
-	s.change(func(float64) float64 { return value })
+	s.update(func(float64) float64 { return value })
 }
 
 // ReportSamples implements tally.CachedHistogramBucket.
@@ -209,7 +208,7 @@
 // ReportTimer implements tally.CachedTimer.
 func (t timer) ReportTimer(d time.Duration) {
 	t.count.ReportCount(1)
-	t.sum.change(func(old float64) float64 { return old + d.Seconds() })
+	t.sum.update(func(old float64) float64 { return old + d.Seconds() })
 }
 
 // AllocateCounter implements tally.CachedStatsReporter.
@@ -259,5 +258,5 @@
 // Tagging implements tally.Capabilities.
 func (r *Register) Tagging() bool { return true }
 
-// Flush implements tally.BaseStatsReporter; pages read what is there.
+// Flush implements tally.BaseStatsReporter. There is nothing to flush.
 func (r *Register) Flush() {}
--- a/internal/reporter/reporter.go
+++ b/internal/reporter/reporter.go
@@ -1,5 +1,5 @@
-// Package reporter shows an instance from outside: its HTTP pages (health,
-// readiness, status, recent decisions, metrics) and the metrics behind them.
+// Package reporter serves the administrative HTTP pages of an instance (health,
+// readiness, status, recent routing decisions, metrics, drain) and collects its metrics.
 package reporter
 
 import (
@@ -11,22 +11,23 @@
 	"github.com/oriolegw/oriolegw/internal/router"
 )
 
-// Pages serves the pages of an instance. Set the exported fields, then call Run.
+// Pages serves the administrative HTTP pages of an instance. Set the exported
+// fields, then call Run.
 type Pages struct {
-	// Address is where to serve, "ip:port"; empty serves nothing.
+	// Address is the listen address, "ip:port". If empty, nothing is served.
 	Address string
 	Network networker.Network
-	// State returns what the instance shows of itself.
+	// State returns the current state of the instance.
 	State func() State
-	// Recent returns the last decisions, newest first; nil shows none.
+	// Recent returns the latest routing decisions, newest first. It may be nil.
 	Recent func() []router.Decision
-	// Register has the metrics; nil shows none.
+	// Register has the metrics. It may be nil.
 	Register *Register
-	// Drain makes the instance leave; nil refuses.
+	// Drain starts a graceful shutdown of the instance. If nil, requests for it are refused.
 	Drain func()
 }
 
-// The paths of the pages.
+// Paths of the pages.
 const (
 	PathHealth    = "/health"
 	PathReady     = "/ready"
@@ -35,15 +36,14 @@
 	PathMetrics   = "/metrics"
 	PathDrain     = "/drain"
 
-	// headerTimeout ends connections that send nothing, so that they can't
-	// pile up.
+	// headerTimeout closes connections that send no request.
 	headerTimeout = 5 * time.Second
 
-	typeJSON = "application/json"
-	typeText = "text/plain; charset=utf-8"
+	contentTypeJSON = "application/json"
+	contentTypeText = "text/plain; charset=utf-8"
 )
 
-// Run serves until the context ends.
+// Run serves the pages until the context is done.
 func (p *Pages) Run(ctx context.Context) error {
 	if p.Address == "" {
 		<-ctx.Done()
@@ -52,10 +52,10 @@
 	return networker.ServePages(ctx, p.Network, p.Address, &http.Server{Handler: p.Handler(), ReadHeaderTimeout: headerTimeout})
 }
 
-// Handler returns the pages.
+// Handler returns the handler of all pages.
 func (p *Pages) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+PathHealth, func(w http.ResponseWriter, _ *http.Request) { write(w, typeText, []byte("ok\n")) })
+	mux.HandleFunc("GET "+PathHealth, func(w http.ResponseWriter, _ *http.Request) { writeBody(w, contentTypeText, []byte("ok\n")) })
 	mux.HandleFunc("GET "+PathReady, p.handleReady)
 	mux.HandleFunc("GET "+PathStatus, p.handleStatus)
 	mux.HandleFunc("GET "+PathDecisions, p.handleDecisions)
@@ -64,29 +64,29 @@
 	return mux
 }
 
-func write(w http.ResponseWriter, kind string, body []byte) {
-	w.Header().Set("Content-Type", kind)
+func writeBody(w http.ResponseWriter, contentType string, body []byte) {
+	w.Header().Set("Content-Type", contentType)
 	_, _ = w.Write(body)
 }
 
-// handleReady answers 200 once a configuration is in force and every group has
-// a primary, and 503 from the moment the instance is leaving.
+// handleReady responds with 200 if a configuration is in force and every group has
+// a primary, and with 503 otherwise or while the instance is leaving.
 func (p *Pages) handleReady(w http.ResponseWriter, _ *http.Request) {
-	if l := p.State().Lacking(); l != "" {
-		http.Error(w, l, http.StatusServiceUnavailable)
+	if reason := p.State().Lacking(); reason != "" {
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
-	write(w, typeText, []byte("ready\n"))
+	writeBody(w, contentTypeText, []byte("ready\n"))
 }
 
-// handleStatus answers in JSON, or as text to ?format=text.
+// handleStatus responds with JSON, or with text to ?format=text.
 func (p *Pages) handleStatus(w http.ResponseWriter, r *http.Request) {
 	s := p.State()
 	if r.URL.Query().Get("format") == "text" {
-		write(w, typeText, []byte(s.Text()))
+		writeBody(w, contentTypeText, []byte(s.Text()))
 		return
 	}
-	write(w, typeJSON, s.Encode())
+	writeBody(w, contentTypeJSON, s.Encode())
 }
 
 func (p *Pages) handleDecisions(w http.ResponseWriter, _ *http.Request) {
@@ -94,15 +94,15 @@
 	if p.Recent != nil {
 		list = p.Recent()
 	}
-	write(w, typeJSON, EncodeDecisions(list))
+	writeBody(w, contentTypeJSON, EncodeDecisions(list))
 }
 
 func (p *Pages) handleMetrics(w http.ResponseWriter, _ *http.Request) {
 	if p.Register == nil {
-		http.Error(w, "no metrics are kept", http.StatusNotFound)
+		http.Error(w, "metrics are not collected", http.StatusNotFound)
 		return
 	}
-	write(w, "text/plain; version=0.0.4", p.Register.Page())
+	writeBody(w, "text/plain; version=0.0.4", p.Register.Page())
 }
 
 func (p *Pages) handleDrain(w http.ResponseWriter, _ *http.Request) {
--- a/internal/reporter/reporter_test.go
+++ b/internal/reporter/reporter_test.go
@@ -24,22 +24,22 @@
 	}},
 }
 
-func get(t *testing.T, p *reporter.Pages, method, path string) (int, string) {
+func request(t *testing.T, p *reporter.Pages, method, path string) (int, string) {
 	t.Helper()
 	w := httptest.NewRecorder()
 	p.Handler().ServeHTTP(w, httptest.NewRequest(method, path, nil))
 	return w.Code, w.Body.String()
 }
 
-func TestState(t *testing.T) {
+func TestStateRoundTrip(t *testing.T) {
 	got, err := reporter.Decode(state.Encode())
 	must.NoError(t, err)
 	must.Eq(t, state, got)
 	must.StrContains(t, state.Text(), "service lockers: term 3, primary m2, 2 of 4 connections")
 }
 
-// A balancer sends callers to ready instances only: one without configuration,
-// without a primary, or about to leave says so.
+// Load balancers route clients only to ready instances: those with a configuration
+// and primaries that are not leaving.
 func TestReady(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*reporter.State)
@@ -54,19 +54,19 @@
 		t.Run(name, func(t *testing.T) {
 			s := state
 			c.change(&s)
-			code, body := get(t, &reporter.Pages{State: func() reporter.State { return s }}, http.MethodGet, reporter.PathReady)
+			code, body := request(t, &reporter.Pages{State: func() reporter.State { return s }}, http.MethodGet, reporter.PathReady)
 			must.Eq(t, c.code, code)
 			must.Eq(t, c.body, body)
 		})
 	}
 }
 
-// The newest decisions tell where requests went, and why.
+// The decisions page lists the newest decision first, with target and reason.
 func TestDecisions(t *testing.T) {
 	var e router.Explainer
 	e.Add(router.Decision{Service: "lockers", Kind: "drop-status", Read: true, Target: "m2", Replica: true, Why: "replica holds the floor"})
 	e.Add(router.Decision{Service: "lockers", Member: -1, Why: "no primary known", Code: "OR201", Waited: time.Second})
-	_, body := get(t, &reporter.Pages{Recent: e.Recent}, http.MethodGet, reporter.PathDecisions)
+	_, body := request(t, &reporter.Pages{Recent: e.Recent}, http.MethodGet, reporter.PathDecisions)
 	must.StrContains(t, body, `"why": "replica holds the floor"`)
 	must.Less(t, strings.Index(body, "m2"), strings.Index(body, "OR201"))
 }
@@ -74,15 +74,16 @@
 func TestDrain(t *testing.T) {
 	drained := 0
 	p := &reporter.Pages{Drain: func() { drained++ }}
-	code, _ := get(t, p, http.MethodGet, reporter.PathDrain)
+	code, _ := request(t, p, http.MethodGet, reporter.PathDrain)
 	must.Eq(t, http.StatusMethodNotAllowed, code)
 	must.Eq(t, 0, drained)
-	code, _ = get(t, p, http.MethodPost, reporter.PathDrain)
+	code, _ = request(t, p, http.MethodPost, reporter.PathDrain)
 	must.Eq(t, http.StatusAccepted, code)
 	must.Eq(t, 1, drained)
 }
 
-// Every refusal and retry counter shows from the start, at 0, and counts.
+// Every refusal counter is exposed at 0 from the start. Counters and gauges show
+// their values.
 func TestMetrics(t *testing.T) {
 	r := &reporter.Register{}
 	s, closer := r.Open(map[string]string{"instance": "entry-a"})
@@ -97,26 +98,26 @@
 	must.StrContains(t, string(r.Page()), `oriolegw_callers_open{instance="entry-a"} 2`+"\n")
 }
 
-// A counter in the code that Metrics does not list has no description and does
-// not show at 0; one that is listed and not in the code would stay at 0 for good.
-// Names that are put together, "refused." and a reason, are listed one by one.
+// Metrics lists exactly the counters that the code uses: an unlisted one has no
+// description, an unused one stays at 0. Composed names, such as "refused." and a
+// reason, match by prefix.
 func TestCountersAreListed(t *testing.T) {
-	code := sources(t)
+	code := readSources(t)
 	listed := map[string]bool{}
 	for _, m := range reporter.Metrics {
 		listed[m.Name] = true
-		head := m.Name[:strings.LastIndexByte(m.Name, '.')+1]
-		used := strings.Contains(code, `"`+m.Name+`"`) || (head != "" && strings.Contains(code, `"`+head+`"`))
-		must.True(t, used || m.Kind == reporter.KindGauge, must.Sprintf("%q is listed and counted nowhere", m.Name))
+		prefix := m.Name[:strings.LastIndexByte(m.Name, '.')+1]
+		used := strings.Contains(code, `"`+m.Name+`"`) || (prefix != "" && strings.Contains(code, `"`+prefix+`"`))
+		must.True(t, used || m.Kind == reporter.KindGauge, must.Sprintf("%q is listed but not used", m.Name))
 	}
 	used := regexp.MustCompile(`(?:Count|Counter)\("([a-z.-]+[a-z])"|"(retry\.[a-z-]+)"`)
 	for _, m := range used.FindAllStringSubmatch(code, -1) {
-		must.True(t, listed[m[1]+m[2]], must.Sprintf("%q is counted: list it in internal/reporter/metrics.go", m[1]+m[2]))
+		must.True(t, listed[m[1]+m[2]], must.Sprintf("%q is used but not listed in internal/reporter/metrics.go", m[1]+m[2]))
 	}
 }
 
-// sources returns the code of all packages but this one, without tests.
-func sources(t *testing.T) string {
+// readSources returns the code of all other internal packages, without tests.
+func readSources(t *testing.T) string {
 	t.Helper()
 	var out strings.Builder
 	must.NoError(t, filepath.WalkDir("..", func(path string, _ os.DirEntry, err error) error {
--- a/internal/reporter/state.go
+++ b/internal/reporter/state.go
@@ -12,29 +12,29 @@
 )
 
 type (
-	// State is what an instance shows of itself.
+	// State is the state of an instance, as its status page shows it.
 	State struct {
 		Instance string
 		Zone     string
-		// Version is that of the configuration in force; 0 is none.
+		// Version is the version of the configuration in force, or 0.
 		Version int64
 		Leaving bool
 		Groups  []GroupState
 	}
 
-	// GroupState is what the instance knows of one group.
+	// GroupState is the state of a group as the instance knows it.
 	GroupState struct {
 		Service string
 		Term    uint64
-		// Primary is the member's name, empty when none is known.
+		// Primary is the name of the primary, or empty if unknown.
 		Primary string
-		// Connections is how many connections to the group the instance holds,
-		// Share how many it may.
+		// Connections is the number of connections from the instance to the group,
+		// Share its maximum.
 		Connections, Share int
 		Members            []MemberState
 	}
 
-	// MemberState is what the instance knows of one target.
+	// MemberState is the state of a target as the instance knows it.
 	MemberState struct {
 		Name     string
 		Address  string
@@ -43,8 +43,8 @@
 		Term     uint64
 		Received string
 		Replayed string
-		// Age is how long ago the question was sent that gave this; negative
-		// when the member never answered.
+		// Age is the time since the status query that returned this state was
+		// sent. It is negative if the member has never responded.
 		Age      time.Duration
 		Failures int
 		Leaving  bool
@@ -93,7 +93,7 @@
 	}
 )
 
-// Describe makes the state of the groups of a table, in the document's order.
+// Describe returns the states of the groups in a routing table, in the order of the document.
 func Describe(t *router.Table, now time.Time) []GroupState {
 	if t == nil || t.Document == nil {
 		return nil
@@ -101,13 +101,13 @@
 	var out []GroupState
 	for _, s := range t.Document.Services {
 		if g := t.Group(s.Name); g != nil {
-			out = append(out, describe(g, now))
+			out = append(out, describeGroup(g, now))
 		}
 	}
 	return out
 }
 
-func describe(g *router.Group, now time.Time) GroupState {
+func describeGroup(g *router.Group, now time.Time) GroupState {
 	s := GroupState{Service: g.Service.Name, Term: g.Term}
 	for i, m := range g.Members {
 		c := g.Service.Members[i]
@@ -127,7 +127,7 @@
 	return s
 }
 
-// Lacking says what an instance lacks before it can serve; empty means ready.
+// Lacking returns why the instance is not ready, or "" if it is.
 func (s State) Lacking() string {
 	switch {
 	case s.Leaving:
@@ -143,7 +143,7 @@
 	return ""
 }
 
-// Encode writes a state as JSON.
+// Encode encodes the state as JSON.
 func (s State) Encode() []byte {
 	w := wireState{Instance: s.Instance, Zone: s.Zone, Version: s.Version, Leaving: s.Leaving, Groups: []wireGroup{}}
 	for _, g := range s.Groups {
@@ -162,12 +162,12 @@
 func encode(v any) []byte {
 	text, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
-		panic(err) // plain data always encodes
+		panic(err) // marshaling plain structs can't fail
 	}
 	return append(text, '\n')
 }
 
-// Decode reads what Encode wrote.
+// Decode decodes a state from the JSON of Encode.
 func Decode(text []byte) (State, error) {
 	var w wireState
 	if err := json.Unmarshal(text, &w); err != nil {
@@ -187,12 +187,12 @@
 	return s, nil
 }
 
-// Text writes a state for readers.
+// Text formats the state as human-readable text.
 func (s State) Text() string {
 	var out strings.Builder
 	ready := "ready"
-	if l := s.Lacking(); l != "" {
-		ready = "not ready: " + l
+	if reason := s.Lacking(); reason != "" {
+		ready = "not ready: " + reason
 	}
 	fmt.Fprintf(&out, "instance %s in %s, %s, configuration version %d\n", s.Instance, s.Zone, ready, s.Version)
 	for _, g := range s.Groups {
@@ -200,40 +200,40 @@
 		if primary == "" {
 			primary = "none known"
 		}
-		fmt.Fprintf(&out, "\nservice %s: term %d, primary %s%s\n", g.Service, g.Term, primary, g.share())
+		fmt.Fprintf(&out, "\nservice %s: term %d, primary %s%s\n", g.Service, g.Term, primary, g.connectionText())
 		t := tabwriter.NewWriter(&out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(t, "  member\tzone\trole\tterm\treceived\treplayed\tasked\tfailures\t")
 		for _, m := range g.Members {
-			fmt.Fprintf(t, "  %s\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.Zone, m.Role, m.Term, m.Received, m.Replayed, asked(m.Age), m.Failures, leaving(m.Leaving))
+			fmt.Fprintf(t, "  %s\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.Zone, m.Role, m.Term, m.Received, m.Replayed, formatAge(m.Age), m.Failures, formatLeaving(m.Leaving))
 		}
 		_ = t.Flush()
 	}
 	return out.String()
 }
 
-// share is empty for a group that the instance has no connections to yet.
-func (g GroupState) share() string {
+// connectionText formats the connection counts; empty if there are none yet.
+func (g GroupState) connectionText() string {
 	if g.Share == 0 && g.Connections == 0 {
 		return ""
 	}
 	return fmt.Sprintf(", %d of %d connections", g.Connections, g.Share)
 }
 
-func asked(age time.Duration) string {
+func formatAge(age time.Duration) string {
 	if age < 0 {
 		return "never answered"
 	}
 	return age.Round(time.Millisecond).String() + " ago"
 }
 
-func leaving(l bool) string {
-	if l {
+func formatLeaving(isLeaving bool) string {
+	if isLeaving {
 		return "leaving"
 	}
 	return ""
 }
 
-// EncodeDecisions writes decisions as JSON.
+// EncodeDecisions encodes routing decisions as JSON.
 func EncodeDecisions(list []router.Decision) []byte {
 	w := []wireDecision{}
 	for _, d := range list {
