--- a/cmd/oriolegw-console/main.go
+++ b/cmd/oriolegw-console/main.go
@@ -23,9 +23,9 @@
 const (
 	// headerTimeout ends connections that send nothing.
 	headerTimeout = 5 * time.Second
-	// stopTimeout is how long requests may go on after the program was told to
+	// shutdownTimeout is how long requests may go on after the program was told to
 	// end: a publication in flight gets its answer.
-	stopTimeout = 15 * time.Second
+	shutdownTimeout = 15 * time.Second
 )
 
 func main() {
@@ -66,7 +66,7 @@
 		return errors.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
+	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
 	if err := s.Shutdown(last); err != nil {
 		return errors.Wrap(err, "stop")
--- a/cmd/oriolegw-edge/main.go
+++ b/cmd/oriolegw-edge/main.go
@@ -24,9 +24,9 @@
 const (
 	// settingsVariable names the settings file where no flag does.
 	settingsVariable = "ORIOLEGW_SETTINGS"
-	// collectAt is how much the heap may grow before it is collected, in percent. The
+	// gcPercent is how much the heap may grow before it is collected, in percent. The
 	// live heap is 2 to 3 MB, and hundreds of instances run on small machines.
-	collectAt = 40
+	gcPercent = 40
 )
 
 func main() {
@@ -50,7 +50,7 @@
 
 // run serves until the process is told to end, and returns the exit code.
 func run(file string, s *loader.EntrySettings) int {
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	leave := make(chan os.Signal, 1)
 	signal.Notify(leave, os.Interrupt, syscall.SIGTERM)
 	reload := make(chan os.Signal, 1)
--- a/cmd/oriolegw-fleet/bench.go
+++ b/cmd/oriolegw-fleet/bench.go
@@ -17,30 +17,30 @@
 
 const (
 	benchRounds   = 5
-	benchLatency  = 2 * time.Second
-	benchLoad     = 2 * time.Second
+	latencyPhase  = 2 * time.Second
+	throughputPhase     = 2 * time.Second
 	benchWorkers  = 16
 	benchKeys     = 100
-	ticksInSecond = 100 // of the kernel's process times, on Linux
+	clockTicksPerSecond = 100 // of the kernel's process times, on Linux
 )
 
 // bench compares requests through an instance with requests that go to the
 // target directly, in turns, so that whatever else the machine does meets both.
 type bench struct {
 	fleet *starter.Fleet
-	sums  map[string][]float64
+	samples  map[string][]float64
 }
 
-// way is one of the two.
-type way struct {
+// endpoint is one of the two.
+type endpoint struct {
 	name    string
 	address string
 	pid     int // the process whose processor time is charged
 }
 
 func (b *bench) run(ctx context.Context) error {
-	b.sums = map[string][]float64{}
-	ways := []way{
+	b.samples = map[string][]float64{}
+	ways := []endpoint{
 		{"direct", b.fleet.Members[0].Address, b.fleet.Members[0].PID},
 		{"proxy", b.fleet.Entries[0].Address, b.fleet.Entries[0].PID},
 	}
@@ -55,37 +55,37 @@
 	return nil
 }
 
-func (b *bench) round(ctx context.Context, w way) error {
+func (b *bench) round(ctx context.Context, w endpoint) error {
 	for _, class := range []struct {
 		name   string
 		writes float64
 	}{{"read", 0}, {"write", 1}} {
-		r, err := b.load(ctx, w, 1, benchLatency, class.writes)
+		r, err := b.runLoad(ctx, w, 1, latencyPhase, class.writes)
 		if err != nil {
 			return err
 		}
-		b.note(w, class.name+"-p50", float64(r.Classes[class.name].Times.ValueAtQuantile(50)))
-		b.note(w, class.name+"-p99", float64(r.Classes[class.name].Times.ValueAtQuantile(99)))
+		b.record(w, class.name+"-p50", float64(r.Classes[class.name].Times.ValueAtQuantile(50)))
+		b.record(w, class.name+"-p99", float64(r.Classes[class.name].Times.ValueAtQuantile(99)))
 	}
-	before, err := processorTime(w.pid)
+	before, err := cpuTime(w.pid)
 	if err != nil {
 		return err
 	}
-	r, err := b.load(ctx, w, benchWorkers, benchLoad, 0)
+	r, err := b.runLoad(ctx, w, benchWorkers, throughputPhase, 0)
 	if err != nil {
 		return err
 	}
-	after, err := processorTime(w.pid)
+	after, err := cpuTime(w.pid)
 	if err != nil {
 		return err
 	}
 	n := float64(r.Total("ok"))
-	b.note(w, "throughput", n/r.Elapsed.Seconds())
-	b.note(w, "throughput-per-core", n/(after-before).Seconds())
+	b.record(w, "throughput", n/r.Elapsed.Seconds())
+	b.record(w, "throughput-per-core", n/(after-before).Seconds())
 	return nil
 }
 
-func (b *bench) load(ctx context.Context, w way, workers int, d time.Duration, writes float64) (*experimenter.Report, error) {
+func (b *bench) runLoad(ctx context.Context, w endpoint, workers int, d time.Duration, writes float64) (*experimenter.Report, error) {
 	e := &experimenter.Experiment{
 		Addresses: []string{w.address}, Workers: workers, Duration: d, Writes: writes, Keys: benchKeys,
 		Connect: func(ctx context.Context, address, _ string) (*pgx.Conn, error) {
@@ -102,8 +102,8 @@
 	return r, nil
 }
 
-func (b *bench) note(w way, name string, v float64) {
-	b.sums[w.name+" "+name] = append(b.sums[w.name+" "+name], v)
+func (b *bench) record(w endpoint, name string, v float64) {
+	b.samples[w.name+" "+name] = append(b.samples[w.name+" "+name], v)
 }
 
 // print writes the medians of the rounds: name, value through the proxy, unit,
@@ -117,9 +117,9 @@
 		{"throughput", "reads/s"},
 		{"throughput-per-core", "reads/s/core-of-the-process"},
 	} {
-		fmt.Printf("%s %.0f %s %.0f\n", f.name, median(b.sums["proxy "+f.name]), f.unit, median(b.sums["direct "+f.name]))
+		fmt.Printf("%s %.0f %s %.0f\n", f.name, median(b.samples["proxy "+f.name]), f.unit, median(b.samples["direct "+f.name]))
 	}
-	fmt.Printf("added-latency-p50 %.0f µs -\n", median(b.sums["proxy read-p50"])-median(b.sums["direct read-p50"]))
+	fmt.Printf("added-latency-p50 %.0f µs -\n", median(b.samples["proxy read-p50"])-median(b.samples["direct read-p50"]))
 }
 
 func median(all []float64) float64 {
@@ -128,8 +128,8 @@
 	return s[len(s)/2]
 }
 
-// processorTime reads what a process has used, from the kernel.
-func processorTime(pid int) (time.Duration, error) {
+// cpuTime reads what a process has used, from the kernel.
+func cpuTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
 		return 0, errors.Wrap(err, "processor time")
@@ -142,5 +142,5 @@
 	}
 	u, _ := strconv.Atoi(f[user])
 	s, _ := strconv.Atoi(f[system])
-	return time.Duration(u+s) * time.Second / ticksInSecond, nil
+	return time.Duration(u+s) * time.Second / clockTicksPerSecond, nil
 }
--- a/cmd/oriolegw-fleet/demonstrate.go
+++ b/cmd/oriolegw-fleet/demonstrate.go
@@ -18,24 +18,24 @@
 
 const (
 	demonstrationTimeout = time.Minute
-	sessions             = 20
+	sessionCount             = 20
 )
 
 // demonstration sends sessions through a fleet and prints what they saw.
 type demonstration struct {
 	fleet *starter.Fleet
-	kill  bool
+	killPrimary  bool
 }
 
 func (d *demonstration) run(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, demonstrationTimeout)
 	defer cancel()
 	for _, withToken := range []bool{true, false} {
-		if err := d.roam(ctx, withToken); err != nil {
+		if err := d.checkRoaming(ctx, withToken); err != nil {
 			return err
 		}
 	}
-	if !d.kill {
+	if !d.killPrimary {
 		fmt.Println("The primary was not killed in this run.")
 		return nil
 	}
@@ -55,14 +55,14 @@
 	return pgx.ConnectConfig(ctx, c)
 }
 
-// roam writes on one instance and reads on the next, as a caller does that
+// checkRoaming writes on one instance and reads on the next, as a caller does that
 // moves: each read must show the write before it.
-func (d *demonstration) roam(ctx context.Context, withToken bool) error {
+func (d *demonstration) checkRoaming(ctx context.Context, withToken bool) error {
 	kind := "with its token"
 	if !withToken {
 		kind = "without a token"
 	}
-	for n := range sessions {
+	for n := range sessionCount {
 		key := fmt.Sprintf("sheet-%t-%d", withToken, n)
 		token, err := d.write(ctx, n, key)
 		if err != nil {
@@ -75,7 +75,7 @@
 			return errors.Wrapf(err, "session %d %s", n, kind)
 		}
 	}
-	fmt.Printf("%d sessions wrote on one instance and read on another %s: each saw its own write.\n", sessions, kind)
+	fmt.Printf("%d sessions wrote on one instance and read on another %s: each saw its own write.\n", sessionCount, kind)
 	return nil
 }
 
@@ -119,10 +119,10 @@
 		if ctx.Err() != nil {
 			return errors.Wrap(err, "no write was acknowledged after the kill")
 		}
-		refusals[refusal(err)]++
+		refusals[refusalName(err)]++
 	}
 	fmt.Printf("The next write was acknowledged %v after the kill; refused until then: %v.\n", time.Since(killed).Round(time.Millisecond), refusals)
-	for n := range sessions {
+	for n := range sessionCount {
 		if err := d.read(ctx, n, fmt.Sprintf("sheet-%t-%d", true, n), ""); err != nil {
 			return errors.Wrap(err, "a write that was acknowledged before the kill")
 		}
@@ -130,12 +130,12 @@
 	if err := d.showPrimary(ctx); err != nil {
 		return err
 	}
-	fmt.Printf("%d writes acknowledged before the kill were looked for, and found.\n", sessions)
+	fmt.Printf("%d writes acknowledged before the kill were looked for, and found.\n", sessionCount)
 	return nil
 }
 
-// state reads the first instance's status page.
-func (d *demonstration) state(ctx context.Context) (reporter.State, error) {
+// fetchState reads the first instance's status page.
+func (d *demonstration) fetchState(ctx context.Context) (reporter.State, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.fleet.Entries[0].Pages+reporter.PathStatus, nil)
 	if err != nil {
 		return reporter.State{}, errors.Wrap(err, "make call")
@@ -153,7 +153,7 @@
 }
 
 func (d *demonstration) showPrimary(ctx context.Context) error {
-	s, err := d.state(ctx)
+	s, err := d.fetchState(ctx)
 	if err != nil {
 		return err
 	}
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// refusal names the reason in an error.
-func refusal(err error) string {
+// refusalName names the reason in an error.
+func refusalName(err error) string {
 	var e *pgconn.PgError
 	if !errors.As(err, &e) {
 		return "connection"
--- a/cmd/oriolegw-fleet/faults.go
+++ b/cmd/oriolegw-fleet/faults.go
@@ -16,16 +16,16 @@
 const (
 	// faultTime is how long each fault lasts, calmTime what follows it.
 	faultTime = 1500 * time.Millisecond
-	calmTime  = 1500 * time.Millisecond
-	// longest bounds the load; it ends with the last fault.
-	longest = 10 * time.Minute
+	recoveryTime  = 1500 * time.Millisecond
+	// maxLoadTime bounds the load; it ends with the last fault.
+	maxLoadTime = 10 * time.Minute
 )
 
-// throwAll sends load through the fleet while every fault that passes is thrown:
+// runUnderFaults sends load through the fleet while every fault that passes is thrown:
 // of the platform, of the primary, and of a replica; then two of the instances end.
 // It prints what callers saw, and fails when a read missed its session's own work or a write ran twice.
-func (d *demonstration) throwAll(ctx context.Context) error {
-	load, stop := context.WithTimeout(ctx, longest)
+func (d *demonstration) runUnderFaults(ctx context.Context) error {
+	load, stop := context.WithTimeout(ctx, maxLoadTime)
 	defer stop()
 	type result struct {
 		report *experimenter.Report
@@ -36,7 +36,7 @@
 		r, err := d.experiment().Run(load)
 		ended <- result{r, err}
 	}()
-	thrown := d.throwEach(ctx)
+	thrown := d.injectFaults(ctx)
 	stop()
 	r := <-ended
 	if err := errors.Join(thrown, r.err); err != nil {
@@ -51,7 +51,7 @@
 
 func (d *demonstration) experiment() *experimenter.Experiment {
 	e := &experimenter.Experiment{
-		Workers: 6, Duration: longest, Writes: 0.1, Own: 0.5, Keys: 1000, Roam: 0.01, Token: true, Seed: 1,
+		Workers: 6, Duration: maxLoadTime, Writes: 0.1, Own: 0.5, Keys: 1000, Roam: 0.01, Token: true, Seed: 1,
 		Connect: func(ctx context.Context, address, token string) (*pgx.Conn, error) {
 			c, err := pgx.ParseConfig("postgres://crew@" + address + "/" + starter.ServiceName + "?sslmode=disable")
 			if err != nil {
@@ -69,12 +69,12 @@
 	return e
 }
 
-func (d *demonstration) throwEach(ctx context.Context) error {
+func (d *demonstration) injectFaults(ctx context.Context) error {
 	for _, x := range starter.Faults {
 		if !x.Passes() {
 			continue
 		}
-		targets, err := d.targets(ctx, x)
+		targets, err := d.faultTargets(ctx, x)
 		if err != nil {
 			return err
 		}
@@ -87,35 +87,35 @@
 			if err := x.Recover(ctx, p); err != nil {
 				return err
 			}
-			time.Sleep(calmTime)
+			time.Sleep(recoveryTime)
 		}
 	}
-	return d.loseEntries()
+	return d.stopEntries()
 }
 
-// loseEntries ends one instance in form and one as a crash does; the sessions go
+// stopEntries ends one instance in form and one as a crash does; the sessions go
 // on through the one that is left.
-func (d *demonstration) loseEntries() error {
+func (d *demonstration) stopEntries() error {
 	leaving, crashing := &d.fleet.Entries[2], &d.fleet.Entries[1]
 	fmt.Printf("%s: graceful shutdown\n", leaving.Name)
 	if err := d.fleet.Terminate(leaving); err != nil {
 		return err
 	}
-	time.Sleep(calmTime)
+	time.Sleep(recoveryTime)
 	fmt.Printf("%s: crash\n", crashing.Name)
 	if err := d.fleet.Kill(crashing); err != nil {
 		return err
 	}
-	time.Sleep(calmTime)
+	time.Sleep(recoveryTime)
 	return nil
 }
 
-// targets are the primary of the moment and a replica, or the platform.
-func (d *demonstration) targets(ctx context.Context, x starter.Fault) ([]*starter.Process, error) {
+// faultTargets are the primary of the moment and a replica, or the platform.
+func (d *demonstration) faultTargets(ctx context.Context, x starter.Fault) ([]*starter.Process, error) {
 	if x.Of == starter.OfPlatform {
 		return []*starter.Process{&d.fleet.Platform}, nil
 	}
-	s, err := d.state(ctx)
+	s, err := d.fetchState(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/oriolegw-fleet/main.go
+++ b/cmd/oriolegw-fleet/main.go
@@ -17,9 +17,9 @@
 	fleet starter.Fleet
 	// keep keeps the fleet up; describe is the file that lists its addresses.
 	keep     bool
-	describe string
-	// kill ends the primary once during the sessions.
-	kill bool
+	describeFile string
+	// killPrimary ends the primary once during the sessions.
+	killPrimary bool
 	// faults throws every fault in turn, under load.
 	faults bool
 	// bench compares the proxy with direct connections.
@@ -32,8 +32,8 @@
 	flag.StringVar(&o.fleet.Work, "work", "build/fleet", "the `directory` for settings and logs")
 	flag.IntVar(&o.fleet.FirstPort, "first-port", starter.DefaultFirstPort, "the first of about 60 loopback `ports`")
 	flag.BoolVar(&o.keep, "keep", false, "keep the fleet up until interrupted, and run no sessions")
-	flag.StringVar(&o.describe, "describe", "build/fleet.json", "the `file` for addresses and faults, with -keep")
-	flag.BoolVar(&o.kill, "kill", false, "kill the primary once and wait for the next one")
+	flag.StringVar(&o.describeFile, "describe", "build/fleet.json", "the `file` for addresses and faults, with -keep")
+	flag.BoolVar(&o.killPrimary, "kill", false, "kill the primary once and wait for the next one")
 	flag.BoolVar(&o.bench, "bench", false, "compare the proxy with direct connections to a target, and print the figures")
 	flag.BoolVar(&o.faults, "faults", false, "throw every fault in turn under load, in place of the sessions")
 	flag.Usage = func() {
@@ -59,26 +59,26 @@
 		return err
 	}
 	if o.keep {
-		return keep(ctx, o)
+		return keepRunning(ctx, o)
 	}
 	if o.bench {
 		return (&bench{fleet: &o.fleet}).run(ctx)
 	}
-	d := &demonstration{fleet: &o.fleet, kill: o.kill}
+	d := &demonstration{fleet: &o.fleet, killPrimary: o.killPrimary}
 	if o.faults {
-		return d.throwAll(ctx)
+		return d.runUnderFaults(ctx)
 	}
 	return d.run(ctx)
 }
 
-func keep(ctx context.Context, o *options) error {
-	if err := o.fleet.Describe(o.describe); err != nil {
+func keepRunning(ctx context.Context, o *options) error {
+	if err := o.fleet.Describe(o.describeFile); err != nil {
 		return err
 	}
 	for _, e := range o.fleet.Entries {
 		fmt.Printf("%s: postgres://crew@%s/%s?sslmode=disable  pages http://%s/status?format=text\n", e.Name, e.Address, starter.ServiceName, e.Pages)
 	}
-	fmt.Printf("Every address, and how to throw each fault: %s\nInterrupt to end the fleet.\n", o.describe)
+	fmt.Printf("Every address, and how to throw each fault: %s\nInterrupt to end the fleet.\n", o.describeFile)
 	<-ctx.Done()
 	return nil
 }
--- a/cmd/oriolegw-load/main.go
+++ b/cmd/oriolegw-load/main.go
@@ -28,16 +28,16 @@
 type options struct {
 	experiment               experimenter.Experiment
 	addresses, kinds         string
-	service, user, encrypted string
+	service, user, sslMode string
 }
 
-func declare(f *flag.FlagSet) *options {
+func declareFlags(f *flag.FlagSet) *options {
 	o := &options{}
 	e := &o.experiment
 	f.StringVar(&o.addresses, "addresses", "127.0.0.1:17030,127.0.0.1:17031,127.0.0.1:17032", "where callers connect, `ip:port,ip:port`")
 	f.StringVar(&o.service, "service", "lockers", "the `name` of the service")
 	f.StringVar(&o.user, "user", "crew", "the caller's `name`; the password is taken from "+passwordVariable)
-	f.StringVar(&o.encrypted, "sslmode", "disable", "disable, require, verify-ca or verify-full")
+	f.StringVar(&o.sslMode, "sslmode", "disable", "disable, require, verify-ca or verify-full")
 	f.IntVar(&e.Workers, "workers", 8, "how many callers")
 	f.Float64Var(&e.Rate, "rate", 0, "requests a second, at random moments; 0 is as fast as they are answered")
 	f.IntVar(&e.Count, "count", 0, "end after this many requests; 0 is no limit")
@@ -59,14 +59,14 @@
 
 func main() {
 	f := flag.NewFlagSet("oriolegw-load", flag.ContinueOnError)
-	o := declare(f)
+	o := declareFlags(f)
 	if err := f.Parse(os.Args[1:]); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			return
 		}
 		os.Exit(exitUsage)
 	}
-	if err := o.finish(f.Args()); err != nil {
+	if err := o.resolve(f.Args()); err != nil {
 		fmt.Fprintln(os.Stderr, "oriolegw-load:", err)
 		os.Exit(exitUsage)
 	}
@@ -84,8 +84,8 @@
 	}
 }
 
-// finish turns texts into values and checks everything.
-func (o *options) finish(arguments []string) error {
+// resolve turns texts into values and checks everything.
+func (o *options) resolve(arguments []string) error {
 	if len(arguments) > 0 {
 		return errors.Errorf("unexpected argument %q", arguments[0])
 	}
@@ -106,7 +106,7 @@
 }
 
 func (o *options) connect(ctx context.Context, address, token string) (*pgx.Conn, error) {
-	c, err := pgx.ParseConfig(fmt.Sprintf("postgres://%s@%s/%s?sslmode=%s", o.user, address, o.service, o.encrypted))
+	c, err := pgx.ParseConfig(fmt.Sprintf("postgres://%s@%s/%s?sslmode=%s", o.user, address, o.service, o.sslMode))
 	if err != nil {
 		return nil, errors.Wrap(err, "caller's address")
 	}
--- a/cmd/oriolegw/main.go
+++ b/cmd/oriolegw/main.go
@@ -48,7 +48,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		leaveOnSignal(ctx, signals, events, stop)
+		drainOnSignal(ctx, signals, events, stop)
 	}()
 	defer func() {
 		stop()
@@ -72,9 +72,9 @@
 	return 0
 }
 
-// leaveOnSignal has the instance leave on the first signal, and stops it at once
+// drainOnSignal has the instance leave on the first signal, and stops it at once
 // on the second.
-func leaveOnSignal(ctx context.Context, signals <-chan os.Signal, events chan<- controller.Event, stop context.CancelFunc) {
+func drainOnSignal(ctx context.Context, signals <-chan os.Signal, events chan<- controller.Event, stop context.CancelFunc) {
 	select {
 	case <-signals:
 		events <- drainer.InstanceLeaving{}
--- a/cmd/oriolegwctl/customers.go
+++ b/cmd/oriolegwctl/customers.go
@@ -16,13 +16,13 @@
 	instances := f.String("instances", "", "the metrics `addresses` of entry instances on the users' platform, separated by commas")
 	one := f.String("customer", "", "print only the customer of this `name`")
 	return func(ctx context.Context, arguments []string) error {
-		if err := errors.Join(need("instances", *instances), only(arguments, 0, "none")); err != nil {
+		if err := errors.Join(requireFlags("instances", *instances), requireArguments(arguments, 0, "none")); err != nil {
 			return usageError{err.Error()}
 		}
 		var lists [][]accountant.State
 		failed := 0
 		for _, a := range strings.Split(*instances, ",") {
-			list, err := t.customers(ctx, a)
+			list, err := t.fetchCustomers(ctx, a)
 			if err != nil {
 				failed++
 				fmt.Fprintf(t.out, "%s: no answer: %v\n", a, err)
@@ -38,8 +38,8 @@
 	}
 }
 
-func (t *terminal) customers(ctx context.Context, address string) ([]accountant.State, error) {
-	body, err := t.call(ctx, http.MethodGet, address, accountant.PathCustomers)
+func (t *terminal) fetchCustomers(ctx context.Context, address string) ([]accountant.State, error) {
+	body, err := t.request(ctx, http.MethodGet, address, accountant.PathCustomers)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/oriolegwctl/document.go
+++ b/cmd/oriolegwctl/document.go
@@ -16,13 +16,13 @@
 	"github.com/oriolegw/oriolegw/pkg/verifier"
 )
 
-const platformFlag = "the `address` of the platform's service, ip:port"
+const platformFlagUsage = "the `address` of the platform's service, ip:port"
 
 func prepareCheck(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
 	settings := f.String("settings", "", "the settings `file` of an instance")
 	document := f.String("document", "", "the `file` of a configuration document")
 	return func(_ context.Context, arguments []string) error {
-		if err := only(arguments, 0, "none: name files by flags"); err != nil {
+		if err := requireArguments(arguments, 0, "none: name files by flags"); err != nil {
 			return err
 		}
 		if *settings == "" && *document == "" {
@@ -46,7 +46,7 @@
 			}
 			all = append(all, problems...)
 		}
-		return report(t, all)
+		return printProblems(t, all)
 	}
 }
 
@@ -60,8 +60,8 @@
 	return problems
 }
 
-// report prints problems one a line, so that editors can jump to them.
-func report(t *terminal, problems inspector.Problems) error {
+// printProblems prints problems one a line, so that editors can jump to them.
+func printProblems(t *terminal, problems inspector.Problems) error {
 	for _, p := range problems {
 		fmt.Fprintln(t.err, p)
 	}
@@ -72,12 +72,12 @@
 }
 
 func prepareGet(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
-	platform := f.String("platform", "", platformFlag)
+	platform := f.String("platform", "", platformFlagUsage)
 	return func(ctx context.Context, arguments []string) error {
-		if err := errors.Join(need("platform", *platform), only(arguments, 0, "none")); err != nil {
+		if err := errors.Join(requireFlags("platform", *platform), requireArguments(arguments, 0, "none")); err != nil {
 			return usageError{err.Error()}
 		}
-		now, err := t.current(ctx, *platform)
+		now, err := t.currentDocument(ctx, *platform)
 		if err != nil {
 			return err
 		}
@@ -87,16 +87,16 @@
 	}
 }
 
-func (t *terminal) current(ctx context.Context, platform string) (publisher.Published, error) {
-	store, closeStore := t.store(platform)
+func (t *terminal) currentDocument(ctx context.Context, platform string) (publisher.Published, error) {
+	store, closeStore := t.openStore(platform)
 	defer closeStore()
 	return (&publisher.Publisher{Store: store}).Current(ctx)
 }
 
 func prepareDiff(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
-	platform := f.String("platform", "", platformFlag)
+	platform := f.String("platform", "", platformFlagUsage)
 	return func(ctx context.Context, arguments []string) error {
-		if err := errors.Join(need("platform", *platform), only(arguments, 1, "one document")); err != nil {
+		if err := errors.Join(requireFlags("platform", *platform), requireArguments(arguments, 1, "one document")); err != nil {
 			return usageError{err.Error()}
 		}
 		text, err := os.ReadFile(arguments[0])
@@ -105,9 +105,9 @@
 		}
 		d, problems := configurer.Check(arguments[0], text)
 		if len(problems) > 0 {
-			return report(t, problems)
+			return printProblems(t, problems)
 		}
-		now, err := t.current(ctx, *platform)
+		now, err := t.currentDocument(ctx, *platform)
 		if err != nil {
 			return err
 		}
@@ -127,10 +127,10 @@
 }
 
 func preparePublish(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
-	platform := f.String("platform", "", platformFlag)
+	platform := f.String("platform", "", platformFlagUsage)
 	seen := f.Int64("seen", -1, "the `version` that your change builds on, as diff and get print it; 0 for the first document")
 	return func(ctx context.Context, arguments []string) error {
-		if err := errors.Join(need("platform", *platform), only(arguments, 1, "one document")); err != nil {
+		if err := errors.Join(requireFlags("platform", *platform), requireArguments(arguments, 1, "one document")); err != nil {
 			return usageError{err.Error()}
 		}
 		if *seen < 0 {
@@ -146,27 +146,27 @@
 
 // publish publishes a text and prints what became of it.
 func (t *terminal) publish(ctx context.Context, platform string, seen publisher.Published, file string, text []byte) error {
-	store, closeStore := t.store(platform)
+	store, closeStore := t.openStore(platform)
 	defer closeStore()
 	r, err := (&publisher.Publisher{Store: store}).Publish(ctx, seen, file, text)
 	var problems inspector.Problems
 	if errors.As(err, &problems) {
-		return report(t, problems)
+		return printProblems(t, problems)
 	}
 	switch r.Outcome {
 	case publisher.Accepted:
 		fmt.Fprintf(t.out, "accepted as version %d\n", r.Now.Version)
 		return nil
 	case publisher.Raced:
-		return t.lost(seen, r, file, text)
+		return t.reportConflict(seen, r, file, text)
 	case publisher.Unknown:
 		return errors.Wrap(err, "outcome unknown, the document may be in force: look with get before you publish again")
 	}
 	return err
 }
 
-// lost tells the loser of a race what was published in between.
-func (t *terminal) lost(seen publisher.Published, r publisher.Result, file string, text []byte) error {
+// reportConflict tells the loser of a race what was published in between.
+func (t *terminal) reportConflict(seen publisher.Published, r publisher.Result, file string, text []byte) error {
 	changes := r.Changes
 	what := "since then it changed:"
 	if seen.Document == nil { // only the version was given
--- a/cmd/oriolegwctl/fleet.go
+++ b/cmd/oriolegwctl/fleet.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// markTries bounds how often a mark is put on a document that other
+	// maxPublishAttempts bounds how often a mark is put on a document that other
 	// operators change at the same time.
-	markTries = 5
-	// switchPause spaces the looks at an instance's status during a switch.
-	switchPause = 100 * time.Millisecond
-	maxPage     = 16 << 20
+	maxPublishAttempts = 5
+	// statusPollInterval spaces the looks at an instance's status during a switch.
+	statusPollInterval = 100 * time.Millisecond
+	maxResponseBytes     = 16 << 20
 )
 
-var errRaced = errors.New("other operators kept changing the document")
+var errConcurrentChanges = errors.New("other operators kept changing the document")
 
-// call asks one page of an instance.
-func (t *terminal) call(ctx context.Context, method, address, path string) ([]byte, error) {
+// request asks one page of an instance.
+func (t *terminal) request(ctx context.Context, method, address, path string) ([]byte, error) {
 	client := &http.Client{Transport: &http.Transport{
 		DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	defer a.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxPage))
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -53,8 +53,8 @@
 	return body, nil
 }
 
-func (t *terminal) state(ctx context.Context, address string) (reporter.State, error) {
-	body, err := t.call(ctx, http.MethodGet, address, reporter.PathStatus)
+func (t *terminal) fetchState(ctx context.Context, address string) (reporter.State, error) {
+	body, err := t.request(ctx, http.MethodGet, address, reporter.PathStatus)
 	if err != nil {
 		return reporter.State{}, err
 	}
@@ -65,12 +65,12 @@
 	instances := f.String("instances", "", "the status `addresses` of the instances, separated by commas")
 	whole := f.Bool("whole", false, "print the groups and members as well")
 	return func(ctx context.Context, arguments []string) error {
-		if err := errors.Join(need("instances", *instances), only(arguments, 0, "none")); err != nil {
+		if err := errors.Join(requireFlags("instances", *instances), requireArguments(arguments, 0, "none")); err != nil {
 			return usageError{err.Error()}
 		}
 		failed := 0
 		for _, a := range strings.Split(*instances, ",") {
-			s, err := t.state(ctx, a)
+			s, err := t.fetchState(ctx, a)
 			switch {
 			case err != nil:
 				failed++
@@ -90,27 +90,27 @@
 }
 
 func prepareDrain(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
-	platform := f.String("platform", "", platformFlag)
+	platform := f.String("platform", "", platformFlagUsage)
 	service := f.String("service", "", "the `name` of the target's service")
 	member := f.String("member", "", "the `name` of the target to drain")
 	undo := f.Bool("undo", false, "take a drained target back into service")
 	instance := f.String("instance", "", "the status `address` of the instance to drain")
 	return func(ctx context.Context, arguments []string) error {
-		if err := only(arguments, 0, "none"); err != nil {
+		if err := requireArguments(arguments, 0, "none"); err != nil {
 			return err
 		}
 		if *instance != "" {
 			return t.drainInstance(ctx, *instance)
 		}
-		if err := need("platform", *platform, "service", *service, "member", *member); err != nil {
+		if err := requireFlags("platform", *platform, "service", *service, "member", *member); err != nil {
 			return err
 		}
-		return t.mark(ctx, *platform, *service, *member, !*undo)
+		return t.setLeaving(ctx, *platform, *service, *member, !*undo)
 	}
 }
 
 func (t *terminal) drainInstance(ctx context.Context, address string) error {
-	body, err := t.call(ctx, http.MethodPost, address, reporter.PathDrain)
+	body, err := t.request(ctx, http.MethodPost, address, reporter.PathDrain)
 	if err != nil {
 		return err
 	}
@@ -118,13 +118,13 @@
 	return nil
 }
 
-// mark sets a member's leaving field. The change names one member, so unlike a
+// setLeaving sets a member's leaving field. The change names one member, so unlike a
 // whole document it can be made again on top of what another operator published.
-func (t *terminal) mark(ctx context.Context, platform, service, member string, leaving bool) error {
-	store, closeStore := t.store(platform)
+func (t *terminal) setLeaving(ctx context.Context, platform, service, member string, leaving bool) error {
+	store, closeStore := t.openStore(platform)
 	defer closeStore()
 	p := &publisher.Publisher{Store: store}
-	for range markTries {
+	for range maxPublishAttempts {
 		seen, err := p.Current(ctx)
 		if err != nil {
 			return err
@@ -142,42 +142,42 @@
 			return nil
 		}
 	}
-	return errRaced
+	return errConcurrentChanges
 }
 
 func prepareSwitch(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
-	platform := f.String("platform", "", platformFlag)
+	platform := f.String("platform", "", platformFlagUsage)
 	service := f.String("service", "", "the `name` of the service")
 	instance := f.String("instance", "", "the status `address` of any instance, to watch the change")
 	return func(ctx context.Context, arguments []string) error {
-		if err := only(arguments, 0, "none"); err != nil {
+		if err := requireArguments(arguments, 0, "none"); err != nil {
 			return err
 		}
-		if err := need("platform", *platform, "service", *service, "instance", *instance); err != nil {
+		if err := requireFlags("platform", *platform, "service", *service, "instance", *instance); err != nil {
 			return err
 		}
-		return t.change(ctx, *platform, *service, *instance)
+		return t.switchPrimary(ctx, *platform, *service, *instance)
 	}
 }
 
-// change marks the primary as leaving, waits for another one, and takes the
-// mark off again, also when the change did not come about: a mark left behind
+// switchPrimary marks the primary as leaving, waits for another one, and takes the
+// mark off again, also when the switchPrimary did not come about: a mark left behind
 // would keep the member out of service.
-func (t *terminal) change(ctx context.Context, platform, service, instance string) error {
-	old, err := t.primary(ctx, service, instance)
+func (t *terminal) switchPrimary(ctx context.Context, platform, service, instance string) error {
+	old, err := t.currentPrimary(ctx, service, instance)
 	if err != nil {
 		return err
 	}
 	if old == "" {
 		return errors.Errorf("service %s has no primary that could leave", service)
 	}
-	if err := t.mark(ctx, platform, service, old, true); err != nil {
+	if err := t.setLeaving(ctx, platform, service, old, true); err != nil {
 		return err
 	}
-	now, waited := t.awaitChange(ctx, service, instance, old)
+	now, waited := t.waitForNewPrimary(ctx, service, instance, old)
 	after, cancel := context.WithTimeout(context.WithoutCancel(ctx), t.timeout)
 	defer cancel()
-	if err := t.mark(after, platform, service, old, false); err != nil {
+	if err := t.setLeaving(after, platform, service, old, false); err != nil {
 		return errors.Wrapf(err, "member %s is still marked as leaving: drain -undo takes the mark off", old)
 	}
 	if waited != nil {
@@ -187,22 +187,22 @@
 	return nil
 }
 
-func (t *terminal) awaitChange(ctx context.Context, service, instance, old string) (string, error) {
+func (t *terminal) waitForNewPrimary(ctx context.Context, service, instance, old string) (string, error) {
 	for {
-		now, err := t.primary(ctx, service, instance)
+		now, err := t.currentPrimary(ctx, service, instance)
 		if err == nil && now != "" && now != old {
 			return now, nil
 		}
 		select {
-		case <-time.After(switchPause):
+		case <-time.After(statusPollInterval):
 		case <-ctx.Done():
 			return "", ctx.Err()
 		}
 	}
 }
 
-func (t *terminal) primary(ctx context.Context, service, instance string) (string, error) {
-	s, err := t.state(ctx, instance)
+func (t *terminal) currentPrimary(ctx context.Context, service, instance string) (string, error) {
+	s, err := t.fetchState(ctx, instance)
 	if err != nil {
 		return "", err
 	}
--- a/cmd/oriolegwctl/fleet_test.go
+++ b/cmd/oriolegwctl/fleet_test.go
@@ -11,37 +11,37 @@
 	"github.com/shoenig/test/must"
 )
 
-const service = "lockers-west"
+const sampleService = "lockers-west"
 
-// instance serves the pages of an instance whose state the test sets.
-func instance(t *testing.T, state func() reporter.State, drain func()) (address string) {
+// serveInstance serves the pages of an serveInstance whose state the test sets.
+func serveInstance(t *testing.T, state func() reporter.State, drain func()) (address string) {
 	s := httptest.NewServer((&reporter.Pages{State: state, Drain: drain}).Handler())
 	t.Cleanup(s.Close)
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-func primary(name string) reporter.State {
+func stateWithPrimary(name string) reporter.State {
 	return reporter.State{
 		Instance: "entry-burnie", Zone: "burnie", Version: 4,
-		Groups: []reporter.GroupState{{Service: service, Term: 2, Primary: name}},
+		Groups: []reporter.GroupState{{Service: sampleService, Term: 2, Primary: name}},
 	}
 }
 
 func TestStatus(t *testing.T) {
-	b := newBench(t)
-	a := instance(t, func() reporter.State { return primary("lockers-west-1") }, nil)
+	b := newCLITest(t)
+	a := serveInstance(t, func() reporter.State { return stateWithPrimary("lockers-west-1") }, nil)
 	b.expect(exitOK, "instance entry-burnie in burnie, ready, configuration version 4", "status", "-instances", a)
 	b.expect(exitOK, "service lockers-west: term 2, primary lockers-west-1", "status", "-whole", "-instances", a)
 	b.expect(exitFailed, "1 instances gave no answer", "status", "-instances", a+",127.0.0.1:1")
 }
 
 func TestDrainInstance(t *testing.T) {
-	b := newBench(t)
+	b := newCLITest(t)
 	drained := 0
-	a := instance(t, func() reporter.State { return primary("") }, func() { drained++ })
+	a := serveInstance(t, func() reporter.State { return stateWithPrimary("") }, func() { drained++ })
 	b.expect(exitOK, "leaving", "drain", "-instance", a)
 	must.Eq(t, 1, drained)
-	b.expect(exitFailed, "can't be drained", "drain", "-instance", instance(t, func() reporter.State { return primary("") }, nil))
+	b.expect(exitFailed, "can't be drained", "drain", "-instance", serveInstance(t, func() reporter.State { return stateWithPrimary("") }, nil))
 }
 
 // The primary is marked as leaving until another one is seen; the mark does not
@@ -57,28 +57,28 @@
 		"nothing comes of it": {false, "300ms", exitFailed, "member lockers-west-1 is still the primary"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			b.expect(exitOK, "accepted", "publish", "-platform", "x", "-seen", "0", keyhold)
-			leaving := func() bool { return b.leaving("lockers-west-1") }
-			a := instance(t, func() reporter.State {
+			b := newCLITest(t)
+			b.expect(exitOK, "accepted", "publish", "-platform", "x", "-seen", "0", sampleDocument)
+			leaving := func() bool { return b.isLeaving("lockers-west-1") }
+			a := serveInstance(t, func() reporter.State {
 				if c.obeys && leaving() {
-					return primary("lockers-west-2")
+					return stateWithPrimary("lockers-west-2")
 				}
-				return primary("lockers-west-1")
+				return stateWithPrimary("lockers-west-1")
 			}, nil)
-			b.expect(c.code, c.output, "switch", "-timeout", c.timeout, "-platform", "x", "-service", service, "-instance", a)
+			b.expect(c.code, c.output, "switch", "-timeout", c.timeout, "-platform", "x", "-service", sampleService, "-instance", a)
 			must.False(t, leaving())
 		})
 	}
 }
 
-func (b *bench) leaving(member string) bool {
-	store, _ := b.terminal.store("x")
+func (b *cliTest) isLeaving(member string) bool {
+	store, _ := b.terminal.openStore("x")
 	now, err := (&publisher.Publisher{Store: store}).Current(context.Background())
 	if err != nil || now.Document == nil {
 		return false
 	}
-	for _, m := range now.Document.Service(service).Members {
+	for _, m := range now.Document.Service(sampleService).Members {
 		if m.Name == member {
 			return m.Leaving
 		}
--- a/cmd/oriolegwctl/main.go
+++ b/cmd/oriolegwctl/main.go
@@ -33,8 +33,8 @@
 		in       io.Reader
 		out, err io.Writer
 		network  networker.Network
-		// store opens the platform's store.
-		store func(address string) (storer.Store, func())
+		// openStore opens the platform's openStore.
+		openStore func(address string) (storer.Store, func())
 		// timeout bounds the whole command, and what must follow it.
 		timeout time.Duration
 	}
@@ -73,7 +73,7 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	t := &terminal{in: os.Stdin, out: os.Stdout, err: os.Stderr, network: networker.TCP{}, store: openStore}
+	t := &terminal{in: os.Stdin, out: os.Stdout, err: os.Stderr, network: networker.TCP{}, openStore: openStore}
 	os.Exit(run(ctx, t, os.Args[1:]))
 }
 
@@ -142,8 +142,8 @@
 	return exitFailed
 }
 
-// need reports the first flag that is missing.
-func need(flags ...string) error {
+// requireFlags reports the first flag that is missing.
+func requireFlags(flags ...string) error {
 	for i := 0; i+1 < len(flags); i += 2 {
 		if flags[i+1] == "" {
 			return usageError{"flag -" + flags[i] + " is needed"}
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// only reports whether there are exactly so many arguments.
-func only(arguments []string, count int, what string) error {
+// requireArguments reports whether there are exactly so many arguments.
+func requireArguments(arguments []string, count int, what string) error {
 	if len(arguments) != count {
 		return usageError{fmt.Sprintf("%d arguments given, want %s", len(arguments), what)}
 	}
--- a/internal/documenter/documenter.go
+++ b/internal/documenter/documenter.go
@@ -26,10 +26,10 @@
 // Pages returns all generated pages.
 func Pages() []Page {
 	return []Page{
-		{File: "docs/REFUSALS.md", Text: refusals()},
-		{File: "docs/METRICS.md", Text: metrics()},
-		{File: "docs/DECISIONS.md", Text: decisions()},
-		{File: "docs/SCENARIOS.md", Text: scenarios()},
+		{File: "docs/REFUSALS.md", Text: refusalsPage()},
+		{File: "docs/METRICS.md", Text: metricsPage()},
+		{File: "docs/DECISIONS.md", Text: decisionsPage()},
+		{File: "docs/SCENARIOS.md", Text: scenariosPage()},
 	}
 }
 
@@ -56,7 +56,7 @@
 |---|---|---|---|---|---|---|
 `
 
-func refusals() []byte {
+func refusalsPage() []byte {
 	reasons := slices.Clone(refuser.Reasons)
 	slices.SortFunc(reasons, func(a, b *refuser.Reason) int { return strings.Compare(a.Code, b.Code) })
 	var out bytes.Buffer
@@ -95,7 +95,7 @@
 |---|---|---|
 `
 
-func metrics() []byte {
+func metricsPage() []byte {
 	list := append(slices.Clone(reporter.Metrics), launcher.Metrics()...)
 	for _, r := range refuser.Reasons {
 		list = append(list, reporter.Metric{
@@ -124,7 +124,7 @@
 |---|---|---|
 `
 
-func decisions() []byte {
+func decisionsPage() []byte {
 	var out bytes.Buffer
 	out.WriteString(decisionsHead)
 	for _, r := range dispatcher.Reasons {
--- a/internal/documenter/scenarios.go
+++ b/internal/documenter/scenarios.go
@@ -34,7 +34,7 @@
 |---|---|
 `
 
-func scenarios() []byte {
+func scenariosPage() []byte {
 	var out bytes.Buffer
 	out.WriteString(scenariosHead)
 	for _, c := range player.Commands() {
--- a/internal/editor/editor.go
+++ b/internal/editor/editor.go
@@ -1,7 +1,7 @@
-// Package editor edits the configuration document by forms. An edit is a patch
-// of the document's text, so that comments stay and the one check of documents
-// tells about every mistake, also about a word where a number should be. The
-// working copy travels with the forms: the server keeps nothing.
+// Package editor serves HTML forms that edit the configuration document. Edits are
+// JSON patches of the document's text, so that comments are preserved and the usual
+// validation reports all mistakes, including invalid numbers. The working copy is a
+// hidden form field; the server is stateless.
 package editor
 
 import (
@@ -19,7 +19,7 @@
 type (
 	// Copy is an operator's working copy of the document.
 	Copy struct {
-		// Version is the published one that the copy builds on; 0 is none.
+		// Version is the published version that the copy is based on, or 0.
 		Version int64
 		Text    string
 	}
@@ -31,35 +31,35 @@
 		Help string
 	}
 
-	// FieldKind says how an input becomes JSON.
+	// FieldKind determines how an input is encoded as JSON.
 	FieldKind string
 
-	// Form is the inputs for one kind of thing.
+	// Form describes the inputs for one kind of object.
 	Form struct {
-		// Name is what the thing is called: service, member, rule, …
+		// Name is the kind of object: service, member, rule, customer or user.
 		Name   string
 		Fields []Field
-		// Lists are the lists that a new thing begins with, empty.
+		// Lists are the keys of the empty lists in a new object.
 		Lists []string
 	}
 
-	// patch is one operation of RFC 6902.
-	patch struct {
+	// patchOperation is one JSON Patch operation (RFC 6902).
+	patchOperation struct {
 		Op    string          `json:"op"`
 		Path  string          `json:"path"`
 		Value json.RawMessage `json:"value,omitempty"`
 	}
 )
 
-// The kinds of inputs.
+// Kinds of inputs.
 const (
 	// Text is a string.
 	Text FieldKind = "text"
-	// Number is written as it was typed, if it is a number.
+	// Number is a number, or a string if the input is not a valid number.
 	Number FieldKind = "number"
-	// Switch is true or absent.
+	// Switch is true or false.
 	Switch FieldKind = "checkbox"
-	// Words are a list of strings, separated by spaces.
+	// Words is a list of strings, separated by spaces in the input.
 	Words FieldKind = "words"
 )
 
@@ -68,51 +68,51 @@
 	formService = "service"
 )
 
-// Forms are the forms, by name.
+// Forms has the forms by name.
 var Forms = map[string]Form{
 	formService: {
 		Name: formService, Lists: []string{"members", "reader-rules", "customers"},
 		Fields: []Field{
-			{"name", Text, "what callers name as their database"},
-			{"connections", Number, "how many connections all instances together hold to the group"},
-			{"slots", Number, "statements that one member runs at once"},
-			{"hold-ms", Number, "how long a request that was not run waits for a primary; 0 is the default"},
+			{"name", Text, "database name that callers connect to"},
+			{"connections", Number, "maximum number of connections from all instances to the group"},
+			{"slots", Number, "statements that a member runs concurrently"},
+			{"hold-ms", Number, "how long a request that has not run waits for a primary; 0 selects the default"},
 		},
 	},
 	"member": {Name: "member", Fields: []Field{
 		{"name", Text, ""},
 		{"address", Text, "IP number and port"},
 		{"availability-zone", Text, ""},
-		{"leaving", Switch, "gets no new work"},
+		{"leaving", Switch, "receives no new requests"},
 	}},
 	"rule": {Name: "rule", Fields: []Field{
-		{"kind", Text, "kind of request; default is for those that name none"},
-		{"max-age-ms", Number, "how old an answer may be; 0 is for the primary only"},
+		{"kind", Text, "kind of request; \"default\" applies to requests without a kind"},
+		{"max-age-ms", Number, "maximum staleness; 0 selects the primary only"},
 	}},
 	"customer": {Name: "customer", Fields: []Field{
 		{"name", Text, ""},
 		{"share", Number, "weight among the customers of the service"},
-		{"users", Words, "caller users, separated by spaces"},
+		{"users", Words, "user names of callers, separated by spaces"},
 	}},
 	"user": {Name: "user", Fields: []Field{
 		{"name", Text, ""},
-		{"password-verifier", Text, "as oriolegwctl verifier prints it"},
+		{"password-verifier", Text, "output of oriolegwctl verifier"},
 	}},
 }
 
-// Check returns what the copy says and its mistakes.
+// Check parses and validates the copy.
 func (c Copy) Check() (*configurer.Document, inspector.Problems) {
 	return configurer.Check(fileName, []byte(c.Text))
 }
 
-// Put writes a thing: at a path that ends in /- a new one, else the one that is
-// there, whose other keys stay.
+// Put sets the form's fields of the object at a path, keeping its other keys. A path
+// that ends in "/-" appends a new object.
 func (c Copy) Put(form Form, path string, value func(key string) string) (Copy, error) {
-	parent, last := cut(path)
+	parent, last := splitPath(path)
 	if last != "-" {
-		var edits []patch
+		var edits []patchOperation
 		for _, f := range form.Fields {
-			edits = append(edits, patch{Op: "add", Path: path + "/" + f.Key, Value: f.encode(value(f.Key))})
+			edits = append(edits, patchOperation{Op: "add", Path: path + "/" + f.Key, Value: f.encode(value(f.Key))})
 		}
 		return c.apply(edits)
 	}
@@ -123,15 +123,15 @@
 	for _, l := range form.Lists {
 		object[l] = json.RawMessage("[]")
 	}
-	return c.withList(parent).apply([]patch{{Op: "add", Path: path, Value: ordered(form, object)}})
+	return c.ensureList(parent).apply([]patchOperation{{Op: "add", Path: path, Value: encodeOrdered(form, object)}})
 }
 
-// Remove takes the thing at a path away.
+// Remove deletes the object at a path.
 func (c Copy) Remove(path string) (Copy, error) {
-	return c.apply([]patch{{Op: "remove", Path: path}})
+	return c.apply([]patchOperation{{Op: "remove", Path: path}})
 }
 
-func cut(path string) (parent, last string) {
+func splitPath(path string) (parent, last string) {
 	i := strings.LastIndexByte(path, '/')
 	if i < 0 {
 		return "", path
@@ -139,41 +139,40 @@
 	return path[:i], path[i+1:]
 }
 
-// withList adds a list that the document lacks, since those that may be absent
-// often are.
-func (c Copy) withList(path string) Copy {
+// ensureList adds an empty list at the path if the document has none.
+func (c Copy) ensureList(path string) Copy {
 	v, err := hujson.Parse([]byte(c.Text))
 	if err != nil || v.Find(path) != nil {
 		return c
 	}
-	if with, err := c.apply([]patch{{Op: "add", Path: path, Value: json.RawMessage("[]")}}); err == nil {
-		return with
+	if extended, err := c.apply([]patchOperation{{Op: "add", Path: path, Value: json.RawMessage("[]")}}); err == nil {
+		return extended
 	}
 	return c
 }
 
-func (c Copy) apply(edits []patch) (Copy, error) {
+func (c Copy) apply(edits []patchOperation) (Copy, error) {
 	text := c.Text
 	if strings.TrimSpace(text) == "" {
 		text = string(configurer.Encode(&configurer.Document{}))
 	}
 	v, err := hujson.Parse([]byte(text))
 	if err != nil {
-		return c, errors.Wrap(err, "the working copy")
+		return c, errors.Wrap(err, "parse working copy")
 	}
 	list, err := json.Marshal(edits)
 	if err != nil {
-		return c, errors.Wrap(err, "encode edit")
+		return c, errors.Wrap(err, "encode patch")
 	}
 	if err := v.Patch(list); err != nil {
-		return c, errors.Wrap(err, "edit")
+		return c, errors.Wrap(err, "apply patch")
 	}
 	v.Format()
 	return Copy{Version: c.Version, Text: string(v.Pack())}, nil
 }
 
-// encode turns an input into JSON. What is no number stays a string, and the
-// check of the document says so.
+// encode encodes an input as JSON. An invalid number becomes a string, which the
+// validation of the document reports.
 func (f Field) encode(input string) json.RawMessage {
 	input = strings.TrimSpace(input)
 	switch f.Kind {
@@ -182,24 +181,24 @@
 			return json.RawMessage(input)
 		}
 	case Switch:
-		return quote(input != "")
+		return encodeJSON(input != "")
 	case Words:
-		return quote(append([]string{}, strings.Fields(input)...))
+		return encodeJSON(append([]string{}, strings.Fields(input)...))
 	case Text:
 	}
-	return quote(input)
+	return encodeJSON(input)
 }
 
-func quote(v any) json.RawMessage {
+func encodeJSON(v any) json.RawMessage {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // strings and booleans always encode
+		panic(err) // marshaling strings and booleans can't fail
 	}
 	return b
 }
 
-// ordered writes an object with its keys in the order of the form.
-func ordered(form Form, object map[string]json.RawMessage) json.RawMessage {
+// encodeOrdered encodes an object with its keys in the order of the form.
+func encodeOrdered(form Form, object map[string]json.RawMessage) json.RawMessage {
 	keys := make([]string, 0, len(object))
 	for _, f := range form.Fields {
 		keys = append(keys, f.Key)
@@ -211,7 +210,7 @@
 		if i > 0 {
 			out.WriteByte(',')
 		}
-		out.Write(quote(k))
+		out.Write(encodeJSON(k))
 		out.WriteByte(':')
 		out.Write(object[k])
 	}
--- a/internal/editor/layout.go
+++ b/internal/editor/layout.go
@@ -9,20 +9,20 @@
 )
 
 type (
-	// group is a heading of the page with its sections.
+	// group is a titled part of the page with its sections.
 	group struct {
 		Title    string
 		Sections []section
 	}
 
-	// section is a list of things of one kind, and the form for one more.
+	// section lists objects of one kind, with a form to add another.
 	section struct {
 		Title string
 		Rows  []row
 		New   *row
 	}
 
-	// row is one form: the thing at a path, with its values by key.
+	// row is a form for the object at a path, with its values by key.
 	row struct {
 		Form   Form
 		Path   string
@@ -30,37 +30,36 @@
 	}
 )
 
-const newElement = "/-"
+const appendElement = "/-"
 
-// Input is the name of the input for a key: all rows are in one form, so that
-// the working copy stands on the page once.
+// Input returns the name of the input for a key. It includes the path, since all
+// rows are in one HTML form.
 func (r row) Input(key string) string { return inputName(r.Path, key) }
 
 func inputName(path, key string) string { return path + " " + key }
 
-// Target names the row's form and path for the button that sends it.
+// Target returns the button value that selects the row's form and path.
 func (r row) Target() string { return r.Form.Name + " " + r.Path }
 
-// Groups lays the copy's document out: the open service, what users there are,
-// and the form for a new service. Only one service is shown, since a page with
-// thousands of them is of no use to a reader and too large to send.
+// Groups returns the parts of the page: the selected service, the users, and the
+// form for a new service. Only one service is shown, to bound the page size.
 func (v view) Groups() []group {
 	var out []group
 	for i, s := range v.Document.Services {
 		if s.Name != v.Open {
 			continue
 		}
-		at := fmt.Sprintf("/services/%d", i)
+		path := fmt.Sprintf("/services/%d", i)
 		out = append(out, group{Title: "Service " + s.Name, Sections: []section{
-			{Title: "service", Rows: []row{v.row("service", at, serviceValues(s))}},
-			list(v, "members", "member", at+"/members", s.Members, memberValues),
-			list(v, "reader rules", "rule", at+"/reader-rules", s.Rules, ruleValues),
-			list(v, "customers", "customer", at+"/customers", s.Customers, customerValues),
+			{Title: "service", Rows: []row{v.row("service", path, serviceValues(s))}},
+			listSection(v, "members", "member", path+"/members", s.Members, memberValues),
+			listSection(v, "reader rules", "rule", path+"/reader-rules", s.Rules, ruleValues),
+			listSection(v, "customers", "customer", path+"/customers", s.Customers, customerValues),
 		}})
 	}
 	return append(out,
-		group{Title: "Users", Sections: []section{list(v, "users", "user", "/users", v.Document.Users, userValues)}},
-		group{Title: "A new service", Sections: []section{{Title: "service", New: v.newRow("service", "/services")}}},
+		group{Title: "Users", Sections: []section{listSection(v, "users", "user", "/users", v.Document.Users, userValues)}},
+		group{Title: "New service", Sections: []section{{Title: "service", New: v.newRow("service", "/services")}}},
 	)
 }
 
@@ -69,14 +68,14 @@
 }
 
 func (v view) newRow(form, path string) *row {
-	r := v.row(form, path+newElement, nil)
+	r := v.row(form, path+appendElement, nil)
 	return &r
 }
 
-func list[T any](v view, title, form, path string, things []T, values func(T) map[string]string) section {
+func listSection[T any](v view, title, form, path string, objects []T, values func(T) map[string]string) section {
 	s := section{Title: title, New: v.newRow(form, path)}
-	for i, t := range things {
-		s.Rows = append(s.Rows, v.row(form, fmt.Sprintf("%s/%d", path, i), values(t)))
+	for i, o := range objects {
+		s.Rows = append(s.Rows, v.row(form, fmt.Sprintf("%s/%d", path, i), values(o)))
 	}
 	return s
 }
--- a/internal/editor/pages.go
+++ b/internal/editor/pages.go
@@ -22,31 +22,31 @@
 var pageTemplate = template.Must(template.New("page").Parse(pageText))
 
 type (
-	// Pages serves the forms. Set the exported fields, then use Handler.
+	// Pages serves the editor. Set the exported fields, then use Handler.
 	Pages struct {
 		Publisher *publisher.Publisher
 		Log       log.Logger
 	}
 
-	// view is what one page shows.
+	// view is the data of the page template.
 	view struct {
 		Copy     Copy
 		Document *configurer.Document
 		Problems inspector.Problems
-		// Changes are what publishing the copy would change.
+		// Changes lists what publishing the copy would change.
 		Changes []configurer.Change
-		// Open is the service that is shown.
+		// Open is the name of the selected service.
 		Open string
-		// Notice and Theirs tell what became of a try to publish.
-		Notice string
-		Theirs []configurer.Change
+		// Notice is the result of publishing. RemoteChanges are the differences
+		// of a version that another operator published first.
+		Notice        string
+		RemoteChanges []configurer.Change
 	}
 )
 
-const maxForm = 4 << 20
+const maxRequestBytes = 4 << 20
 
-// Handler returns the pages. Requests that a page of another site sends with an
-// operator's browser are refused.
+// Handler returns the handler of all pages. It rejects cross-origin requests.
 func (p *Pages) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /{$}", p.handleStart)
@@ -54,7 +54,7 @@
 	mux.HandleFunc("POST /put", p.handlePut)
 	mux.HandleFunc("POST /remove", p.handleRemove)
 	mux.HandleFunc("POST /publish", p.handlePublish)
-	return http.MaxBytesHandler(http.NewCrossOriginProtection().Handler(mux), maxForm)
+	return http.MaxBytesHandler(http.NewCrossOriginProtection().Handler(mux), maxRequestBytes)
 }
 
 func (p *Pages) handleStart(w http.ResponseWriter, r *http.Request) {
@@ -66,7 +66,7 @@
 	p.show(w, r, http.StatusOK, view{Copy: Copy{Version: now.Version, Text: string(now.Text)}})
 }
 
-func read(r *http.Request) (Copy, error) {
+func readCopy(r *http.Request) (Copy, error) {
 	version, err := strconv.ParseInt(r.FormValue("version"), 10, 64)
 	if err != nil {
 		return Copy{}, errors.Wrap(err, "version")
@@ -75,7 +75,7 @@
 }
 
 func (p *Pages) handleOpen(w http.ResponseWriter, r *http.Request) {
-	c, err := read(r)
+	c, err := readCopy(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -87,7 +87,7 @@
 	name, path, _ := strings.Cut(r.FormValue("put"), " ")
 	value := func(key string) string { return r.FormValue(inputName(path, key)) }
 	open := r.FormValue("open")
-	if name == formService { // it may get another name, or be new
+	if name == formService { // the service may be new or renamed
 		open = value("name")
 	}
 	p.edit(w, r, open, func(c Copy) (Copy, error) {
@@ -104,7 +104,7 @@
 }
 
 func (p *Pages) edit(w http.ResponseWriter, r *http.Request, open string, change func(Copy) (Copy, error)) {
-	c, err := read(r)
+	c, err := readCopy(r)
 	if err == nil {
 		c, err = change(c)
 	}
@@ -116,7 +116,7 @@
 }
 
 func (p *Pages) handlePublish(w http.ResponseWriter, r *http.Request) {
-	c, err := read(r)
+	c, err := readCopy(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -129,7 +129,7 @@
 	case errors.Is(err, configurer.ErrUnsafeChange):
 		p.show(w, r, http.StatusUnprocessableEntity, view{Copy: c, Open: r.FormValue("open"), Notice: "Nothing was changed: " + err.Error() + "."})
 	case result.Outcome == publisher.Accepted:
-		p.log("Document was published.", result.Now.Version)
+		p.logEvent("Document published.", result.Now.Version)
 		p.show(w, r, http.StatusOK, view{
 			Copy:   Copy{Version: result.Now.Version, Text: string(result.Now.Text)},
 			Open:   r.FormValue("open"),
@@ -138,19 +138,19 @@
 	case result.Outcome == publisher.Raced:
 		p.showRace(w, r, c, result)
 	default:
-		http.Error(w, "outcome unknown, the document may be in force; look at the start page before you publish again: "+err.Error(), http.StatusServiceUnavailable)
+		http.Error(w, "outcome unknown, the document may be in force; check the start page before publishing again: "+err.Error(), http.StatusServiceUnavailable)
 	}
 }
 
-// showRace shows the operator who lost a race how the version in force differs
-// from the copy; the copy keeps its version, so it can't be published.
+// showRace reports that another version was published first, with its differences
+// from the copy. The copy keeps its base version and so can't be published.
 func (p *Pages) showRace(w http.ResponseWriter, r *http.Request, c Copy, result publisher.Result) {
-	mine, _ := c.Check()
+	document, _ := c.Check()
 	p.show(w, r, http.StatusConflict, view{
-		Copy:   c,
-		Open:   r.FormValue("open"),
-		Notice: "Nothing was changed: another operator published version " + strconv.FormatInt(result.Now.Version, 10) + " first.",
-		Theirs: configurer.Diff(mine, result.Now.Document),
+		Copy:          c,
+		Open:          r.FormValue("open"),
+		Notice:        "Nothing was changed: another operator published version " + strconv.FormatInt(result.Now.Version, 10) + " first.",
+		RemoteChanges: configurer.Diff(document, result.Now.Document),
 	})
 }
 
@@ -165,8 +165,8 @@
 	v.Changes = p.changes(r.Context(), v)
 	var out bytes.Buffer
 	if err := pageTemplate.Execute(&out, v); err != nil {
-		p.log("Page could not be made: "+err.Error(), v.Copy.Version)
-		http.Error(w, "the page could not be made", http.StatusInternalServerError)
+		p.logEvent("Page could not be rendered: "+err.Error(), v.Copy.Version)
+		http.Error(w, "the page could not be rendered", http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "text/html; charset=utf-8")
@@ -175,8 +175,8 @@
 	_, _ = w.Write(out.Bytes())
 }
 
-// changes compares the copy with the published document, while that still has
-// the copy's version.
+// changes returns the differences of the copy from the published document, or nil if
+// that has another version.
 func (p *Pages) changes(ctx context.Context, v view) []configurer.Change {
 	now, err := p.Publisher.Current(ctx)
 	if err != nil || now.Version != v.Copy.Version {
@@ -185,6 +185,6 @@
 	return configurer.Diff(now.Document, v.Document)
 }
 
-func (p *Pages) log(text string, version int64) {
+func (p *Pages) logEvent(text string, version int64) {
 	_ = p.Log.Log("part", "console", "msg", text, "version", version)
 }
--- a/internal/explainer/explainer.go
+++ b/internal/explainer/explainer.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// before and after bound the lines that may tell the cause: a primary is given up
+	// contextBefore and after bound the lines that may tell the cause: a primary is given up
 	// after about a second, and a promotion takes as long.
-	before = 4 * time.Second
-	after  = 3 * time.Second
-	// maxLine bounds a line, in bytes.
-	maxLine = 1 << 20
+	contextBefore = 4 * time.Second
+	contextAfter  = 3 * time.Second
+	// maxLineBytes bounds a line, in bytes.
+	maxLineBytes = 1 << 20
 )
 
 type (
@@ -72,18 +72,18 @@
 		return nil, ErrUnknown
 	}
 	delete(about, "")
-	from, to := x.Request[0].At.Add(-before), x.Request[len(x.Request)-1].At.Add(after)
+	from, to := x.Request[0].At.Add(-contextBefore), x.Request[len(x.Request)-1].At.Add(contextAfter)
 	for _, l := range lines {
-		if l.At.After(from) && l.At.Before(to) && l.context(about) {
+		if l.At.After(from) && l.At.Before(to) && l.isContext(about) {
 			x.Context = append(x.Context, l)
 		}
 	}
 	return x, nil
 }
 
-// context reports whether a line tells of the state of one of the groups or members,
+// isContext reports whether a line tells of the state of one of the groups or members,
 // or of the whole instance.
-func (l Line) context(about map[string]bool) bool {
+func (l Line) isContext(about map[string]bool) bool {
 	switch l.Fields["part"] {
 	case "duty", "belief":
 		group, member := l.Fields["group"], l.Fields["member"]
@@ -101,7 +101,7 @@
 func Read(log io.Reader) ([]Line, error) {
 	var lines []Line
 	s := bufio.NewScanner(log)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		text := s.Text()
 		i := strings.Index(text, "ts=")
--- a/internal/inspector/inspector.go
+++ b/internal/inspector/inspector.go
@@ -1,10 +1,9 @@
-// Package inspector reads JSON with comments against what is allowed, and
-// reports every mistake at once: its file, line and column, what was found and
-// what is allowed. It is used for the settings of an instance and for the
-// configuration document.
+// Package inspector decodes and validates JSON with comments, and reports all
+// mistakes at once, each with file, line and column, the value found and the values
+// allowed. The settings of an instance and the configuration document use it.
 //
-// The caller describes an object by its fields; each field reads its value into
-// the caller's own type, so that no type needs tags:
+// The caller describes an object by its fields. Each field decodes its value
+// with a function, so that types need no tags:
 //
 //	inspector.Read("settings.json", text, func(n inspector.Node) {
 //		n.Object(
@@ -26,25 +25,25 @@
 )
 
 type (
-	// Problem is one mistake in a text.
+	// Problem is one mistake in a file.
 	Problem struct {
 		File string
-		// Line and Column count from 1; Column counts characters.
+		// Line and Column start at 1. Column counts characters.
 		Line, Column int
-		// Path leads to the value, "services[0].name"; empty for the whole.
+		// Path is the path of the value, "services[0].name"; empty for the root.
 		Path string
-		// Found says what stands there, Allowed what may.
+		// Found describes the value found, Allowed the values allowed.
 		Found, Allowed string
-		// Unknown marks a key that is not known here, which may be one of a
-		// newer version.
+		// Unknown marks an unknown key, which a newer version may support.
 		Unknown bool
 	}
 
-	// Problems are all mistakes of one text, in the order of their places. It
-	// is an error.
+	// Problems lists all mistakes of a file in the order found. It implements
+	// error.
 	Problems []Problem
 
-	report struct {
+	// document is a text under validation with the problems found so far.
+	document struct {
 		file     string
 		text     []byte
 		problems Problems
@@ -52,18 +51,18 @@
 )
 
 const (
-	// MaxBytes is the longest text that is read: the store holds no longer value.
+	// MaxBytes is the maximum length of a text: the store accepts no longer value.
 	MaxBytes = 1 << 20
-	// maxDepth bounds the brackets that are open at once. The parser recurses,
-	// and a megabyte of brackets would end the process by exhausting its stack.
-	maxDepth = 64
-	quoted   = 40
+	// maxDepth bounds the nesting, since the parser recurses and deep nesting
+	// would exhaust the stack.
+	maxDepth       = 64
+	maxQuotedBytes = 40
 )
 
-// tokens are strings, comments and brackets.
-var tokens = regexp.MustCompile(`(?s)"(?:[^"\\]|\\.)*"|//[^\n]*|/\*.*?\*/|[\[\]{}]`)
+// tokenPattern matches strings, comments and brackets.
+var tokenPattern = regexp.MustCompile(`(?s)"(?:[^"\\]|\\.)*"|//[^\n]*|/\*.*?\*/|[\[\]{}]`)
 
-// String is "file:line:column: path: found …; allowed: …".
+// String formats the problem as "file:line:column: path: found …; allowed: …".
 func (p Problem) String() string {
 	out := fmt.Sprintf("%s:%d:%d: ", p.File, p.Line, p.Column)
 	if p.Path != "" {
@@ -76,7 +75,7 @@
 	return out
 }
 
-// Error lists the problems, one a line.
+// Error lists the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, q := range p {
@@ -93,21 +92,21 @@
 	return p
 }
 
-// Known leaves out the keys that are not known here.
+// Known returns the problems without unknown keys.
 func (p Problems) Known() Problems {
 	return slices.DeleteFunc(slices.Clone(p), func(q Problem) bool { return q.Unknown })
 }
 
-// Read parses a text and gives its outermost value to read. What read took from
-// the text is only good when no problems are returned.
+// Read parses a text and calls read with its root value. The values that read
+// decodes are valid only if no problems are returned.
 func Read(file string, text []byte, read func(Node)) Problems {
-	r := &report{file: file, text: text}
+	r := &document{file: file, text: text}
 	if len(text) > MaxBytes {
 		r.add(0, "", fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("at most %d", MaxBytes))
 		return r.problems
 	}
-	if at, deep := tooDeep(text); deep {
-		r.add(at, "", "brackets nested too deeply", fmt.Sprintf("at most %d levels", maxDepth))
+	if offset, found := findExcessNesting(text); found {
+		r.add(offset, "", "brackets nested too deeply", fmt.Sprintf("at most %d levels", maxDepth))
 		return r.problems
 	}
 	v, err := hujson.Parse(bytes.Clone(text))
@@ -115,11 +114,11 @@
 		r.problems = append(r.problems, syntaxProblem(file, err))
 		return r.problems
 	}
-	read(Node{report: r, value: &v})
+	read(Node{document: r, value: &v})
 	return r.problems
 }
 
-// syntaxProblem takes the place out of the parser's message.
+// syntaxProblem extracts line and column from the parser's message.
 func syntaxProblem(file string, err error) Problem {
 	p := Problem{File: file, Line: 1, Column: 1, Found: err.Error(), Allowed: "JSON with comments"}
 	var line, column int
@@ -132,36 +131,35 @@
 	return p
 }
 
-// tooDeep finds the place where too many brackets are open. Brackets inside of
-// strings and comments are skipped: counted, a closing one there would hide an
-// open one from the bound.
-func tooDeep(text []byte) (at int, deep bool) {
+// findExcessNesting returns the offset of the first bracket nested deeper than maxDepth.
+// It skips strings and comments, where closing brackets would lower the count.
+func findExcessNesting(text []byte) (offset int, found bool) {
 	depth := 0
-	for _, place := range tokens.FindAllIndex(text, -1) {
-		switch text[place[0]] {
+	for _, span := range tokenPattern.FindAllIndex(text, -1) {
+		switch text[span[0]] {
 		case '[', '{':
 			depth++
 		case ']', '}':
 			depth--
 		}
 		if depth > maxDepth {
-			return place[0], true
+			return span[0], true
 		}
 	}
 	return 0, false
 }
 
-func (r *report) add(offset int, path, found, allowed string) {
-	r.put(offset, Problem{Path: path, Found: found, Allowed: allowed})
+func (r *document) add(offset int, path, found, allowed string) {
+	r.addProblem(offset, Problem{Path: path, Found: found, Allowed: allowed})
 }
 
-func (r *report) put(offset int, p Problem) {
+func (r *document) addProblem(offset int, p Problem) {
 	p.File = r.file
-	p.Line, p.Column = r.place(offset)
+	p.Line, p.Column = r.position(offset)
 	r.problems = append(r.problems, p)
 }
 
-func (r *report) place(offset int) (line, column int) {
+func (r *document) position(offset int) (line, column int) {
 	before := r.text[:min(offset, len(r.text))]
 	start := bytes.LastIndexByte(before, '\n') + 1
 	return bytes.Count(before, []byte{'\n'}) + 1, utf8.RuneCount(before[start:]) + 1
--- a/internal/inspector/inspector_test.go
+++ b/internal/inspector/inspector_test.go
@@ -23,17 +23,17 @@
 	// a.json:1:1: found no key "name"; allowed: the key is required
 }
 
-// What breaks the syntax, or would exhaust the parser, is one clear problem.
-func TestBadText(t *testing.T) {
+// Invalid syntax and excessive size or nesting give exactly one problem each.
+func TestInvalidText(t *testing.T) {
 	for name, text := range map[string]string{
-		"empty":        "",
-		"cut off":      `{"a": [`,
-		"deep":         strings.Repeat("[", inspector.MaxBytes),
-		"deep, hidden": strings.Repeat(`["]",`, inspector.MaxBytes/5),
-		"too long":     strings.Repeat(" ", inspector.MaxBytes+1),
-		"two values":   `{} {}`,
-		"control":      "{\"a\": \"\x00\"}",
-		"not unicode":  "{\"a\": \"\xff\"}",
+		"empty":                "",
+		"truncated":            `{"a": [`,
+		"nested":               strings.Repeat("[", inspector.MaxBytes),
+		"nested among strings": strings.Repeat(`["]",`, inspector.MaxBytes/5),
+		"too long":             strings.Repeat(" ", inspector.MaxBytes+1),
+		"two values":           `{} {}`,
+		"control character":    "{\"a\": \"\x00\"}",
+		"invalid UTF-8":        "{\"a\": \"\xff\"}",
 	} {
 		t.Run(name, func(t *testing.T) {
 			problems := inspector.Read("a.json", []byte(text), func(n inspector.Node) { n.Object() })
--- a/internal/inspector/node.go
+++ b/internal/inspector/node.go
@@ -12,39 +12,38 @@
 )
 
 type (
-	// Node is one value of a text, with its place.
+	// Node is one JSON value with its position in the text.
 	Node struct {
-		report *report
-		path   string
-		value  *hujson.Value
+		document *document
+		path     string
+		value    *hujson.Value
 	}
 
-	// Field is one key that an object may have.
+	// Field is a key of an object, with the function that decodes its value.
 	Field struct {
 		Key      string
 		Required bool
 		Read     func(Node)
 	}
 
-	// Choice is a text that is one of a few.
+	// Choice is a string type with a fixed set of values.
 	Choice interface{ ~string }
 )
 
-var name = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// Need is a field that must be there.
+// Need returns a required field.
 func Need(key string, read func(Node)) Field { return Field{Key: key, Required: true, Read: read} }
 
-// May is a field that may be absent.
+// May returns an optional field.
 func May(key string, read func(Node)) Field { return Field{Key: key, Read: read} }
 
-// Problem reports a mistake at the value, for checks that only the caller can
-// make.
+// Problem reports a problem at the value's position. Callers use it for their own checks.
 func (n Node) Problem(found, allowed string) {
-	n.report.add(n.value.StartOffset, n.path, found, allowed)
+	n.document.add(n.value.StartOffset, n.path, found, allowed)
 }
 
-// Found describes the value for a message.
+// Found describes the value for messages.
 func (n Node) Found() string {
 	switch v := n.value.Value.(type) {
 	case *hujson.Object:
@@ -52,24 +51,24 @@
 	case *hujson.Array:
 		return "a list"
 	case hujson.Literal:
-		if len(v) > quoted {
-			return strings.ToValidUTF8(string(v[:quoted]), "?") + "…"
+		if len(v) > maxQuotedBytes {
+			return strings.ToValidUTF8(string(v[:maxQuotedBytes]), "?") + "…"
 		}
 		return string(v)
 	}
 	return "nothing"
 }
 
-// Object reads an object: unknown, duplicate and missing keys are problems.
+// Object decodes an object. Unknown, duplicate and missing keys are problems.
 func (n Node) Object(fields ...Field) {
 	o, ok := n.value.Value.(*hujson.Object)
 	if !ok {
-		n.Problem(n.Found(), "an object with "+keys(fields))
+		n.Problem(n.Found(), "an object with "+joinKeys(fields))
 		return
 	}
 	seen := map[string]int{}
 	for i := range o.Members {
-		n.member(&o.Members[i], fields, seen)
+		n.readMember(&o.Members[i], fields, seen)
 	}
 	for _, f := range fields {
 		if _, ok := seen[f.Key]; f.Required && !ok {
@@ -78,30 +77,30 @@
 	}
 }
 
-func (n Node) member(m *hujson.ObjectMember, fields []Field, seen map[string]int) {
+func (n Node) readMember(m *hujson.ObjectMember, fields []Field, seen map[string]int) {
 	key := m.Name.Value.(hujson.Literal).String()
 	child := n.child(&m.Value, key)
-	at := m.Name.StartOffset
-	if offset, ok := seen[key]; ok {
-		first, _ := n.report.place(offset)
-		n.report.add(at, n.path, "key "+strconv.Quote(key)+" a second time", "each key once; the first stands in line "+strconv.Itoa(first))
+	offset := m.Name.StartOffset
+	if firstOffset, ok := seen[key]; ok {
+		first, _ := n.document.position(firstOffset)
+		n.document.add(offset, n.path, "duplicate key "+strconv.Quote(key), "each key once; first used in line "+strconv.Itoa(first))
 		return
 	}
-	seen[key] = at // its line is counted only when it is needed: that reads the text from its start
+	seen[key] = offset // not the line, which takes time linear in the length of the text
 	for _, f := range fields {
 		if f.Key == key {
 			f.Read(child)
 			return
 		}
 	}
-	n.report.put(at, Problem{Path: n.path, Found: "unknown key " + strconv.Quote(key), Allowed: keys(fields), Unknown: true})
+	n.document.addProblem(offset, Problem{Path: n.path, Found: "unknown key " + strconv.Quote(key), Allowed: joinKeys(fields), Unknown: true})
 }
 
 func (n Node) child(v *hujson.Value, key string) Node {
-	return Node{report: n.report, path: strings.TrimPrefix(n.path+"."+key, "."), value: v}
+	return Node{document: n.document, path: strings.TrimPrefix(n.path+"."+key, "."), value: v}
 }
 
-func keys(fields []Field) string {
+func joinKeys(fields []Field) string {
 	out := make([]string, len(fields))
 	for i, f := range fields {
 		out[i] = f.Key
@@ -109,7 +108,7 @@
 	return strings.Join(out, ", ")
 }
 
-// Each reads a list of at least least and at most most values.
+// Each calls read for every element of a list with least to most elements.
 func (n Node) Each(least, most int, read func(Node)) {
 	a, ok := n.value.Value.(*hujson.Array)
 	if !ok {
@@ -120,7 +119,7 @@
 		n.Problem(fmt.Sprintf("a list of %d", k), fmt.Sprintf("%d to %d values", least, most))
 	}
 	for i := range a.Elements {
-		read(Node{report: n.report, path: fmt.Sprintf("%s[%d]", n.path, i), value: &a.Elements[i]})
+		read(Node{document: n.document, path: fmt.Sprintf("%s[%d]", n.path, i), value: &a.Elements[i]})
 	}
 }
 
@@ -129,27 +128,27 @@
 	return l, ok && l.Kind() == kind
 }
 
-// Text reads a string that is not empty.
+// Text decodes a non-empty string.
 func (n Node) Text() string {
 	l, ok := n.literal('"')
 	if !ok || l.String() == "" {
-		n.Problem(n.Found(), "a string that is not empty")
+		n.Problem(n.Found(), "a non-empty string")
 		return ""
 	}
 	return l.String()
 }
 
-// Name reads a name: lower-case letters, digits and hyphens.
+// Name decodes a name: lower-case letters, digits and inner hyphens.
 func (n Node) Name() string {
 	l, ok := n.literal('"')
-	if !ok || !name.MatchString(l.String()) {
+	if !ok || !namePattern.MatchString(l.String()) {
 		n.Problem(n.Found(), "1 to 63 lower-case letters, digits and inner hyphens")
 		return ""
 	}
 	return l.String()
 }
 
-// Address reads "ip:port".
+// Address decodes an address, "ip:port".
 func (n Node) Address() string {
 	l, ok := n.literal('"')
 	if ok {
@@ -161,7 +160,7 @@
 	return ""
 }
 
-// Int reads a whole number between least and most.
+// Int decodes an integer from least to most.
 func (n Node) Int(least, most int) int {
 	l, ok := n.literal('0')
 	if ok {
@@ -173,12 +172,12 @@
 	return least
 }
 
-// Milliseconds reads a time as a whole number of milliseconds.
+// Milliseconds decodes a duration given as an integer number of milliseconds.
 func (n Node) Milliseconds(least, most time.Duration) time.Duration {
 	return time.Duration(n.Int(int(least.Milliseconds()), int(most.Milliseconds()))) * time.Millisecond
 }
 
-// Bool reads true or false.
+// Bool decodes true or false.
 func (n Node) Bool() bool {
 	if _, ok := n.literal('t'); ok {
 		return true
@@ -189,7 +188,7 @@
 	return false
 }
 
-// OneOf reads a string that is one of the choices.
+// OneOf decodes a string that is one of the choices.
 func OneOf[C Choice](n Node, choices ...C) C {
 	l, ok := n.literal('"')
 	names := make([]string, len(choices))
@@ -203,42 +202,42 @@
 	return choices[0]
 }
 
-// Unique reports the values of a list that stand there twice; it returns a check
-// for one value and its node.
-func Unique(what string) func(Node, string) {
+// Unique returns a function that reports a problem for each value it has already
+// been called with. The description names the kind of value in messages.
+func Unique(description string) func(Node, string) {
 	seen := map[string]int{}
 	return func(n Node, value string) {
 		if value == "" { // already reported
 			return
 		}
-		line, _ := n.report.place(n.value.StartOffset)
+		line, _ := n.document.position(n.value.StartOffset)
 		if first, ok := seen[value]; ok {
-			n.Problem(what+" "+strconv.Quote(value)+" a second time", fmt.Sprintf("each once; the first stands in line %d", first))
+			n.Problem("duplicate "+description+" "+strconv.Quote(value), fmt.Sprintf("each once; first used in line %d", first))
 			return
 		}
 		seen[value] = line
 	}
 }
 
-// Number reads a number between least and most, which may have a fraction.
-func (n Node) Number(least, most float64) float64 { return n.number("a number", least, most) }
+// Number decodes a number from least to most, which may have a fraction.
+func (n Node) Number(least, most float64) float64 { return n.float("a number", least, most) }
 
-// Seconds reads a time as a number of seconds, which may have a fraction.
+// Seconds decodes a duration given in seconds, which may have a fraction.
 func (n Node) Seconds(least, most time.Duration) time.Duration {
-	return time.Duration(n.number("a number of seconds", least.Seconds(), most.Seconds()) * float64(time.Second))
+	return time.Duration(n.float("a number of seconds", least.Seconds(), most.Seconds()) * float64(time.Second))
 }
 
-func (n Node) number(what string, least, most float64) float64 {
+func (n Node) float(description string, least, most float64) float64 {
 	if l, ok := n.literal('0'); ok {
 		if v, err := strconv.ParseFloat(string(l), 64); err == nil && v >= least && v <= most {
 			return v
 		}
 	}
-	n.Problem(n.Found(), fmt.Sprintf("%s from %v to %v", what, least, most))
+	n.Problem(n.Found(), fmt.Sprintf("%s from %v to %v", description, least, most))
 	return least
 }
 
-// Pairs reads an object whose keys are not known beforehand, at most so many.
+// Pairs calls read for every member of an object with arbitrary keys, at most most of them.
 func (n Node) Pairs(most int, read func(key string, value Node)) {
 	o, ok := n.value.Value.(*hujson.Object)
 	if !ok || len(o.Members) > most {
--- a/internal/journaler/journaler.go
+++ b/internal/journaler/journaler.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// waitingLines is how many lines may wait to be written. A reader of standard
+	// queueCapacity is how many lines may wait to be written. A reader of standard
 	// output that stops for a second leaves about 200 lines of a busy instance.
-	waitingLines = 1024
-	// bucketSize and LinesPerSecond bound the lines of one kind. An instance serves
+	queueCapacity = 1024
+	// burstLines and LinesPerSecond bound the lines of one kind. An instance serves
 	// about 100 statements a second at the users' busiest hours.
-	bucketSize = 400
+	burstLines = 400
 	// LinesPerSecond is how many lines of one kind are written a second.
 	LinesPerSecond = 400
 	// TimeFormat is that of a line's ts, in UTC.
@@ -43,22 +43,22 @@
 	Kind struct {
 		journal *Journal
 		part    string
-		// room is how many lines may be written now, in thousandths.
-		room   atomic.Int64
-		filled atomic.Int64
+		// tokens is how many lines may be written now, in thousandths.
+		tokens   atomic.Int64
+		refilledAt atomic.Int64
 	}
 )
 
 // New returns a journal that writes to out once Run is called.
 func New(out io.Writer) *Journal {
-	return &Journal{Out: out, lines: make(chan []byte, waitingLines)}
+	return &Journal{Out: out, lines: make(chan []byte, queueCapacity)}
 }
 
 // Kind returns the lines of one part of the program.
 func (j *Journal) Kind(part string) *Kind {
 	k := &Kind{journal: j, part: part}
-	k.room.Store(bucketSize)
-	k.filled.Store(time.Now().UnixMilli())
+	k.tokens.Store(burstLines)
+	k.refilledAt.Store(time.Now().UnixMilli())
 	return k
 }
 
@@ -73,7 +73,7 @@
 				j.dropped.Add(1)
 			}
 		case <-t.C:
-			j.tell()
+			j.reportDropped()
 		case <-ctx.Done():
 			for {
 				select {
@@ -87,14 +87,14 @@
 	}
 }
 
-// tell writes how many lines were dropped since it was last told.
-func (j *Journal) tell() {
+// reportDropped writes how many lines were dropped since it was last told.
+func (j *Journal) reportDropped() {
 	n := j.dropped.Swap(0)
 	if n == 0 {
 		return
 	}
 	j.total.Add(n)
-	j.put(j.encode("journal", []any{"event", "lines-dropped", "lines", n}))
+	j.enqueue(j.encode("journal", []any{"event", "lines-dropped", "lines", n}))
 }
 
 // Dropped returns how many lines were dropped in all.
@@ -103,23 +103,23 @@
 // Log writes a line of pairs of names and values, or drops it when too many lines
 // wait or this kind has used up its rate.
 func (k *Kind) Log(fields ...any) {
-	if !k.admit(time.Now().UnixMilli()) {
+	if !k.takeToken(time.Now().UnixMilli()) {
 		k.journal.dropped.Add(1)
 		return
 	}
-	k.journal.put(k.journal.encode(k.part, fields))
+	k.journal.enqueue(k.journal.encode(k.part, fields))
 }
 
-// admit takes room for one line, if there is any.
-func (k *Kind) admit(now int64) bool {
-	if old := k.filled.Load(); now-old >= 100 && k.filled.CompareAndSwap(old, now) {
+// takeToken takes room for one line, if there is any.
+func (k *Kind) takeToken(now int64) bool {
+	if old := k.refilledAt.Load(); now-old >= 100 && k.refilledAt.CompareAndSwap(old, now) {
 		more := (now - old) * LinesPerSecond / 1000
-		k.room.Store(min(bucketSize, k.room.Load()+more))
+		k.tokens.Store(min(burstLines, k.tokens.Load()+more))
 	}
-	return k.room.Add(-1) >= 0
+	return k.tokens.Add(-1) >= 0
 }
 
-func (j *Journal) put(line []byte) {
+func (j *Journal) enqueue(line []byte) {
 	select {
 	case j.lines <- line:
 	default:
