--- a/internal/documenter/words_test.go
+++ b/internal/documenter/comments_test.go
@@ -10,12 +10,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// foreignWords are those of test benches and scores. A constant's reason is the product's
-// and its callers'; an engineer who knows neither must understand the comment.
-var foreignWords = []string{"calm day", "hearsay", "of the worth", "of their worth", "priced", "the bench", "this bench"}
+// internalTerms are terms of internal benchmarks, which comments in shipped code must not
+// use.
+var internalTerms = []string{"calm day", "hearsay", "of the worth", "of their worth", "priced", "the bench", "this bench"}
 
-// TestComments reads the code that is ours to ship: no test, stand-in or generated file.
-func TestComments(t *testing.T) {
+// TestCommentTerms checks shipped code: no tests, stand-ins or generated files.
+func TestCommentTerms(t *testing.T) {
 	for _, root := range []string{"cmd", "internal", "pkg"} {
 		err := filepath.WalkDir(filepath.Join("..", "..", root), func(path string, d fs.DirEntry, err error) error {
 			must.NoError(t, err)
@@ -27,8 +27,8 @@
 			}
 			text, err := os.ReadFile(path)
 			must.NoError(t, err)
-			for _, w := range foreignWords {
-				must.StrNotContains(t, string(text), w, must.Sprint(path))
+			for _, term := range internalTerms {
+				must.StrNotContains(t, string(text), term, must.Sprint(path))
 			}
 			return nil
 		})
--- a/internal/documenter/write/main.go
+++ b/internal/documenter/write/main.go
@@ -1,5 +1,5 @@
-// Command write writes the generated pages of docs/. Run it from the root of the
-// repository, as "make docs" does.
+// Command write writes the generated pages of docs/. It must run in the root of the
+// repository, as in "make docs".
 package main
 
 import (
--- a/internal/explainer/explainer.go
+++ b/internal/explainer/explainer.go
@@ -1,5 +1,5 @@
-// Package explainer finds, in the log of entry instances, what led to the fate of one
-// request.
+// Package explainer collects the lines about a request from the logs of entry instances,
+// with the related events around it.
 package explainer
 
 import (
@@ -17,51 +17,50 @@
 )
 
 const (
-	// contextBefore and after bound the lines that may tell the cause: a primary is given up
-	// after about a second, and a promotion takes as long.
+	// contextBefore and contextAfter bound the context around a request. They cover the
+	// detection of a failed primary and a promotion.
 	contextBefore = 4 * time.Second
 	contextAfter  = 3 * time.Second
-	// maxLineBytes bounds a line, in bytes.
-	maxLineBytes = 1 << 20
+	maxLineBytes  = 1 << 20
 )
 
 type (
-	// Line is one line of a log.
+	// Line is one parsed log line.
 	Line struct {
 		At     time.Time
 		Fields map[string]string
-		// Text is the line from its ts on, with what stood before it, such as the
-		// instance's name.
+		// Text is the whole line, including a prefix before ts such as the instance's
+		// name.
 		Text string
 	}
 
-	// Explanation is what the log tells of a request.
+	// Explanation holds the log lines and reasons that concern a request.
 	Explanation struct {
-		// Request are the lines with its id, Context those about its group and members
-		// around them, both in order of time.
+		// Request has the lines with the request's id, Context the lines about its group
+		// and members around that time. Both are sorted by time.
 		Request, Context []Line
-		// Reasons are those that the request's lines name.
+		// Reasons has the reasons in the request's lines.
 		Reasons []dispatcher.ReasonText
 	}
 )
 
-// ErrUnknown means that no line has the request's id.
-var ErrUnknown = errors.New("no line has this id: it was not served here, or its lines were dropped (look for event=lines-dropped)")
+// ErrUnknown is returned if no line has the request's id.
+var ErrUnknown = errors.New("no line has this id: the request was not served here, or its lines were dropped (see event=lines-dropped)")
 
-// Explain reads a log and returns what it tells of a request.
+// Explain reads a log and returns the explanation of a request.
 func Explain(log io.Reader, id string) (*Explanation, error) {
 	lines, err := Read(log)
 	if err != nil {
 		return nil, err
 	}
 	x := &Explanation{}
-	about := map[string]bool{}
+	subjects := map[string]bool{}
 	for _, l := range lines {
 		if l.Fields["id"] != id {
 			continue
 		}
 		x.Request = append(x.Request, l)
-		about[l.Fields["group"]], about[l.Fields["member"]], about[l.Fields["primary"]] = true, true, true
+		subjects[l.Fields["group"]], subjects[l.Fields["member"]], subjects[l.Fields["primary"]] = true, true, true
 		for _, r := range dispatcher.Reasons {
 			if string(r.Reason) == l.Fields["reason"] && !slices.Contains(x.Reasons, r) {
 				x.Reasons = append(x.Reasons, r)
@@ -71,33 +70,33 @@
 	if len(x.Request) == 0 {
 		return nil, ErrUnknown
 	}
-	delete(about, "")
+	delete(subjects, "")
 	from, to := x.Request[0].At.Add(-contextBefore), x.Request[len(x.Request)-1].At.Add(contextAfter)
 	for _, l := range lines {
-		if l.At.After(from) && l.At.Before(to) && l.isContext(about) {
+		if l.At.After(from) && l.At.Before(to) && l.isContext(subjects) {
 			x.Context = append(x.Context, l)
 		}
 	}
 	return x, nil
 }
 
-// isContext reports whether a line tells of the state of one of the groups or members,
-// or of the whole instance.
-func (l Line) isContext(about map[string]bool) bool {
+// isContext reports whether a line concerns one of the groups or members, or the whole
+// instance.
+func (l Line) isContext(subjects map[string]bool) bool {
 	switch l.Fields["part"] {
 	case "duty", "belief":
 		group, member := l.Fields["group"], l.Fields["member"]
-		return group == "" && member == "" || about[group] || about[member]
+		return group == "" && member == "" || subjects[group] || subjects[member]
 	case "connection":
-		return about[l.Fields["member"]]
+		return subjects[l.Fields["member"]]
 	case "journal":
 		return true
 	}
 	return false
 }
 
-// Read parses the lines that have a ts, in order of time; lines of other programs are left
-// out.
+// Read parses a log and returns its lines sorted by time. It skips lines of other
+// programs.
 func Read(log io.Reader) ([]Line, error) {
 	var lines []Line
 	s := bufio.NewScanner(log)
@@ -117,7 +116,7 @@
 		}
 		at, err := time.Parse(journaler.TimeFormat, l.Fields["ts"])
 		if d.Err() != nil || err != nil {
-			continue // another program's line
+			continue // line of another program
 		}
 		l.At = at
 		lines = append(lines, l)
@@ -129,32 +128,32 @@
 	return lines, nil
 }
 
-// Write prints an explanation.
+// Write prints the explanation.
 func (x *Explanation) Write(w io.Writer) {
 	fmt.Fprintln(w, "The request:")
 	for _, l := range x.Request {
 		fmt.Fprintln(w, "  "+l.Text)
 	}
 	if len(x.Reasons) > 0 {
-		fmt.Fprintln(w, "Its reasons:")
+		fmt.Fprintln(w, "Reasons:")
 	}
 	for _, r := range x.Reasons {
-		fmt.Fprintf(w, "  %s: %s Look at: %s\n", r.Reason, r.Text, r.Look)
+		fmt.Fprintf(w, "  %s: %s See: %s\n", r.Reason, r.Text, r.Look)
 	}
-	fmt.Fprintln(w, "What was known of its group and members around it:")
+	fmt.Fprintln(w, "Related events of its group and members:")
 	for _, l := range x.Context {
 		fmt.Fprintln(w, "  "+l.Text)
 	}
 }
 
-// Source is the instance that wrote the line; where it doesn't say, the word before the
-// line's ts; "" if there is none.
+// Source returns the name of the instance that wrote the line: its instance field, else the
+// word before ts, else "".
 func (l Line) Source() string {
 	if name := l.Fields["instance"]; name != "" {
 		return name
 	}
-	before, _, _ := strings.Cut(l.Text, "ts=")
-	words := strings.Fields(before)
+	prefix, _, _ := strings.Cut(l.Text, "ts=")
+	words := strings.Fields(prefix)
 	if len(words) == 0 {
 		return ""
 	}
--- a/internal/explainer/explainer_test.go
+++ b/internal/explainer/explainer_test.go
@@ -14,7 +14,7 @@
 entry-2 ts=2026-12-02T10:00:07.000Z part=duty event=observed group=g member=i-1 answered=true busy=19 connections=22
 entry-2 ts=2026-12-02T10:00:07.100Z part=duty event=observed group=other member=i-9 answered=true
 entry-1 ts=2026-12-02T10:00:07.400Z part=request of=statement id=77 outcome=refused reason=no-connection group=g primary=i-1 ms=600
-not a line of ours
+a line of another program
 entry-2 ts=2026-12-02T10:00:08.000Z part=duty event=move-begins group=g reason=primary-overloaded primary=i-1
 entry-1 ts=2026-12-02T10:00:08.100Z part=served id=78 group=g member=i-2 outcome=done
 entry-2 ts=2026-12-02T10:00:30.000Z part=duty event=observed group=g member=i-1
--- a/internal/journaler/journaler.go
+++ b/internal/journaler/journaler.go
@@ -1,4 +1,4 @@
-// Package journaler writes structured lines without ever making its callers wait.
+// Package journaler writes structured log lines (logfmt) without blocking its callers.
 package journaler
 
 import (
@@ -12,25 +12,24 @@
 )
 
 const (
-	// queueCapacity is how many lines may wait to be written. A reader of standard
-	// output that stops for a second leaves about 200 lines of a busy instance.
+	// queueCapacity is the number of lines that may wait to be written, for pauses of a few
+	// seconds in the reader of standard output.
 	queueCapacity = 1024
-	// burstLines and LinesPerSecond bound the lines of one kind. An instance serves
-	// about 100 statements a second at the users' busiest hours.
+	// burstLines is the capacity of the token bucket that limits each kind of lines.
 	burstLines = 400
-	// LinesPerSecond is how many lines of one kind are written a second.
+	// LinesPerSecond is the refill rate of the token bucket of each kind.
 	LinesPerSecond = 400
-	// TimeFormat is that of a line's ts, in UTC.
+	// TimeFormat is the format of a line's ts, in UTC.
 	TimeFormat = "2006-01-02T15:04:05.000Z"
-	// droppedInterval is how often lines that were dropped are told.
+	// droppedInterval is the interval of reports about dropped lines.
 	droppedInterval = 5 * time.Second
 )
 
 type (
-	// Journal takes lines from any goroutine. Set Out before Run.
+	// Journal is an asynchronous log writer, safe for concurrent use. Set Out before Run.
 	Journal struct {
 		Out io.Writer
-		// Instance, when set, stands in each line, so that the lines of many can be merged.
+		// Instance, when set, is added to each line as the instance field.
 		Instance string
 
 		lines   chan []byte
@@ -38,23 +37,22 @@
 		total   atomic.Int64
 	}
 
-	// Kind is one kind of lines with its own bound, so that a flood of one kind
-	// doesn't push out another.
+	// Kind is a logger for one kind of lines with its own rate limit, so that a burst of
+	// one kind doesn't displace another.
 	Kind struct {
-		journal *Journal
-		part    string
-		// tokens is how many lines may be written now, in thousandths.
-		tokens   atomic.Int64
-		refilledAt atomic.Int64
+		journal    *Journal
+		part       string
+		tokens     atomic.Int64 // lines that may be written now
+		refilledAt atomic.Int64 // Unix time in milliseconds
 	}
 )
 
-// New returns a journal that writes to out once Run is called.
+// New returns a journal that writes to out while Run runs.
 func New(out io.Writer) *Journal {
 	return &Journal{Out: out, lines: make(chan []byte, queueCapacity)}
 }
 
-// Kind returns the lines of one part of the program.
+// Kind returns a new logger for one part of the program.
 func (j *Journal) Kind(part string) *Kind {
 	k := &Kind{journal: j, part: part}
 	k.tokens.Store(burstLines)
@@ -62,7 +60,7 @@
 	return k
 }
 
-// Run writes lines until the context ends, then those that wait.
+// Run writes lines until the context is done, then the lines still queued.
 func (j *Journal) Run(ctx context.Context) error {
 	t := time.NewTicker(droppedInterval)
 	defer t.Stop()
@@ -87,7 +85,7 @@
 	}
 }
 
-// reportDropped writes how many lines were dropped since it was last told.
+// reportDropped logs the number of lines dropped since the last report.
 func (j *Journal) reportDropped() {
 	n := j.dropped.Swap(0)
 	if n == 0 {
@@ -97,11 +95,11 @@
 	j.enqueue(j.encode("journal", []any{"event", "lines-dropped", "lines", n}))
 }
 
-// Dropped returns how many lines were dropped in all.
+// Dropped returns the total number of dropped lines.
 func (j *Journal) Dropped() int64 { return j.total.Load() + j.dropped.Load() }
 
-// Log writes a line of pairs of names and values, or drops it when too many lines
-// wait or this kind has used up its rate.
+// Log queues a line of keys and values. It drops the line if the queue is full or the
+// kind exceeds its rate limit.
 func (k *Kind) Log(fields ...any) {
 	if !k.takeToken(time.Now().UnixMilli()) {
 		k.journal.dropped.Add(1)
@@ -110,11 +108,11 @@
 	k.journal.enqueue(k.journal.encode(k.part, fields))
 }
 
-// takeToken takes room for one line, if there is any.
+// takeToken refills the bucket and takes one token, if there is any.
 func (k *Kind) takeToken(now int64) bool {
 	if old := k.refilledAt.Load(); now-old >= 100 && k.refilledAt.CompareAndSwap(old, now) {
-		more := (now - old) * LinesPerSecond / 1000
-		k.tokens.Store(min(burstLines, k.tokens.Load()+more))
+		refill := (now - old) * LinesPerSecond / 1000
+		k.tokens.Store(min(burstLines, k.tokens.Load()+refill))
 	}
 	return k.tokens.Add(-1) >= 0
 }
--- a/internal/journaler/journaler_test.go
+++ b/internal/journaler/journaler_test.go
@@ -11,38 +11,37 @@
 	"github.com/shoenig/test/must"
 )
 
-// reader is a reader of the log that can stop.
-type reader struct {
-	stopped chan struct{}
+// blockingWriter is a log output that blocks until resumed is closed, if set.
+type blockingWriter struct {
+	resumed chan struct{}
 	text    strings.Builder
 }
 
-func (r *reader) Write(p []byte) (int, error) {
-	if r.stopped != nil {
-		<-r.stopped
+func (w *blockingWriter) Write(p []byte) (int, error) {
+	if w.resumed != nil {
+		<-w.resumed
 	}
-	return r.text.Write(p)
+	return w.text.Write(p)
 }
 
-func TestLine(t *testing.T) {
+func TestLineFormat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &reader{}
-		j := journaler.New(r)
+		w := &blockingWriter{}
+		j := journaler.New(w)
 		j.Kind("request").Log("id", "5c0e", "outcome", "two words")
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		_ = j.Run(ctx)
-		must.Eq(t, "ts=2000-01-01T00:00:00.000Z part=request id=5c0e outcome=\"two words\"\n", r.text.String())
+		must.Eq(t, "ts=2000-01-01T00:00:00.000Z part=request id=5c0e outcome=\"two words\"\n", w.text.String())
 	})
 }
 
-// Whoever reads the log stops. Those who write lines must not wait; the lines that find
-// no room are counted, and told when the reader goes on. One kind's flood leaves room
-// for the others.
+// Loggers don't block when the output blocks: excess lines are dropped, counted and
+// reported later. A burst of one kind doesn't displace another kind.
 func TestNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &reader{stopped: make(chan struct{})}
-		j := journaler.New(r)
+		w := &blockingWriter{resumed: make(chan struct{})}
+		j := journaler.New(w)
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() { ended <- j.Run(ctx) }()
@@ -54,11 +53,11 @@
 		other.Log("event", "rare")
 		must.Eq(t, 0, time.Since(begin))
 		must.Greater(t, 9000, j.Dropped())
-		close(r.stopped)
+		close(w.resumed)
 		time.Sleep(6 * time.Second)
 		cancel()
 		<-ended
-		must.StrContains(t, r.text.String(), "part=other event=rare")
-		must.StrContains(t, r.text.String(), "event=lines-dropped")
+		must.StrContains(t, w.text.String(), "part=other event=rare")
+		must.StrContains(t, w.text.String(), "event=lines-dropped")
 	})
 }
