--- a/cmd/oriolegw-console/main.go
+++ b/cmd/oriolegw-console/main.go
@@ -1,4 +1,4 @@
-// Command oriolegw-console serves the forms in which operators edit and publish
+// Command oriolegw-console serves a web form in which operators edit and publish
 // the configuration document.
 package main
 
@@ -21,18 +21,18 @@
 )
 
 const (
-	// headerTimeout ends connections that send nothing.
+	// headerTimeout closes connections that send no request.
 	headerTimeout = 5 * time.Second
-	// shutdownTimeout is how long requests may go on after the program was told to
-	// end: a publication in flight gets its answer.
+	// shutdownTimeout bounds the wait for requests in flight at shutdown, such as
+	// a publication.
 	shutdownTimeout = 15 * time.Second
 )
 
 func main() {
-	address := flag.String("address", "127.0.0.1:8080", "where to serve, `ip:port`; whoever reaches it can publish, so put it behind what knows your operators")
+	address := flag.String("address", "127.0.0.1:8080", "listen address, `ip:port`; anyone who can connect can publish, so put an authenticating proxy in front of it")
 	platform := flag.String("platform", "", "the `address` of the platform's service, ip:port")
 	flag.Usage = func() {
-		fmt.Fprint(flag.CommandLine.Output(), "oriolegw-console serves the forms for the configuration document.\n\nUsage: oriolegw-console -platform ADDRESS [-address ADDRESS]\n\n")
+		fmt.Fprint(flag.CommandLine.Output(), "oriolegw-console serves a web form for the configuration document.\n\nUsage: oriolegw-console -platform ADDRESS [-address ADDRESS]\n\n")
 		flag.PrintDefaults()
 	}
 	flag.Parse()
@@ -60,16 +60,16 @@
 	s := &http.Server{Handler: pages.Handler(), ReadHeaderTimeout: headerTimeout}
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve(l) }()
-	_ = logger.Log("part", "console", "msg", "Forms are served.", "address", address)
+	_ = logger.Log("part", "console", "msg", "Serving the configuration editor.", "address", address)
 	select {
 	case err := <-ended:
 		return errors.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
-	if err := s.Shutdown(last); err != nil {
-		return errors.Wrap(err, "stop")
+	if err := s.Shutdown(shutdownCtx); err != nil {
+		return errors.Wrap(err, "shut down")
 	}
 	<-ended
 	return nil
--- a/cmd/oriolegw-edge/main.go
+++ b/cmd/oriolegw-edge/main.go
@@ -1,4 +1,4 @@
-// Command oriolegw-edge is an entry instance on the users' platform.
+// Command oriolegw-edge runs an entry instance on the users' platform.
 package main
 
 import (
@@ -17,20 +17,20 @@
 	"github.com/oriolegw/oriolegw/internal/networker"
 	"github.com/oriolegw/oriolegw/platform"
 
-	// cgo links the program against the system's C library.
+	// Links the program against the system's C library.
 	_ "runtime/cgo"
 )
 
 const (
-	// settingsVariable names the settings file where no flag does.
+	// settingsVariable is the environment variable with the default settings file.
 	settingsVariable = "ORIOLEGW_SETTINGS"
-	// gcPercent is how much the heap may grow before it is collected, in percent. The
-	// live heap is 2 to 3 MB, and hundreds of instances run on small machines.
+	// gcPercent is the heap growth, in percent, that triggers a garbage collection. It is low
+	// to save memory, since many instances share small machines.
 	gcPercent = 40
 )
 
 func main() {
-	file := flag.String("settings", os.Getenv(settingsVariable), "the settings `file` (JSON with comments); by default that of "+settingsVariable)
+	file := flag.String("settings", os.Getenv(settingsVariable), "the settings `file` (JSON with comments); the default is $"+settingsVariable)
 	flag.Usage = func() {
 		fmt.Fprint(flag.CommandLine.Output(), "oriolegw-edge is an entry instance of the proxy on the users' platform.\n\nUsage: oriolegw-edge [-settings FILE]\n\n")
 		flag.PrintDefaults()
@@ -48,28 +48,28 @@
 	os.Exit(run(*file, s))
 }
 
-// run serves until the process is told to end, and returns the exit code.
+// run runs the instance until a signal ends it, and returns the exit code.
 func run(file string, s *loader.EntrySettings) int {
 	debug.SetGCPercent(gcPercent)
-	leave := make(chan os.Signal, 1)
-	signal.Notify(leave, os.Interrupt, syscall.SIGTERM)
+	shutdown := make(chan os.Signal, 1)
+	signal.Notify(shutdown, os.Interrupt, syscall.SIGTERM)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
 
 	journal := journaler.New(os.Stdout)
 	journal.Instance = s.Name
-	writing, stop := context.WithCancel(context.Background())
-	written := make(chan error, 1)
-	go func() { written <- journal.Run(writing) }()
+	journalCtx, stopJournal := context.WithCancel(context.Background())
+	journalEnded := make(chan error, 1)
+	go func() { journalEnded <- journal.Run(journalCtx) }()
 	defer func() {
-		stop()
-		<-written
+		stopJournal()
+		<-journalEnded
 	}()
 	n := networker.TCP{}
 	promotions := (&platform.Promotions{Address: s.Promotions, Network: n, Holder: s.Name}).Open()
 	i := &launcher.Instance{
-		Settings: s, Network: n, Journal: journal, Clock: launcher.Boottime, Leave: leave,
+		Settings: s, Network: n, Journal: journal, Clock: launcher.Boottime, Leave: shutdown,
 		Reload: reload, Reread: func() (*loader.EntrySettings, error) { return loader.LoadEntry(file) },
 		Platform: launcher.Platform{
 			Store:          (&platform.Store{Address: s.Store, Network: n}).Open(),
--- a/cmd/oriolegw-fleet/bench.go
+++ b/cmd/oriolegw-fleet/bench.go
@@ -16,38 +16,38 @@
 )
 
 const (
-	benchRounds   = 5
-	latencyPhase  = 2 * time.Second
+	benchRounds         = 5
+	latencyPhase        = 2 * time.Second
 	throughputPhase     = 2 * time.Second
-	benchWorkers  = 16
-	benchKeys     = 100
-	clockTicksPerSecond = 100 // of the kernel's process times, on Linux
+	benchWorkers        = 16
+	benchKeys           = 100
+	clockTicksPerSecond = 100 // USER_HZ, the unit of CPU times in /proc
 )
 
-// bench compares requests through an instance with requests that go to the
-// target directly, in turns, so that whatever else the machine does meets both.
+// bench compares requests through an instance with requests sent directly to the
+// target. The runs alternate, so that other load on the machine affects both.
 type bench struct {
-	fleet *starter.Fleet
-	samples  map[string][]float64
+	fleet   *starter.Fleet
+	samples map[string][]float64
 }
 
-// endpoint is one of the two.
+// endpoint is what a run measures: the instance or the target.
 type endpoint struct {
 	name    string
 	address string
-	pid     int // the process whose processor time is charged
+	pid     int // process whose CPU time is counted
 }
 
 func (b *bench) run(ctx context.Context) error {
 	b.samples = map[string][]float64{}
-	ways := []endpoint{
+	endpoints := []endpoint{
 		{"direct", b.fleet.Members[0].Address, b.fleet.Members[0].PID},
 		{"proxy", b.fleet.Entries[0].Address, b.fleet.Entries[0].PID},
 	}
 	for range benchRounds {
-		for _, w := range ways {
-			if err := b.round(ctx, w); err != nil {
-				return errors.Wrap(err, w.name)
+		for _, target := range endpoints {
+			if err := b.round(ctx, target); err != nil {
+				return errors.Wrap(err, target.name)
 			}
 		}
 	}
@@ -55,39 +55,39 @@
 	return nil
 }
 
-func (b *bench) round(ctx context.Context, w endpoint) error {
+func (b *bench) round(ctx context.Context, target endpoint) error {
 	for _, class := range []struct {
 		name   string
 		writes float64
 	}{{"read", 0}, {"write", 1}} {
-		r, err := b.runLoad(ctx, w, 1, latencyPhase, class.writes)
+		r, err := b.runLoad(ctx, target, 1, latencyPhase, class.writes)
 		if err != nil {
 			return err
 		}
-		b.record(w, class.name+"-p50", float64(r.Classes[class.name].Times.ValueAtQuantile(50)))
-		b.record(w, class.name+"-p99", float64(r.Classes[class.name].Times.ValueAtQuantile(99)))
+		b.record(target, class.name+"-p50", float64(r.Classes[class.name].Times.ValueAtQuantile(50)))
+		b.record(target, class.name+"-p99", float64(r.Classes[class.name].Times.ValueAtQuantile(99)))
 	}
-	before, err := cpuTime(w.pid)
+	before, err := cpuTime(target.pid)
 	if err != nil {
 		return err
 	}
-	r, err := b.runLoad(ctx, w, benchWorkers, throughputPhase, 0)
+	r, err := b.runLoad(ctx, target, benchWorkers, throughputPhase, 0)
 	if err != nil {
 		return err
 	}
-	after, err := cpuTime(w.pid)
+	after, err := cpuTime(target.pid)
 	if err != nil {
 		return err
 	}
 	n := float64(r.Total("ok"))
-	b.record(w, "throughput", n/r.Elapsed.Seconds())
-	b.record(w, "throughput-per-core", n/(after-before).Seconds())
+	b.record(target, "throughput", n/r.Elapsed.Seconds())
+	b.record(target, "throughput-per-core", n/(after-before).Seconds())
 	return nil
 }
 
-func (b *bench) runLoad(ctx context.Context, w endpoint, workers int, d time.Duration, writes float64) (*experimenter.Report, error) {
+func (b *bench) runLoad(ctx context.Context, target endpoint, workers int, d time.Duration, writes float64) (*experimenter.Report, error) {
 	e := &experimenter.Experiment{
-		Addresses: []string{w.address}, Workers: workers, Duration: d, Writes: writes, Keys: benchKeys,
+		Addresses: []string{target.address}, Workers: workers, Duration: d, Writes: writes, Keys: benchKeys,
 		Connect: func(ctx context.Context, address, _ string) (*pgx.Conn, error) {
 			return pgx.Connect(ctx, "postgres://crew@"+address+"/"+starter.ServiceName+"?sslmode=disable")
 		},
@@ -97,17 +97,17 @@
 		return nil, err
 	}
 	if r.Total("ok") == 0 {
-		return nil, errors.New("no request went well")
+		return nil, errors.New("no request succeeded")
 	}
 	return r, nil
 }
 
-func (b *bench) record(w endpoint, name string, v float64) {
-	b.samples[w.name+" "+name] = append(b.samples[w.name+" "+name], v)
+func (b *bench) record(target endpoint, name string, v float64) {
+	b.samples[target.name+" "+name] = append(b.samples[target.name+" "+name], v)
 }
 
-// print writes the medians of the rounds: name, value through the proxy, unit,
-// value of the direct connection.
+// print writes the medians of the rounds, one per line: name, value through the proxy,
+// unit, value of direct connections.
 func (b *bench) print() {
 	for _, f := range []struct{ name, unit string }{
 		{"read-p50", "µs"},
@@ -128,17 +128,17 @@
 	return s[len(s)/2]
 }
 
-// cpuTime reads what a process has used, from the kernel.
+// cpuTime returns the CPU time that a process has used, from /proc.
 func cpuTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
-		return 0, errors.Wrap(err, "processor time")
+		return 0, errors.Wrap(err, "read CPU time")
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // the name may hold anything
+	_, rest, _ := strings.Cut(string(text), ") ") // the command name may contain spaces
 	f := strings.Fields(rest)
-	const user, system = 11, 12 // from the state on
+	const user, system = 11, 12 // indexes, counted from the state field
 	if len(f) <= system {
-		return 0, errors.New("processor time: unexpected form")
+		return 0, errors.New("read CPU time: unexpected format")
 	}
 	u, _ := strconv.Atoi(f[user])
 	s, _ := strconv.Atoi(f[system])
--- a/cmd/oriolegw-fleet/demonstrate.go
+++ b/cmd/oriolegw-fleet/demonstrate.go
@@ -18,13 +18,13 @@
 
 const (
 	demonstrationTimeout = time.Minute
-	sessionCount             = 20
+	sessionCount         = 20
 )
 
-// demonstration sends sessions through a fleet and prints what they saw.
+// demonstration runs sessions through a fleet and prints the results.
 type demonstration struct {
-	fleet *starter.Fleet
-	killPrimary  bool
+	fleet       *starter.Fleet
+	killPrimary bool
 }
 
 func (d *demonstration) run(ctx context.Context) error {
@@ -42,12 +42,12 @@
 	return d.failover(ctx)
 }
 
-// connect opens a session on an instance, with a token unless it is empty.
+// connect opens a session on an instance, with the token unless that is empty.
 func (d *demonstration) connect(ctx context.Context, entry int, token string) (*pgx.Conn, error) {
 	e := d.fleet.Entries[entry%len(d.fleet.Entries)]
 	c, err := pgx.ParseConfig("postgres://crew@" + e.Address + "/" + starter.ServiceName + "?sslmode=disable")
 	if err != nil {
-		return nil, errors.Wrap(err, "caller's address")
+		return nil, errors.Wrap(err, "parse connection string")
 	}
 	if token != "" {
 		c.RuntimeParams[relayer.ParameterToken] = token
@@ -55,8 +55,8 @@
 	return pgx.ConnectConfig(ctx, c)
 }
 
-// checkRoaming writes on one instance and reads on the next, as a caller does that
-// moves: each read must show the write before it.
+// checkRoaming has sessions write on one instance and read on the next. Each read must
+// return the session's write.
 func (d *demonstration) checkRoaming(ctx context.Context, withToken bool) error {
 	kind := "with its token"
 	if !withToken {
@@ -75,7 +75,7 @@
 			return errors.Wrapf(err, "session %d %s", n, kind)
 		}
 	}
-	fmt.Printf("%d sessions wrote on one instance and read on another %s: each saw its own write.\n", sessionCount, kind)
+	fmt.Printf("%d sessions wrote on one instance and read on another %s: all read their own writes.\n", sessionCount, kind)
 	return nil
 }
 
@@ -101,8 +101,8 @@
 	return c.QueryRow(ctx, "SELECT value FROM ledger WHERE key = $1", key).Scan(&v)
 }
 
-// failover kills the primary, then writes until a write is acknowledged, and
-// looks for every write that was acknowledged before.
+// failover kills the primary, retries writes until one is acknowledged, and checks that
+// all earlier acknowledged writes can be read.
 func (d *demonstration) failover(ctx context.Context) error {
 	primary := &d.fleet.Members[0]
 	if err := d.fleet.Kill(primary); err != nil {
@@ -124,21 +124,21 @@
 	fmt.Printf("The next write was acknowledged %v after the kill; refused until then: %v.\n", time.Since(killed).Round(time.Millisecond), refusals)
 	for n := range sessionCount {
 		if err := d.read(ctx, n, fmt.Sprintf("sheet-%t-%d", true, n), ""); err != nil {
-			return errors.Wrap(err, "a write that was acknowledged before the kill")
+			return errors.Wrap(err, "read a write acknowledged before the kill")
 		}
 	}
 	if err := d.showPrimary(ctx); err != nil {
 		return err
 	}
-	fmt.Printf("%d writes acknowledged before the kill were looked for, and found.\n", sessionCount)
+	fmt.Printf("All %d writes acknowledged before the kill were found.\n", sessionCount)
 	return nil
 }
 
-// fetchState reads the first instance's status page.
+// fetchState returns the state from the first instance's status page.
 func (d *demonstration) fetchState(ctx context.Context) (reporter.State, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.fleet.Entries[0].Pages+reporter.PathStatus, nil)
 	if err != nil {
-		return reporter.State{}, errors.Wrap(err, "make call")
+		return reporter.State{}, errors.Wrap(err, "create request")
 	}
 	a, err := http.DefaultClient.Do(r)
 	if err != nil {
@@ -163,7 +163,8 @@
 	return nil
 }
 
-// refusalName names the reason in an error.
+// refusalName returns a refusal's code and outcome, the SQLSTATE of another server error,
+// or "connection".
 func refusalName(err error) string {
 	var e *pgconn.PgError
 	if !errors.As(err, &e) {
--- a/cmd/oriolegw-fleet/faults.go
+++ b/cmd/oriolegw-fleet/faults.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// faultTime is how long each fault lasts, calmTime what follows it.
-	faultTime = 1500 * time.Millisecond
-	recoveryTime  = 1500 * time.Millisecond
-	// maxLoadTime bounds the load; it ends with the last fault.
+	// faultTime is the duration of each fault, recoveryTime the pause after it.
+	faultTime    = 1500 * time.Millisecond
+	recoveryTime = 1500 * time.Millisecond
+	// maxLoadTime bounds the load, which otherwise ends with the last fault.
 	maxLoadTime = 10 * time.Minute
 )
 
-// runUnderFaults sends load through the fleet while every fault that passes is thrown:
-// of the platform, of the primary, and of a replica; then two of the instances end.
-// It prints what callers saw, and fails when a read missed its session's own work or a write ran twice.
+// runUnderFaults runs load through the fleet while it injects every recoverable fault
+// into the platform, the primary and a replica, and then stops two instances. It prints
+// the results and returns an error if a consistency check failed.
 func (d *demonstration) runUnderFaults(ctx context.Context) error {
 	load, stop := context.WithTimeout(ctx, maxLoadTime)
 	defer stop()
@@ -36,10 +36,10 @@
 		r, err := d.experiment().Run(load)
 		ended <- result{r, err}
 	}()
-	thrown := d.injectFaults(ctx)
+	faultErr := d.injectFaults(ctx)
 	stop()
 	r := <-ended
-	if err := errors.Join(thrown, r.err); err != nil {
+	if err := errors.Join(faultErr, r.err); err != nil {
 		return err
 	}
 	r.report.Write(os.Stdout)
@@ -55,7 +55,7 @@
 		Connect: func(ctx context.Context, address, token string) (*pgx.Conn, error) {
 			c, err := pgx.ParseConfig("postgres://crew@" + address + "/" + starter.ServiceName + "?sslmode=disable")
 			if err != nil {
-				return nil, errors.Wrap(err, "caller's address")
+				return nil, errors.Wrap(err, "parse connection string")
 			}
 			if token != "" {
 				c.RuntimeParams[relayer.ParameterToken] = token
@@ -93,8 +93,8 @@
 	return d.stopEntries()
 }
 
-// stopEntries ends one instance in form and one as a crash does; the sessions go
-// on through the one that is left.
+// stopEntries shuts down one instance gracefully and kills another. Sessions
+// continue on the remaining one.
 func (d *demonstration) stopEntries() error {
 	leaving, crashing := &d.fleet.Entries[2], &d.fleet.Entries[1]
 	fmt.Printf("%s: graceful shutdown\n", leaving.Name)
@@ -110,7 +110,8 @@
 	return nil
 }
 
-// faultTargets are the primary of the moment and a replica, or the platform.
+// faultTargets returns the processes to inject the fault into: the platform, or a
+// replica and the current primary.
 func (d *demonstration) faultTargets(ctx context.Context, x starter.Fault) ([]*starter.Process, error) {
 	if x.Of == starter.OfPlatform {
 		return []*starter.Process{&d.fleet.Platform}, nil
--- a/cmd/oriolegw-fleet/main.go
+++ b/cmd/oriolegw-fleet/main.go
@@ -1,5 +1,5 @@
-// Command oriolegw-fleet starts a small fleet on loopback. It sends sessions
-// through it and prints what they saw, or keeps it up until interrupted.
+// Command oriolegw-fleet starts a small fleet on loopback. It runs sessions
+// through the fleet and prints the results, or keeps it running until interrupted.
 package main
 
 import (
@@ -13,14 +13,15 @@
 	"github.com/oriolegw/oriolegw/internal/starter"
 )
 
+// options holds the flags.
 type options struct {
 	fleet starter.Fleet
-	// keep keeps the fleet up; describe is the file that lists its addresses.
-	keep     bool
+	// keep keeps the fleet running. describeFile is the file to write its addresses to.
+	keep         bool
 	describeFile string
-	// killPrimary ends the primary once during the sessions.
+	// killPrimary kills the primary after the sessions have run.
 	killPrimary bool
-	// faults throws every fault in turn, under load.
+	// faults injects every fault in turn, under load.
 	faults bool
 	// bench compares the proxy with direct connections.
 	bench bool
@@ -30,12 +31,12 @@
 	var o options
 	flag.StringVar(&o.fleet.Programs, "programs", "build", "the `directory` of the built programs")
 	flag.StringVar(&o.fleet.Work, "work", "build/fleet", "the `directory` for settings and logs")
-	flag.IntVar(&o.fleet.FirstPort, "first-port", starter.DefaultFirstPort, "the first of about 60 loopback `ports`")
-	flag.BoolVar(&o.keep, "keep", false, "keep the fleet up until interrupted, and run no sessions")
-	flag.StringVar(&o.describeFile, "describe", "build/fleet.json", "the `file` for addresses and faults, with -keep")
-	flag.BoolVar(&o.killPrimary, "kill", false, "kill the primary once and wait for the next one")
-	flag.BoolVar(&o.bench, "bench", false, "compare the proxy with direct connections to a target, and print the figures")
-	flag.BoolVar(&o.faults, "faults", false, "throw every fault in turn under load, in place of the sessions")
+	flag.IntVar(&o.fleet.FirstPort, "first-port", starter.DefaultFirstPort, "the first of the loopback `ports`, about 60 in number")
+	flag.BoolVar(&o.keep, "keep", false, "keep the fleet running until interrupted, without sessions")
+	flag.StringVar(&o.describeFile, "describe", "build/fleet.json", "the `file` to write addresses and faults to, with -keep")
+	flag.BoolVar(&o.killPrimary, "kill", false, "kill the primary and wait for a new one")
+	flag.BoolVar(&o.bench, "bench", false, "benchmark the proxy against direct connections to a target")
+	flag.BoolVar(&o.faults, "faults", false, "inject every fault in turn under load, instead of running sessions")
 	flag.Usage = func() {
 		fmt.Fprint(flag.CommandLine.Output(), "oriolegw-fleet starts a small fleet on loopback and runs sessions through it.\n\nUsage: oriolegw-fleet [FLAGS]\n\n")
 		flag.PrintDefaults()
@@ -78,7 +79,7 @@
 	for _, e := range o.fleet.Entries {
 		fmt.Printf("%s: postgres://crew@%s/%s?sslmode=disable  pages http://%s/status?format=text\n", e.Name, e.Address, starter.ServiceName, e.Pages)
 	}
-	fmt.Printf("Every address, and how to throw each fault: %s\nInterrupt to end the fleet.\n", o.describeFile)
+	fmt.Printf("Addresses and fault commands: %s\nInterrupt to stop the fleet.\n", o.describeFile)
 	<-ctx.Done()
 	return nil
 }
--- a/cmd/oriolegw-load/main.go
+++ b/cmd/oriolegw-load/main.go
@@ -1,5 +1,5 @@
-// Command oriolegw-load sends load to any addresses, through the proxy or
-// straight to a target, and prints what came back.
+// Command oriolegw-load is a load generator for the proxy, or for a target
+// directly.
 package main
 
 import (
@@ -21,37 +21,38 @@
 
 const (
 	exitUsage = 2
-	// passwordVariable keeps passwords out of process lists.
+	// passwordVariable is the environment variable with the password: a flag would be visible in process lists.
 	passwordVariable = "PGPASSWORD"
 )
 
+// options holds the flags; resolve completes the experiment from them.
 type options struct {
-	experiment               experimenter.Experiment
-	addresses, kinds         string
+	experiment             experimenter.Experiment
+	addresses, kinds       string
 	service, user, sslMode string
 }
 
 func declareFlags(f *flag.FlagSet) *options {
 	o := &options{}
 	e := &o.experiment
-	f.StringVar(&o.addresses, "addresses", "127.0.0.1:17030,127.0.0.1:17031,127.0.0.1:17032", "where callers connect, `ip:port,ip:port`")
+	f.StringVar(&o.addresses, "addresses", "127.0.0.1:17030,127.0.0.1:17031,127.0.0.1:17032", "addresses to connect to, `ip:port,ip:port`")
 	f.StringVar(&o.service, "service", "lockers", "the `name` of the service")
-	f.StringVar(&o.user, "user", "crew", "the caller's `name`; the password is taken from "+passwordVariable)
+	f.StringVar(&o.user, "user", "crew", "the user `name`; the password is taken from $"+passwordVariable)
 	f.StringVar(&o.sslMode, "sslmode", "disable", "disable, require, verify-ca or verify-full")
-	f.IntVar(&e.Workers, "workers", 8, "how many callers")
-	f.Float64Var(&e.Rate, "rate", 0, "requests a second, at random moments; 0 is as fast as they are answered")
-	f.IntVar(&e.Count, "count", 0, "end after this many requests; 0 is no limit")
-	f.DurationVar(&e.Duration, "duration", 10*time.Second, "end after this time; 0 is no limit")
-	f.Float64Var(&e.Writes, "writes", 0.1, "share of requests that write")
+	f.IntVar(&e.Workers, "workers", 8, "number of concurrent clients")
+	f.Float64Var(&e.Rate, "rate", 0, "requests per second, with random arrivals; 0 sends each request after the previous response")
+	f.IntVar(&e.Count, "count", 0, "stop after this many requests; 0 is no limit")
+	f.DurationVar(&e.Duration, "duration", 10*time.Second, "stop after this time; 0 is no limit")
+	f.Float64Var(&e.Writes, "writes", 0.1, "fraction of requests that write")
 	f.StringVar(&o.kinds, "kinds", "", "kinds of reads with weights, `kind=weight,kind=weight`")
-	f.Float64Var(&e.Own, "own", 0.5, "share of reads that look at the session's own work")
-	f.IntVar(&e.Keys, "keys", 1000, "how many shared keys")
-	f.Float64Var(&e.Skew, "skew", 0, "Zipf exponent of the shared keys, more than 1; 0 makes all alike")
-	f.Float64Var(&e.Roam, "roam", 0, "chance that a session moves to the next address after a request")
-	f.BoolVar(&e.Token, "token", true, "carry the session token along")
-	f.Uint64Var(&e.Seed, "seed", 1, "seed of all random choices; own keys are named after it")
+	f.Float64Var(&e.Own, "own", 0.5, "fraction of reads of the session's own key")
+	f.IntVar(&e.Keys, "keys", 1000, "number of shared keys")
+	f.Float64Var(&e.Skew, "skew", 0, "Zipf exponent of the distribution of shared keys, above 1; 0 is uniform")
+	f.Float64Var(&e.Roam, "roam", 0, "probability that a session moves to the next address after a request")
+	f.BoolVar(&e.Token, "token", true, "send the session token when a session moves")
+	f.Uint64Var(&e.Seed, "seed", 1, "random seed, also part of the names of the sessions' own keys")
 	f.Usage = func() {
-		fmt.Fprint(f.Output(), "oriolegw-load sends load to any addresses and prints what came back, one figure a line.\nIt exits with 1 when a read missed its session's own work, or showed a write that ran\nmore often than its caller was told.\n\nUsage: oriolegw-load [FLAGS]\n\n")
+		fmt.Fprint(f.Output(), "oriolegw-load is a load generator. It prints its results, one per line, and exits with 1\nif a read missed an acknowledged write of its own session, or showed a write that ran more\noften than acknowledged.\n\nUsage: oriolegw-load [FLAGS]\n\n")
 		f.PrintDefaults()
 	}
 	return o
@@ -84,7 +85,7 @@
 	}
 }
 
-// resolve turns texts into values and checks everything.
+// resolve parses the list flags, completes the experiment and validates it.
 func (o *options) resolve(arguments []string) error {
 	if len(arguments) > 0 {
 		return errors.Errorf("unexpected argument %q", arguments[0])
@@ -97,7 +98,7 @@
 		name, weight, _ := strings.Cut(k, "=")
 		n, err := strconv.Atoi(weight)
 		if err != nil {
-			return errors.Errorf("kinds: found %q, want kind=weight", k)
+			return errors.Errorf("kinds: %q is not of the form kind=weight", k)
 		}
 		o.experiment.Kinds = append(o.experiment.Kinds, experimenter.Kind{Name: name, Weight: n})
 	}
@@ -108,7 +109,7 @@
 func (o *options) connect(ctx context.Context, address, token string) (*pgx.Conn, error) {
 	c, err := pgx.ParseConfig(fmt.Sprintf("postgres://%s@%s/%s?sslmode=%s", o.user, address, o.service, o.sslMode))
 	if err != nil {
-		return nil, errors.Wrap(err, "caller's address")
+		return nil, errors.Wrap(err, "parse connection string")
 	}
 	if token != "" {
 		c.RuntimeParams[relayer.ParameterToken] = token
--- a/cmd/oriolegw-platform/main.go
+++ b/cmd/oriolegw-platform/main.go
@@ -1,5 +1,5 @@
-// Command oriolegw-platform is the stand-in for the platform: its key-value
-// service and its list of instances.
+// Command oriolegw-platform simulates the platform for tests: its key-value
+// service and its list of instances, in memory.
 package main
 
 import (
@@ -17,10 +17,10 @@
 )
 
 func main() {
-	address := flag.String("address", "127.0.0.1:7000", "where to serve, `ip:port`")
-	lag := flag.Duration("list-lag", 0, "how late the instance list shows a change")
+	address := flag.String("address", "127.0.0.1:7000", "listen address, `ip:port`")
+	lag := flag.Duration("list-lag", 0, "delay with which the instance list shows changes")
 	flag.Usage = func() {
-		fmt.Fprint(flag.CommandLine.Output(), "oriolegw-platform is the stand-in for the platform: its key-value service and its list of instances, in memory.\nPOST /faults throws faults while it runs.\n\nUsage: oriolegw-platform [FLAGS]\n\n")
+		fmt.Fprint(flag.CommandLine.Output(), "oriolegw-platform simulates the platform for tests: its key-value service and its list of instances, in memory.\nPOST /faults injects faults at run time.\n\nUsage: oriolegw-platform [FLAGS]\n\n")
 		flag.PrintDefaults()
 	}
 	flag.Parse()
--- a/cmd/oriolegw-target/main.go
+++ b/cmd/oriolegw-target/main.go
@@ -1,5 +1,5 @@
-// Command oriolegw-target is the stand-in for a target: one member of a database
-// group.
+// Command oriolegw-target simulates a target for tests: one member of a replicated
+// database group, in memory.
 package main
 
 import (
@@ -20,15 +20,15 @@
 	m := &replicator.Member{Network: networker.TCP{}, Log: log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr))}
 	flag.StringVar(&m.Name, "name", "member", "the member's `name`")
 	flag.StringVar(&m.Group, "group", "group", "the group's `name`")
-	flag.StringVar(&m.Address, "address", "127.0.0.1:6000", "where to serve, `ip:port`")
-	flag.IntVar(&m.GroupSize, "group-size", 3, "how many members the group has")
-	flag.DurationVar(&m.ConnectTime, "connect-time", 0, "how long a new connection takes")
-	flag.IntVar(&m.Slots, "slots", 0, "how many statements run at once; 0 is no limit")
-	flag.DurationVar(&m.Work, "work", 0, "how long a statement takes")
-	primary := flag.String("primary", "", "`address` of the first primary of a new group; empty starts the member fenced")
-	faults := flag.String("faults", "", "where to serve the fault switches, `ip:port`")
+	flag.StringVar(&m.Address, "address", "127.0.0.1:6000", "listen address, `ip:port`")
+	flag.IntVar(&m.GroupSize, "group-size", 3, "number of members in the group")
+	flag.DurationVar(&m.ConnectTime, "connect-time", 0, "simulated time to open a connection")
+	flag.IntVar(&m.Slots, "slots", 0, "maximum number of concurrent statements; 0 is no limit")
+	flag.DurationVar(&m.Work, "work", 0, "simulated time to run a statement")
+	primary := flag.String("primary", "", "`address` of the initial primary of a new group; if empty, the member starts fenced")
+	faults := flag.String("faults", "", "listen address of the fault injection interface, `ip:port`")
 	flag.Usage = func() {
-		fmt.Fprint(flag.CommandLine.Output(), "oriolegw-target is the stand-in for a target: one member of a database group, in memory.\n\nUsage: oriolegw-target [FLAGS]\n\n")
+		fmt.Fprint(flag.CommandLine.Output(), "oriolegw-target simulates a target for tests: one member of a replicated database group, in memory.\n\nUsage: oriolegw-target [FLAGS]\n\n")
 		flag.PrintDefaults()
 	}
 	flag.Parse()
--- a/cmd/oriolegw/main.go
+++ b/cmd/oriolegw/main.go
@@ -1,4 +1,4 @@
-// Command oriolegw is an entry instance.
+// Command oriolegw runs an entry instance of the proxy.
 package main
 
 import (
@@ -39,7 +39,7 @@
 	os.Exit(run(s))
 }
 
-// run serves until the instance has left, and returns the exit code.
+// run runs the instance until it has shut down, and returns the exit code.
 func run(s *loader.Settings) int {
 	ctx, stop := context.WithCancel(context.Background())
 	events := make(chan controller.Event, 1)
@@ -72,8 +72,8 @@
 	return 0
 }
 
-// drainOnSignal has the instance leave on the first signal, and stops it at once
-// on the second.
+// drainOnSignal starts a graceful shutdown on the first signal and stops the instance
+// immediately on the second.
 func drainOnSignal(ctx context.Context, signals <-chan os.Signal, events chan<- controller.Event, stop context.CancelFunc) {
 	select {
 	case <-signals:
--- a/cmd/oriolegwctl/customers.go
+++ b/cmd/oriolegwctl/customers.go
@@ -14,7 +14,7 @@
 
 func prepareCustomers(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
 	instances := f.String("instances", "", "the metrics `addresses` of entry instances on the users' platform, separated by commas")
-	one := f.String("customer", "", "print only the customer of this `name`")
+	customer := f.String("customer", "", "print only the customer of this `name`")
 	return func(ctx context.Context, arguments []string) error {
 		if err := errors.Join(requireFlags("instances", *instances), requireArguments(arguments, 0, "none")); err != nil {
 			return usageError{err.Error()}
@@ -25,14 +25,14 @@
 			list, err := t.fetchCustomers(ctx, a)
 			if err != nil {
 				failed++
-				fmt.Fprintf(t.out, "%s: no answer: %v\n", a, err)
+				fmt.Fprintf(t.out, "%s: no response: %v\n", a, err)
 				continue
 			}
 			lists = append(lists, list)
 		}
-		t.printCustomers(accountant.MergeStates(lists...), *one)
+		t.printCustomers(accountant.MergeStates(lists...), *customer)
 		if failed > 0 {
-			return errors.Errorf("%d instances gave no answer: connections and refusals are too low, and accounts may be missing", failed)
+			return errors.Errorf("%d instances did not respond: connections and refusals are undercounted, and customers may be missing", failed)
 		}
 		return nil
 	}
@@ -46,8 +46,8 @@
 	return accountant.DecodeStates(body)
 }
 
-// printCustomers prints a line for each customer. An account that none of the instances
-// keeps is shown as unknown.
+// printCustomers prints a line for each customer, or only for the named one. The usage is
+// unknown unless one of the instances keeps the customer's account.
 func (t *terminal) printCustomers(list []accountant.State, name string) {
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "customer\tkeys\tper-second\tburst\tused-6s\tavailable\tasked-per-second\tconnections\trefused")
--- a/cmd/oriolegwctl/document.go
+++ b/cmd/oriolegwctl/document.go
@@ -22,11 +22,11 @@
 	settings := f.String("settings", "", "the settings `file` of an instance")
 	document := f.String("document", "", "the `file` of a configuration document")
 	return func(_ context.Context, arguments []string) error {
-		if err := requireArguments(arguments, 0, "none: name files by flags"); err != nil {
+		if err := requireArguments(arguments, 0, "none: pass files as flags"); err != nil {
 			return err
 		}
 		if *settings == "" && *document == "" {
-			return usageError{"flag -settings or -document is needed"}
+			return usageError{"flag -settings or -document is required"}
 		}
 		var all inspector.Problems
 		for _, c := range []struct {
@@ -60,7 +60,8 @@
 	return problems
 }
 
-// printProblems prints problems one a line, so that editors can jump to them.
+// printProblems prints the problems, one per line as compilers do, and returns an error
+// if there are any.
 func printProblems(t *terminal, problems inspector.Problems) error {
 	for _, p := range problems {
 		fmt.Fprintln(t.err, p)
@@ -112,7 +113,7 @@
 			return err
 		}
 		t.printChanges(configurer.Diff(now.Document, d))
-		fmt.Fprintf(t.out, "against version %d: publish with -seen %d\n", now.Version, now.Version)
+		fmt.Fprintf(t.out, "compared with version %d: publish with -seen %d\n", now.Version, now.Version)
 		return nil
 	}
 }
@@ -128,23 +129,23 @@
 
 func preparePublish(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
 	platform := f.String("platform", "", platformFlagUsage)
-	seen := f.Int64("seen", -1, "the `version` that your change builds on, as diff and get print it; 0 for the first document")
+	baseVersion := f.Int64("seen", -1, "the `version` that the change is based on, as printed by diff and get; 0 for the first document")
 	return func(ctx context.Context, arguments []string) error {
 		if err := errors.Join(requireFlags("platform", *platform), requireArguments(arguments, 1, "one document")); err != nil {
 			return usageError{err.Error()}
 		}
-		if *seen < 0 {
-			return usageError{"flag -seen is needed"}
+		if *baseVersion < 0 {
+			return usageError{"flag -seen is required"}
 		}
 		text, err := os.ReadFile(arguments[0])
 		if err != nil {
 			return err
 		}
-		return t.publish(ctx, *platform, publisher.Published{Version: *seen}, arguments[0], text)
+		return t.publish(ctx, *platform, publisher.Published{Version: *baseVersion}, arguments[0], text)
 	}
 }
 
-// publish publishes a text and prints what became of it.
+// publish publishes a document and prints the result.
 func (t *terminal) publish(ctx context.Context, platform string, seen publisher.Published, file string, text []byte) error {
 	store, closeStore := t.openStore(platform)
 	defer closeStore()
@@ -160,20 +161,21 @@
 	case publisher.Raced:
 		return t.reportConflict(seen, r, file, text)
 	case publisher.Unknown:
-		return errors.Wrap(err, "outcome unknown, the document may be in force: look with get before you publish again")
+		return errors.Wrap(err, "outcome unknown, the document may be in force: check with get before publishing again")
 	}
 	return err
 }
 
-// reportConflict tells the loser of a race what was published in between.
+// reportConflict prints the differences of the version in force, which another operator
+// published first.
 func (t *terminal) reportConflict(seen publisher.Published, r publisher.Result, file string, text []byte) error {
 	changes := r.Changes
-	what := "since then it changed:"
-	if seen.Document == nil { // only the version was given
-		mine, _ := configurer.Check(file, text)
-		changes, what = configurer.Diff(mine, r.Now.Document), "it differs from your document by:"
+	heading := "changes since then:"
+	if seen.Document == nil { // only its version is known
+		document, _ := configurer.Check(file, text)
+		changes, heading = configurer.Diff(document, r.Now.Document), "differences from your document:"
 	}
-	fmt.Fprintln(t.out, what)
+	fmt.Fprintln(t.out, heading)
 	t.printChanges(changes)
 	return errors.Errorf("nothing was changed: version %d is in force, not version %d", r.Now.Version, seen.Version)
 }
--- a/cmd/oriolegwctl/explain.go
+++ b/cmd/oriolegwctl/explain.go
@@ -11,10 +11,10 @@
 )
 
 func prepareExplain(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
-	file := f.String("log", "", "the log `file` of one or more entry instances; standard input by default")
+	file := f.String("log", "", "the log `file` of one or more entry instances; the default is standard input")
 	return func(_ context.Context, args []string) error {
 		if len(args) != 1 {
-			return usageError{"want one request id"}
+			return usageError{"expected one request id"}
 		}
 		log := t.in
 		if *file != "" {
--- a/cmd/oriolegwctl/fleet.go
+++ b/cmd/oriolegwctl/fleet.go
@@ -16,17 +16,16 @@
 )
 
 const (
-	// maxPublishAttempts bounds how often a mark is put on a document that other
-	// operators change at the same time.
+	// maxPublishAttempts bounds the retries of a change while other operators publish.
 	maxPublishAttempts = 5
-	// statusPollInterval spaces the looks at an instance's status during a switch.
+	// statusPollInterval is the interval of status requests during a switchover.
 	statusPollInterval = 100 * time.Millisecond
-	maxResponseBytes     = 16 << 20
+	maxResponseBytes   = 16 << 20
 )
 
-var errConcurrentChanges = errors.New("other operators kept changing the document")
+var errConcurrentChanges = errors.New("other operators changed the document at the same time, on every attempt")
 
-// request asks one page of an instance.
+// request requests a page of an instance and returns its body.
 func (t *terminal) request(ctx context.Context, method, address, path string) ([]byte, error) {
 	client := &http.Client{Transport: &http.Transport{
 		DisableKeepAlives: true,
@@ -36,19 +35,19 @@
 	}}
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
 	if err != nil {
-		return nil, usageError{"not an address: " + address}
+		return nil, usageError{"invalid address: " + address}
 	}
-	a, err := client.Do(r)
+	response, err := client.Do(r)
 	if err != nil {
 		return nil, err
 	}
-	defer a.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes))
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, err
 	}
-	if a.StatusCode >= http.StatusBadRequest {
-		return nil, errors.Errorf("%s: %s", a.Status, strings.TrimSpace(string(body)))
+	if response.StatusCode >= http.StatusBadRequest {
+		return nil, errors.Errorf("%s: %s", response.Status, strings.TrimSpace(string(body)))
 	}
 	return body, nil
 }
@@ -63,7 +62,7 @@
 
 func prepareStatus(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
 	instances := f.String("instances", "", "the status `addresses` of the instances, separated by commas")
-	whole := f.Bool("whole", false, "print the groups and members as well")
+	whole := f.Bool("whole", false, "also print groups and members")
 	return func(ctx context.Context, arguments []string) error {
 		if err := errors.Join(requireFlags("instances", *instances), requireArguments(arguments, 0, "none")); err != nil {
 			return usageError{err.Error()}
@@ -74,7 +73,7 @@
 			switch {
 			case err != nil:
 				failed++
-				fmt.Fprintf(t.out, "%s: no answer: %v\n", a, err)
+				fmt.Fprintf(t.out, "%s: no response: %v\n", a, err)
 			case *whole:
 				fmt.Fprintln(t.out, s.Text())
 			default:
@@ -83,7 +82,7 @@
 			}
 		}
 		if failed > 0 {
-			return errors.Errorf("%d instances gave no answer", failed)
+			return errors.Errorf("%d instances did not respond", failed)
 		}
 		return nil
 	}
@@ -118,8 +117,8 @@
 	return nil
 }
 
-// setLeaving sets a member's leaving field. The change names one member, so unlike a
-// whole document it can be made again on top of what another operator published.
+// setLeaving publishes a member's leaving field. Since the change concerns only one
+// field, it is retried on top of concurrently published versions.
 func (t *terminal) setLeaving(ctx context.Context, platform, service, member string, leaving bool) error {
 	store, closeStore := t.openStore(platform)
 	defer closeStore()
@@ -148,7 +147,7 @@
 func prepareSwitch(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
 	platform := f.String("platform", "", platformFlagUsage)
 	service := f.String("service", "", "the `name` of the service")
-	instance := f.String("instance", "", "the status `address` of any instance, to watch the change")
+	instance := f.String("instance", "", "the status `address` of any instance, to observe the switchover")
 	return func(ctx context.Context, arguments []string) error {
 		if err := requireArguments(arguments, 0, "none"); err != nil {
 			return err
@@ -160,28 +159,27 @@
 	}
 }
 
-// switchPrimary marks the primary as leaving, waits for another one, and takes the
-// mark off again, also when the switchPrimary did not come about: a mark left behind
-// would keep the member out of service.
+// switchPrimary marks the primary as leaving, waits for a new primary, and removes the
+// mark, also on failure, since a marked member receives no requests.
 func (t *terminal) switchPrimary(ctx context.Context, platform, service, instance string) error {
 	old, err := t.currentPrimary(ctx, service, instance)
 	if err != nil {
 		return err
 	}
 	if old == "" {
-		return errors.Errorf("service %s has no primary that could leave", service)
+		return errors.Errorf("service %s has no primary", service)
 	}
 	if err := t.setLeaving(ctx, platform, service, old, true); err != nil {
 		return err
 	}
-	now, waited := t.waitForNewPrimary(ctx, service, instance, old)
-	after, cancel := context.WithTimeout(context.WithoutCancel(ctx), t.timeout)
+	now, waitErr := t.waitForNewPrimary(ctx, service, instance, old)
+	cleanupCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), t.timeout)
 	defer cancel()
-	if err := t.setLeaving(after, platform, service, old, false); err != nil {
-		return errors.Wrapf(err, "member %s is still marked as leaving: drain -undo takes the mark off", old)
+	if err := t.setLeaving(cleanupCtx, platform, service, old, false); err != nil {
+		return errors.Wrapf(err, "member %s is still marked as leaving: use drain -undo to remove the mark", old)
 	}
-	if waited != nil {
-		return errors.Wrapf(waited, "member %s is still the primary", old)
+	if waitErr != nil {
+		return errors.Wrapf(waitErr, "member %s is still the primary", old)
 	}
 	fmt.Fprintf(t.out, "service %s: primary %s, was %s\n", service, now, old)
 	return nil
@@ -211,5 +209,5 @@
 			return g.Primary, nil
 		}
 	}
-	return "", errors.Errorf("instance %s knows no service %q", instance, service)
+	return "", errors.Errorf("instance %s has no service %q", instance, service)
 }
--- a/cmd/oriolegwctl/main.go
+++ b/cmd/oriolegwctl/main.go
@@ -1,6 +1,6 @@
-// Command oriolegwctl is the operators' program: it checks settings and
-// documents, shows differences, publishes, shows what is in force where, and
-// drains targets and instances.
+// Command oriolegwctl is the operators' command-line tool. It validates, compares
+// and publishes configuration documents, shows the state of instances, and drains
+// targets and instances.
 package main
 
 import (
@@ -24,26 +24,26 @@
 		name      string
 		arguments string
 		summary   string
-		// prepare declares the flags and returns what runs after parsing.
+		// prepare declares the flags and returns the function to run after parsing.
 		prepare func(*flag.FlagSet, *terminal) func(context.Context, []string) error
 	}
 
-	// terminal is what a subcommand reads and writes.
+	// terminal holds the inputs and outputs of a subcommand; tests replace them.
 	terminal struct {
 		in       io.Reader
 		out, err io.Writer
 		network  networker.Network
-		// openStore opens the platform's openStore.
+		// openStore opens the platform's store and returns it with a function to close it.
 		openStore func(address string) (storer.Store, func())
-		// timeout bounds the whole command, and what must follow it.
+		// timeout bounds the command, and separately its cleanup.
 		timeout time.Duration
 	}
 
-	// usageError is a mistake in the arguments.
+	// usageError reports invalid arguments.
 	usageError struct{ message string }
 )
 
-// The exit codes.
+// Exit codes and the default timeout.
 const (
 	exitOK     = 0
 	exitFailed = 1
@@ -56,18 +56,18 @@
 func (e usageError) Error() string { return e.message }
 
 var commands = []command{
-	{"check", "[-settings FILE] [-document FILE]", "check settings and documents; print every mistake", prepareCheck},
+	{"check", "[-settings FILE] [-document FILE]", "validate settings and documents, and print all mistakes", prepareCheck},
 	{"get", "-platform ADDRESS", "print the published document", prepareGet},
 	{"diff", "-platform ADDRESS FILE", "show what publishing a document would change", prepareDiff},
-	{"publish", "-platform ADDRESS -seen VERSION FILE", "put a document into force, if the version seen still is", preparePublish},
-	{"status", "-instances ADDRESS,ADDRESS", "show what is in force on which instance", prepareStatus},
-	{"drain", "-platform ADDRESS -service NAME -member NAME | -instance ADDRESS", "make a target or an instance leave", prepareDrain},
-	{"switch", "-platform ADDRESS -service NAME -instance ADDRESS", "change a group's primary, planned", prepareSwitch},
-	{"settings", "[-running FILE] FILE", "check the settings of an entry instance on the users' platform, and say what a change does when", prepareSettings},
-	{"explain", "[-log FILE] ID", "show what led to the fate of a request, from the logs of entry instances", prepareExplain},
-	{"report", "[-o FILE] LOG...", "write a page of plots and tables of what entry instances logged", prepareReport},
-	{"customers", "-instances ADDRESS,ADDRESS [-customer NAME]", "show customers of entry instances on the users' platform: limit, use, connections, refusals", prepareCustomers},
-	{"verifier", "", "read a password from standard input, print its verifier for the document", prepareVerifier},
+	{"publish", "-platform ADDRESS -seen VERSION FILE", "publish a document if the version in force is still the given one", preparePublish},
+	{"status", "-instances ADDRESS,ADDRESS", "show the state of instances", prepareStatus},
+	{"drain", "-platform ADDRESS -service NAME -member NAME | -instance ADDRESS", "drain a target or an instance", prepareDrain},
+	{"switch", "-platform ADDRESS -service NAME -instance ADDRESS", "perform a planned switchover of a group's primary", prepareSwitch},
+	{"settings", "[-running FILE] FILE", "validate the settings of an entry instance on the users' platform, and show when changes take effect", prepareSettings},
+	{"explain", "[-log FILE] ID", "explain the outcome of a request from the logs of entry instances", prepareExplain},
+	{"report", "[-o FILE] LOG...", "write an HTML report with plots and tables from the logs of entry instances", prepareReport},
+	{"customers", "-instances ADDRESS,ADDRESS [-customer NAME]", "show customers of entry instances on the users' platform: rate limit, usage, connections, refusals", prepareCustomers},
+	{"verifier", "", "read a password from standard input and print its verifier for the document", prepareVerifier},
 }
 
 func main() {
@@ -83,14 +83,14 @@
 }
 
 func usage(w io.Writer) {
-	fmt.Fprint(w, "oriolegwctl is the operators' program of the proxy.\n\nUsage: oriolegwctl COMMAND [FLAGS] [ARGUMENTS]\n\nCommands:\n")
+	fmt.Fprint(w, "oriolegwctl is the operators' tool of the proxy.\n\nUsage: oriolegwctl COMMAND [FLAGS] [ARGUMENTS]\n\nCommands:\n")
 	for _, c := range commands {
 		fmt.Fprintf(w, "  %-9s %s\n", c.name, c.summary)
 	}
-	fmt.Fprint(w, "\noriolegwctl COMMAND -help describes the flags of a command.\nExit codes: 0 done, 1 failed or refused, 2 wrong usage.\n")
+	fmt.Fprint(w, "\noriolegwctl COMMAND -help describes the flags of a command.\nExit codes: 0 success, 1 failed or refused, 2 invalid usage.\n")
 }
 
-// run carries out one command line and returns the exit code.
+// run runs the command line and returns the exit code.
 func run(ctx context.Context, t *terminal, arguments []string) int {
 	if len(arguments) == 0 {
 		usage(t.err)
@@ -117,7 +117,7 @@
 		fmt.Fprintf(f.Output(), "oriolegwctl %s: %s.\n\nUsage: oriolegwctl %s %s\n\n", c.name, c.summary, c.name, c.arguments)
 		f.PrintDefaults()
 	}
-	timeout := f.Duration("timeout", defaultTimeout, "how long to try")
+	timeout := f.Duration("timeout", defaultTimeout, "time limit of the command")
 	body := c.prepare(f, t)
 	if err := f.Parse(arguments); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
@@ -129,11 +129,11 @@
 	ctx, cancel := context.WithTimeout(ctx, *timeout)
 	defer cancel()
 	err := body(ctx, f.Args())
-	var wrong usageError
+	var usageErr usageError
 	switch {
 	case err == nil:
 		return exitOK
-	case errors.As(err, &wrong):
+	case errors.As(err, &usageErr):
 		fmt.Fprintf(t.err, "oriolegwctl %s: %v\n\n", c.name, err)
 		f.Usage()
 		return exitUsage
@@ -142,20 +142,21 @@
 	return exitFailed
 }
 
-// requireFlags reports the first flag that is missing.
+// requireFlags takes pairs of flag names and values, and returns a usage error for the
+// first empty value.
 func requireFlags(flags ...string) error {
 	for i := 0; i+1 < len(flags); i += 2 {
 		if flags[i+1] == "" {
-			return usageError{"flag -" + flags[i] + " is needed"}
+			return usageError{"flag -" + flags[i] + " is required"}
 		}
 	}
 	return nil
 }
 
-// requireArguments reports whether there are exactly so many arguments.
-func requireArguments(arguments []string, count int, what string) error {
+// requireArguments returns a usage error unless there are exactly count arguments.
+func requireArguments(arguments []string, count int, expected string) error {
 	if len(arguments) != count {
-		return usageError{fmt.Sprintf("%d arguments given, want %s", len(arguments), what)}
+		return usageError{fmt.Sprintf("%d arguments given, expected %s", len(arguments), expected)}
 	}
 	return nil
 }
--- a/cmd/oriolegwctl/report.go
+++ b/cmd/oriolegwctl/report.go
@@ -12,10 +12,10 @@
 )
 
 func prepareReport(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
-	to := f.String("o", "report.html", "the `file` to write the page to")
+	output := f.String("o", "report.html", "the `file` to write the report to")
 	return func(_ context.Context, args []string) error {
 		if len(args) == 0 {
-			return usageError{"want one log file or more"}
+			return usageError{"expected at least one log file"}
 		}
 		var logs []io.Reader
 		for _, a := range args {
@@ -31,9 +31,9 @@
 			return err
 		}
 		if len(lines) == 0 {
-			return errors.New("no line of an entry instance in these logs")
+			return errors.New("the logs contain no lines of entry instances")
 		}
-		out, err := os.Create(*to)
+		out, err := os.Create(*output)
 		if err != nil {
 			return errors.Wrap(err, "write report")
 		}
--- a/cmd/oriolegwctl/settings.go
+++ b/cmd/oriolegwctl/settings.go
@@ -9,17 +9,17 @@
 )
 
 func prepareSettings(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
-	running := f.String("running", "", "the settings `file` that the instance has started with, to compare")
+	running := f.String("running", "", "the settings `file` that the instance was started with, for comparison")
 	return func(_ context.Context, args []string) error {
 		if len(args) != 1 {
-			return usageError{"want one settings file"}
+			return usageError{"expected one settings file"}
 		}
 		next, err := loader.LoadEntry(args[0])
 		if err != nil {
 			return err
 		}
 		if *running == "" {
-			fmt.Fprintf(t.out, "%s: good\n", args[0])
+			fmt.Fprintf(t.out, "%s: valid\n", args[0])
 			return nil
 		}
 		now, err := loader.LoadEntry(*running)
