--- a/cmd/oriolegwctl/main.go
+++ b/cmd/oriolegwctl/main.go
@@ -73,11 +73,11 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	t := &terminal{in: os.Stdin, out: os.Stdout, err: os.Stderr, network: networker.TCP{}, openStore: openStore}
+	t := &terminal{in: os.Stdin, out: os.Stdout, err: os.Stderr, network: networker.TCP{}, openStore: openGatewayStore}
 	os.Exit(run(ctx, t, os.Args[1:]))
 }
 
-func openStore(address string) (storer.Store, func()) {
+func openGatewayStore(address string) (storer.Store, func()) {
 	g := (&storer.Gateway{Address: address, Network: networker.TCP{}}).Open()
 	return g, g.Close
 }
--- a/internal/configurer/check_test.go
+++ b/internal/configurer/check_test.go
@@ -42,7 +42,7 @@
 func TestInvalidDocuments(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
 		"unknown key":      {`"slots"`, `"slot"`, `d.json:2:41: services[0]: found unknown key "slot"`},
-		"duplicate key":    {`"slots": 3`, `"slots": 3, "slots": 4`, `d.json:2:53: services[0]: found duplicate key "slots"; allowed: each key once; first used in line 2`},
+		"duplicate key":    {`"slots": 3`, `"slots": 3, "slots": 4`, `d.json:2:53: services[0]: found key "slots" repeated; allowed: each key once; first used in line 2`},
 		"missing key":      {`"connections": 20, `, ``, `d.json:1:15: services[0]: found no key "connections"`},
 		"wrong kind":       {`20`, `"20"`, `d.json:2:37: services[0].connections: found "20"; allowed: a whole number from 1 to 10000`},
 		"fraction":         {`20`, `2.5`, `d.json:2:37: services[0].connections: found 2.5`},
@@ -50,7 +50,7 @@
 		"host name":        {`10.0.0.1:5432`, `db1:5432`, `d.json:3:41: services[0].members[0].address: found "db1:5432"; allowed: an IP number and a port`},
 		"upper case":       {`hobart`, `Hobart`, `d.json:3:79: services[0].members[0].availability-zone: found "Hobart"`},
 		"all leaving":      {`"hobart"`, `"hobart", "leaving": true`, `d.json:3:14: services[0].members: found all 1 members leaving`},
-		"duplicate kind":   {`3,`, `3, "reader-rules": [{"kind": "a", "max-age-ms": 1}, {"kind": "a", "max-age-ms": 2}],`, `found duplicate kind "a"`},
+		"duplicate kind":   {`3,`, `3, "reader-rules": [{"kind": "a", "max-age-ms": 1}, {"kind": "a", "max-age-ms": 2}],`, `found kind "a" repeated`},
 		"invalid verifier": {`}]}`, `}], "users": [{"name": "crew", "password-verifier": "secret"}]}`, `users[0].password-verifier: found not a SCRAM-SHA-256 verifier`},
 		"list for object":  {`{"services"`, `[{"services"`, `d.json:`},
 	} {
--- a/internal/inspector/node.go
+++ b/internal/inspector/node.go
@@ -83,7 +83,7 @@
 	offset := m.Name.StartOffset
 	if firstOffset, ok := seen[key]; ok {
 		first, _ := n.document.position(firstOffset)
-		n.document.add(offset, n.path, "duplicate key "+strconv.Quote(key), "each key once; first used in line "+strconv.Itoa(first))
+		n.document.add(offset, n.path, "key "+strconv.Quote(key)+" repeated", "each key once; first used in line "+strconv.Itoa(first))
 		return
 	}
 	seen[key] = offset // not the line, which takes time linear in the length of the text
@@ -212,7 +212,7 @@
 		}
 		line, _ := n.document.position(n.value.StartOffset)
 		if first, ok := seen[value]; ok {
-			n.Problem("duplicate "+description+" "+strconv.Quote(value), fmt.Sprintf("each once; first used in line %d", first))
+			n.Problem(description+" "+strconv.Quote(value)+" repeated", fmt.Sprintf("each once; first used in line %d", first))
 			return
 		}
 		seen[value] = line
--- a/internal/loader/loader_test.go
+++ b/internal/loader/loader_test.go
@@ -36,7 +36,7 @@
 		"unknown method":     {`"authentication": "password"`, `"authentication": "md5"`, `authentication: found "md5"; allowed: "trust", "password"`},
 		"no certificate":     {`"certificate-file": "/etc/oriolegw/tls.crt",`, ``, `tls: found the mode require without certificate`},
 		"short secret":       {`replace this by 32 random bytes`, `short`, `token-keys[0].secret: found a secret that is too short`},
-		"address twice":      {`:7100`, `:5432`, `peers-address: found duplicate address "10.10.1.11:5432"`},
+		"address twice":      {`:7100`, `:5432`, `peers-address: found address "10.10.1.11:5432" repeated`},
 		"no port":            {`10.10.0.10:2379`, `10.10.0.10`, `platform-address: found "10.10.0.10"`},
 		"unknown in a group": {`"drain-ms"`, `"drain"`, `limits: found unknown key "drain"; allowed: callers, start-up-ms, drain-ms`},
 	} {
--- a/internal/reporter/reporter_test.go
+++ b/internal/reporter/reporter_test.go
@@ -64,10 +64,10 @@
 // The decisions page lists the newest decision first, with target and reason.
 func TestDecisions(t *testing.T) {
 	var e router.Explainer
-	e.Add(router.Decision{Service: "lockers", Kind: "drop-status", Read: true, Target: "m2", Replica: true, Why: "replica holds the floor"})
+	e.Add(router.Decision{Service: "lockers", Kind: "drop-status", Read: true, Target: "m2", Replica: true, Why: "replica has the required position"})
 	e.Add(router.Decision{Service: "lockers", Member: -1, Why: "no primary known", Code: "OR201", Waited: time.Second})
 	_, body := request(t, &reporter.Pages{Recent: e.Recent}, http.MethodGet, reporter.PathDecisions)
-	must.StrContains(t, body, `"why": "replica holds the floor"`)
+	must.StrContains(t, body, `"why": "replica has the required position"`)
 	must.Less(t, strings.Index(body, "m2"), strings.Index(body, "OR201"))
 }
 
--- a/internal/reporter/state.go
+++ b/internal/reporter/state.go
@@ -198,11 +198,11 @@
 	for _, g := range s.Groups {
 		primary := g.Primary
 		if primary == "" {
-			primary = "none known"
+			primary = "unknown"
 		}
 		fmt.Fprintf(&out, "\nservice %s: term %d, primary %s%s\n", g.Service, g.Term, primary, g.connectionText())
 		t := tabwriter.NewWriter(&out, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(t, "  member\tzone\trole\tterm\treceived\treplayed\tasked\tfailures\t")
+		fmt.Fprintln(t, "  member\tzone\trole\tterm\treceived\treplayed\tqueried\tfailures\t")
 		for _, m := range g.Members {
 			fmt.Fprintf(t, "  %s\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.Zone, m.Role, m.Term, m.Received, m.Replayed, formatAge(m.Age), m.Failures, formatLeaving(m.Leaving))
 		}
@@ -221,7 +221,7 @@
 
 func formatAge(age time.Duration) string {
 	if age < 0 {
-		return "never answered"
+		return "no response yet"
 	}
 	return age.Round(time.Millisecond).String() + " ago"
 }
