--- a/cmd/oriolegw-fleet/bench.go
+++ b/cmd/oriolegw-fleet/bench.go
@@ -11,43 +11,43 @@
 
 	"github.com/go-faster/errors"
 	"github.com/jackc/pgx/v5"
-	"github.com/oriolegw/oriolegw/internal/experimenter"
+	"github.com/oriolegw/oriolegw/internal/loadtester"
 	"github.com/oriolegw/oriolegw/internal/starter"
 )
 
 const (
-	benchRounds   = 5
-	benchLatency  = 2 * time.Second
-	benchLoad     = 2 * time.Second
-	benchWorkers  = 16
-	benchKeys     = 100
-	ticksInSecond = 100 // of the kernel's process times, on Linux
+	benchRounds         = 5
+	latencyPhase        = 2 * time.Second
+	throughputPhase     = 2 * time.Second
+	benchWorkers        = 16
+	benchKeys           = 100
+	clockTicksPerSecond = 100 // USER_HZ, the unit of CPU times in /proc
 )
 
-// bench compares requests through an instance with requests that go to the
-// target directly, in turns, so that whatever else the machine does meets both.
+// bench compares requests through an instance with requests sent directly to the
+// target. The runs alternate, so that other load on the machine affects both.
 type bench struct {
-	fleet *starter.Fleet
-	sums  map[string][]float64
+	fleet   *starter.Fleet
+	samples map[string][]float64
 }
 
-// way is one of the two.
-type way struct {
+// endpoint is what a run measures: the instance or the target.
+type endpoint struct {
 	name    string
 	address string
-	pid     int // the process whose processor time is charged
+	pid     int // process whose CPU time is counted
 }
 
 func (b *bench) run(ctx context.Context) error {
-	b.sums = map[string][]float64{}
-	ways := []way{
+	b.samples = map[string][]float64{}
+	endpoints := []endpoint{
 		{"direct", b.fleet.Members[0].Address, b.fleet.Members[0].PID},
 		{"proxy", b.fleet.Entries[0].Address, b.fleet.Entries[0].PID},
 	}
 	for range benchRounds {
-		for _, w := range ways {
-			if err := b.round(ctx, w); err != nil {
-				return errors.Wrap(err, w.name)
+		for _, target := range endpoints {
+			if err := b.round(ctx, target); err != nil {
+				return errors.Wrap(err, target.name)
 			}
 		}
 	}
@@ -55,39 +55,39 @@
 	return nil
 }
 
-func (b *bench) round(ctx context.Context, w way) error {
+func (b *bench) round(ctx context.Context, target endpoint) error {
 	for _, class := range []struct {
 		name   string
 		writes float64
 	}{{"read", 0}, {"write", 1}} {
-		r, err := b.load(ctx, w, 1, benchLatency, class.writes)
+		r, err := b.runLoad(ctx, target, 1, latencyPhase, class.writes)
 		if err != nil {
 			return err
 		}
-		b.note(w, class.name+"-p50", float64(r.Classes[class.name].Times.ValueAtQuantile(50)))
-		b.note(w, class.name+"-p99", float64(r.Classes[class.name].Times.ValueAtQuantile(99)))
+		b.record(target, class.name+"-p50", float64(r.Classes[class.name].Latency.ValueAtQuantile(50)))
+		b.record(target, class.name+"-p99", float64(r.Classes[class.name].Latency.ValueAtQuantile(99)))
 	}
-	before, err := processorTime(w.pid)
+	before, err := cpuTime(target.pid)
 	if err != nil {
 		return err
 	}
-	r, err := b.load(ctx, w, benchWorkers, benchLoad, 0)
+	r, err := b.runLoad(ctx, target, benchWorkers, throughputPhase, 0)
 	if err != nil {
 		return err
 	}
-	after, err := processorTime(w.pid)
+	after, err := cpuTime(target.pid)
 	if err != nil {
 		return err
 	}
 	n := float64(r.Total("ok"))
-	b.note(w, "throughput", n/r.Elapsed.Seconds())
-	b.note(w, "throughput-per-core", n/(after-before).Seconds())
+	b.record(target, "throughput", n/r.Elapsed.Seconds())
+	b.record(target, "throughput-per-core", n/(after-before).Seconds())
 	return nil
 }
 
-func (b *bench) load(ctx context.Context, w way, workers int, d time.Duration, writes float64) (*experimenter.Report, error) {
-	e := &experimenter.Experiment{
-		Addresses: []string{w.address}, Workers: workers, Duration: d, Writes: writes, Keys: benchKeys,
+func (b *bench) runLoad(ctx context.Context, target endpoint, workers int, d time.Duration, writes float64) (*loadtester.Report, error) {
+	e := &loadtester.LoadTest{
+		Addresses: []string{target.address}, Workers: workers, Duration: d, Writes: writes, Keys: benchKeys,
 		Connect: func(ctx context.Context, address, _ string) (*pgx.Conn, error) {
 			return pgx.Connect(ctx, "postgres://crew@"+address+"/"+starter.ServiceName+"?sslmode=disable")
 		},
@@ -97,17 +97,17 @@
 		return nil, err
 	}
 	if r.Total("ok") == 0 {
-		return nil, errors.New("no request went well")
+		return nil, errors.New("no request succeeded")
 	}
 	return r, nil
 }
 
-func (b *bench) note(w way, name string, v float64) {
-	b.sums[w.name+" "+name] = append(b.sums[w.name+" "+name], v)
+func (b *bench) record(target endpoint, name string, v float64) {
+	b.samples[target.name+" "+name] = append(b.samples[target.name+" "+name], v)
 }
 
-// print writes the medians of the rounds: name, value through the proxy, unit,
-// value of the direct connection.
+// print writes the medians of the rounds, one per line: name, value through the proxy,
+// unit, value of direct connections.
 func (b *bench) print() {
 	for _, f := range []struct{ name, unit string }{
 		{"read-p50", "µs"},
@@ -117,9 +117,9 @@
 		{"throughput", "reads/s"},
 		{"throughput-per-core", "reads/s/core-of-the-process"},
 	} {
-		fmt.Printf("%s %.0f %s %.0f\n", f.name, median(b.sums["proxy "+f.name]), f.unit, median(b.sums["direct "+f.name]))
+		fmt.Printf("%s %.0f %s %.0f\n", f.name, median(b.samples["proxy "+f.name]), f.unit, median(b.samples["direct "+f.name]))
 	}
-	fmt.Printf("added-latency-p50 %.0f µs -\n", median(b.sums["proxy read-p50"])-median(b.sums["direct read-p50"]))
+	fmt.Printf("added-latency-p50 %.0f µs -\n", median(b.samples["proxy read-p50"])-median(b.samples["direct read-p50"]))
 }
 
 func median(all []float64) float64 {
@@ -128,19 +128,19 @@
 	return s[len(s)/2]
 }
 
-// processorTime reads what a process has used, from the kernel.
-func processorTime(pid int) (time.Duration, error) {
+// cpuTime returns the CPU time that a process has used, from /proc.
+func cpuTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
-		return 0, errors.Wrap(err, "processor time")
+		return 0, errors.Wrap(err, "read CPU time")
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // the name may hold anything
+	_, rest, _ := strings.Cut(string(text), ") ") // the command name may contain spaces
 	f := strings.Fields(rest)
-	const user, system = 11, 12 // from the state on
+	const user, system = 11, 12 // indexes, counted from the state field
 	if len(f) <= system {
-		return 0, errors.New("processor time: unexpected form")
+		return 0, errors.New("read CPU time: unexpected format")
 	}
 	u, _ := strconv.Atoi(f[user])
 	s, _ := strconv.Atoi(f[system])
-	return time.Duration(u+s) * time.Second / ticksInSecond, nil
+	return time.Duration(u+s) * time.Second / clockTicksPerSecond, nil
 }
--- a/cmd/oriolegw/main.go
+++ b/cmd/oriolegw/main.go
@@ -1,4 +1,4 @@
-// Command oriolegw is an entry instance.
+// Command oriolegw runs an entry instance of the proxy.
 package main
 
 import (
@@ -39,7 +39,7 @@
 	os.Exit(run(s))
 }
 
-// run serves until the instance has left, and returns the exit code.
+// run runs the instance until it has shut down, and returns the exit code.
 func run(s *loader.Settings) int {
 	ctx, stop := context.WithCancel(context.Background())
 	events := make(chan controller.Event, 1)
@@ -48,15 +48,15 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		leaveOnSignal(ctx, signals, events, stop)
+		drainOnSignal(ctx, signals, events, stop)
 	}()
 	defer func() {
 		stop()
 		<-ended
 	}()
 	n := networker.TCP{}
-	register := &reporter.Register{}
-	metrics, closer := register.Open(map[string]string{reporter.TagInstance: s.Name})
+	register := &reporter.Registry{}
+	metrics, closer := register.NewScope(map[string]string{reporter.TagInstance: s.Name})
 	defer closer.Close()
 	i := &runner.Instance{
 		Events:   events,
@@ -72,9 +72,9 @@
 	return 0
 }
 
-// leaveOnSignal has the instance leave on the first signal, and stops it at once
-// on the second.
-func leaveOnSignal(ctx context.Context, signals <-chan os.Signal, events chan<- controller.Event, stop context.CancelFunc) {
+// drainOnSignal starts a graceful shutdown on the first signal and stops the instance
+// immediately on the second.
+func drainOnSignal(ctx context.Context, signals <-chan os.Signal, events chan<- controller.Event, stop context.CancelFunc) {
 	select {
 	case <-signals:
 		events <- drainer.InstanceLeaving{}
--- a/cmd/oriolegwctl/document.go
+++ b/cmd/oriolegwctl/document.go
@@ -16,17 +16,17 @@
 	"github.com/oriolegw/oriolegw/pkg/verifier"
 )
 
-const platformFlag = "the `address` of the platform's service, ip:port"
+const platformFlagUsage = "the `address` of the platform's service, ip:port"
 
 func prepareCheck(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
 	settings := f.String("settings", "", "the settings `file` of an instance")
 	document := f.String("document", "", "the `file` of a configuration document")
 	return func(_ context.Context, arguments []string) error {
-		if err := only(arguments, 0, "none: name files by flags"); err != nil {
+		if err := requireArguments(arguments, 0, "none: pass files as flags"); err != nil {
 			return err
 		}
 		if *settings == "" && *document == "" {
-			return usageError{"flag -settings or -document is needed"}
+			return usageError{"flag -settings or -document is required"}
 		}
 		var all inspector.Problems
 		for _, c := range []struct {
@@ -46,7 +46,7 @@
 			}
 			all = append(all, problems...)
 		}
-		return report(t, all)
+		return printProblems(t, all)
 	}
 }
 
@@ -60,8 +60,9 @@
 	return problems
 }
 
-// report prints problems one a line, so that editors can jump to them.
-func report(t *terminal, problems inspector.Problems) error {
+// printProblems prints the problems, one per line as compilers do, and returns an error
+// if there are any.
+func printProblems(t *terminal, problems inspector.Problems) error {
 	for _, p := range problems {
 		fmt.Fprintln(t.err, p)
 	}
@@ -72,12 +73,12 @@
 }
 
 func prepareGet(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
-	platform := f.String("platform", "", platformFlag)
+	platform := f.String("platform", "", platformFlagUsage)
 	return func(ctx context.Context, arguments []string) error {
-		if err := errors.Join(need("platform", *platform), only(arguments, 0, "none")); err != nil {
+		if err := errors.Join(requireFlags("platform", *platform), requireArguments(arguments, 0, "none")); err != nil {
 			return usageError{err.Error()}
 		}
-		now, err := t.current(ctx, *platform)
+		now, err := t.currentDocument(ctx, *platform)
 		if err != nil {
 			return err
 		}
@@ -87,16 +88,16 @@
 	}
 }
 
-func (t *terminal) current(ctx context.Context, platform string) (publisher.Published, error) {
-	store, closeStore := t.store(platform)
+func (t *terminal) currentDocument(ctx context.Context, platform string) (publisher.Published, error) {
+	store, closeStore := t.openStore(platform)
 	defer closeStore()
 	return (&publisher.Publisher{Store: store}).Current(ctx)
 }
 
 func prepareDiff(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
-	platform := f.String("platform", "", platformFlag)
+	platform := f.String("platform", "", platformFlagUsage)
 	return func(ctx context.Context, arguments []string) error {
-		if err := errors.Join(need("platform", *platform), only(arguments, 1, "one document")); err != nil {
+		if err := errors.Join(requireFlags("platform", *platform), requireArguments(arguments, 1, "one document")); err != nil {
 			return usageError{err.Error()}
 		}
 		text, err := os.ReadFile(arguments[0])
@@ -105,14 +106,14 @@
 		}
 		d, problems := configurer.Check(arguments[0], text)
 		if len(problems) > 0 {
-			return report(t, problems)
+			return printProblems(t, problems)
 		}
-		now, err := t.current(ctx, *platform)
+		now, err := t.currentDocument(ctx, *platform)
 		if err != nil {
 			return err
 		}
 		t.printChanges(configurer.Diff(now.Document, d))
-		fmt.Fprintf(t.out, "against version %d: publish with -seen %d\n", now.Version, now.Version)
+		fmt.Fprintf(t.out, "compared with version %d: publish with -seen %d\n", now.Version, now.Version)
 		return nil
 	}
 }
@@ -127,53 +128,54 @@
 }
 
 func preparePublish(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
-	platform := f.String("platform", "", platformFlag)
-	seen := f.Int64("seen", -1, "the `version` that your change builds on, as diff and get print it; 0 for the first document")
+	platform := f.String("platform", "", platformFlagUsage)
+	baseVersion := f.Int64("seen", -1, "the `version` that the change is based on, as printed by diff and get; 0 for the first document")
 	return func(ctx context.Context, arguments []string) error {
-		if err := errors.Join(need("platform", *platform), only(arguments, 1, "one document")); err != nil {
+		if err := errors.Join(requireFlags("platform", *platform), requireArguments(arguments, 1, "one document")); err != nil {
 			return usageError{err.Error()}
 		}
-		if *seen < 0 {
-			return usageError{"flag -seen is needed"}
+		if *baseVersion < 0 {
+			return usageError{"flag -seen is required"}
 		}
 		text, err := os.ReadFile(arguments[0])
 		if err != nil {
 			return err
 		}
-		return t.publish(ctx, *platform, publisher.Published{Version: *seen}, arguments[0], text)
+		return t.publish(ctx, *platform, publisher.Published{Version: *baseVersion}, arguments[0], text)
 	}
 }
 
-// publish publishes a text and prints what became of it.
+// publish publishes a document and prints the result.
 func (t *terminal) publish(ctx context.Context, platform string, seen publisher.Published, file string, text []byte) error {
-	store, closeStore := t.store(platform)
+	store, closeStore := t.openStore(platform)
 	defer closeStore()
 	r, err := (&publisher.Publisher{Store: store}).Publish(ctx, seen, file, text)
 	var problems inspector.Problems
 	if errors.As(err, &problems) {
-		return report(t, problems)
+		return printProblems(t, problems)
 	}
 	switch r.Outcome {
 	case publisher.Accepted:
 		fmt.Fprintf(t.out, "accepted as version %d\n", r.Current.Version)
 		return nil
 	case publisher.Conflict:
-		return t.lost(seen, r, file, text)
+		return t.reportConflict(seen, r, file, text)
 	case publisher.Unknown:
-		return errors.Wrap(err, "outcome unknown, the document may be in force: look with get before you publish again")
+		return errors.Wrap(err, "outcome unknown, the document may be in force: check with get before publishing again")
 	}
 	return err
 }
 
-// lost tells the loser of a race what was published in between.
-func (t *terminal) lost(seen publisher.Published, r publisher.Result, file string, text []byte) error {
+// reportConflict prints the differences of the version in force, which another operator
+// published first.
+func (t *terminal) reportConflict(seen publisher.Published, r publisher.Result, file string, text []byte) error {
 	changes := r.Changes
-	what := "since then it changed:"
-	if seen.Document == nil { // only the version was given
-		mine, _ := configurer.Check(file, text)
-		changes, what = configurer.Diff(mine, r.Current.Document), "it differs from your document by:"
+	heading := "changes since then:"
+	if seen.Document == nil { // only its version is known
+		document, _ := configurer.Check(file, text)
+		changes, heading = configurer.Diff(document, r.Current.Document), "differences from your document:"
 	}
-	fmt.Fprintln(t.out, what)
+	fmt.Fprintln(t.out, heading)
 	t.printChanges(changes)
 	return errors.Errorf("nothing was changed: version %d is in force, not version %d", r.Current.Version, seen.Version)
 }
--- a/internal/configurer/check.go
+++ b/internal/configurer/check.go
@@ -34,11 +34,11 @@
 			checkUser:    inspector.Unique("user"),
 		}
 		n.Object(
-			inspector.Need("services", func(n inspector.Node) {
-				n.Each(0, maxServices, func(n inspector.Node) { d.Services = append(d.Services, c.readService(n)) })
+			inspector.Required("services", func(n inspector.Node) {
+				n.Elements(0, maxServices, func(n inspector.Node) { d.Services = append(d.Services, c.readService(n)) })
 			}),
-			inspector.May("users", func(n inspector.Node) {
-				n.Each(0, maxUsers, func(n inspector.Node) { d.Users = append(d.Users, c.readUser(n)) })
+			inspector.Optional("users", func(n inspector.Node) {
+				n.Elements(0, maxUsers, func(n inspector.Node) { d.Users = append(d.Users, c.readUser(n)) })
 			}),
 		)
 	})
@@ -54,13 +54,13 @@
 	var s Service
 	var members inspector.Node
 	n.Object(
-		inspector.Need("name", func(n inspector.Node) { s.Name = n.Name(); c.checkService(n, s.Name) }),
-		inspector.Need("members", func(n inspector.Node) { members = n; s.Members = c.readMembers(n) }),
-		inspector.Need("connections", func(n inspector.Node) { s.Connections = n.Int(1, maxConnections) }),
-		inspector.Need("slots", func(n inspector.Node) { s.Slots = n.Int(0, maxSlots) }),
-		inspector.May("hold-ms", func(n inspector.Node) { s.FailoverWait = n.Milliseconds(0, maxHold) }),
-		inspector.May("reader-rules", func(n inspector.Node) { s.Rules = readRules(n) }),
-		inspector.May("customers", func(n inspector.Node) { s.Customers = readCustomers(n) }),
+		inspector.Required("name", func(n inspector.Node) { s.Name = n.Name(); c.checkService(n, s.Name) }),
+		inspector.Required("members", func(n inspector.Node) { members = n; s.Members = c.readMembers(n) }),
+		inspector.Required("connections", func(n inspector.Node) { s.Connections = n.Int(1, maxConnections) }),
+		inspector.Required("slots", func(n inspector.Node) { s.Slots = n.Int(0, maxSlots) }),
+		inspector.Optional("hold-ms", func(n inspector.Node) { s.FailoverWait = n.Milliseconds(0, maxHold) }),
+		inspector.Optional("reader-rules", func(n inspector.Node) { s.Rules = readRules(n) }),
+		inspector.Optional("customers", func(n inspector.Node) { s.Customers = readCustomers(n) }),
 	)
 	rejectAllLeaving(members, s.Members)
 	return s
@@ -69,13 +69,13 @@
 func (c *reader) readMembers(n inspector.Node) []Member {
 	var out []Member
 	unique := inspector.Unique("member")
-	n.Each(1, maxMembers, func(n inspector.Node) {
+	n.Elements(1, maxMembers, func(n inspector.Node) {
 		var m Member
 		n.Object(
-			inspector.Need("name", func(n inspector.Node) { m.Name = n.Name(); unique(n, m.Name) }),
-			inspector.Need("address", func(n inspector.Node) { m.Address = n.Address(); c.checkAddress(n, m.Address) }),
-			inspector.Need("availability-zone", func(n inspector.Node) { m.Zone = n.Name() }),
-			inspector.May("leaving", func(n inspector.Node) { m.Leaving = n.Bool() }),
+			inspector.Required("name", func(n inspector.Node) { m.Name = n.Name(); unique(n, m.Name) }),
+			inspector.Required("address", func(n inspector.Node) { m.Address = n.Address(); c.checkAddress(n, m.Address) }),
+			inspector.Required("availability-zone", func(n inspector.Node) { m.Zone = n.Name() }),
+			inspector.Optional("leaving", func(n inspector.Node) { m.Leaving = n.Bool() }),
 		)
 		out = append(out, m)
 	})
@@ -98,11 +98,11 @@
 func readRules(n inspector.Node) []ReaderRule {
 	var out []ReaderRule
 	unique := inspector.Unique("kind")
-	n.Each(0, maxRules, func(n inspector.Node) {
+	n.Elements(0, maxRules, func(n inspector.Node) {
 		var r ReaderRule
 		n.Object(
-			inspector.Need("kind", func(n inspector.Node) { r.Kind = n.Name(); unique(n, r.Kind) }),
-			inspector.Need("max-age-ms", func(n inspector.Node) { r.MaxAge = n.Milliseconds(0, maxAge) }),
+			inspector.Required("kind", func(n inspector.Node) { r.Kind = n.Name(); unique(n, r.Kind) }),
+			inspector.Required("max-age-ms", func(n inspector.Node) { r.MaxAge = n.Milliseconds(0, maxAge) }),
 		)
 		out = append(out, r)
 	})
@@ -112,13 +112,13 @@
 func readCustomers(n inspector.Node) []Customer {
 	var out []Customer
 	uniqueName, uniqueUser := inspector.Unique("customer"), inspector.Unique("user")
-	n.Each(0, maxCustomers, func(n inspector.Node) {
+	n.Elements(0, maxCustomers, func(n inspector.Node) {
 		var c Customer
 		n.Object(
-			inspector.Need("name", func(n inspector.Node) { c.Name = n.Name(); uniqueName(n, c.Name) }),
-			inspector.Need("share", func(n inspector.Node) { c.Share = n.Int(1, maxShare) }),
-			inspector.Need("users", func(n inspector.Node) {
-				n.Each(0, maxUsers, func(n inspector.Node) {
+			inspector.Required("name", func(n inspector.Node) { c.Name = n.Name(); uniqueName(n, c.Name) }),
+			inspector.Required("share", func(n inspector.Node) { c.Share = n.Int(1, maxShare) }),
+			inspector.Required("users", func(n inspector.Node) {
+				n.Elements(0, maxUsers, func(n inspector.Node) {
 					u := n.Text()
 					uniqueUser(n, u)
 					c.Users = append(c.Users, u)
@@ -133,8 +133,8 @@
 func (c *reader) readUser(n inspector.Node) User {
 	var u User
 	n.Object(
-		inspector.Need("name", func(n inspector.Node) { u.Name = n.Text(); c.checkUser(n, u.Name) }),
-		inspector.Need("password-verifier", func(n inspector.Node) {
+		inspector.Required("name", func(n inspector.Node) { u.Name = n.Text(); c.checkUser(n, u.Name) }),
+		inspector.Required("password-verifier", func(n inspector.Node) {
 			u.Verifier = n.Text()
 			if _, err := verifier.Parse(u.Verifier); err != nil && u.Verifier != "" {
 				n.Problem(err.Error(), "SCRAM-SHA-256$ITERATIONS:SALT$STORED-KEY:SERVER-KEY, as oriolegwctl verifier writes it")
--- a/internal/configurer/encoding.go
+++ b/internal/configurer/encoding.go
@@ -49,7 +49,7 @@
 // would stay with an outdated configuration during an upgrade.
 func Decode(text []byte) (*Document, error) {
 	d, problems := Check("document", text)
-	if err := problems.Known().Err(); err != nil {
+	if err := problems.WithoutUnknownKeys().Err(); err != nil {
 		return nil, err
 	}
 	return d, nil
--- a/internal/launcher/launcher.go
+++ b/internal/launcher/launcher.go
@@ -15,9 +15,9 @@
 	"github.com/oriolegw/oriolegw/internal/dispatcher"
 	"github.com/oriolegw/oriolegw/internal/elector"
 	"github.com/oriolegw/oriolegw/internal/exchanger"
-	"github.com/oriolegw/oriolegw/internal/journaler"
 	"github.com/oriolegw/oriolegw/internal/lender"
 	"github.com/oriolegw/oriolegw/internal/loader"
+	"github.com/oriolegw/oriolegw/internal/logwriter"
 	"github.com/oriolegw/oriolegw/internal/messenger"
 	"github.com/oriolegw/oriolegw/internal/networker"
 	"github.com/oriolegw/oriolegw/internal/reporter"
@@ -63,7 +63,7 @@
 		Settings *loader.EdgeSettings
 		Platform Platform
 		Network  networker.Network
-		Journal  *journaler.Journal
+		Journal  *logwriter.Writer
 		Clock    func() tracker.Timestamp
 		// Shutdown receives the signals that start a graceful shutdown.
 		Shutdown <-chan os.Signal
@@ -76,11 +76,11 @@
 		latencies     map[tracker.Rule]tally.Histogram
 		// limitRefusals counts the operations refused because a customer was over its limit.
 		limitRefusals   customerCounter
-		metricsRegistry *reporter.Register
+		metricsRegistry *reporter.Registry
 		configuration   atomic.Pointer[tracker.Configuration]
 		draining        atomic.Bool
 		startedAt       tracker.Timestamp
-		stateLog        *journaler.Kind
+		stateLog        *logwriter.Logger
 
 		mutex      sync.Mutex
 		backends   map[string]*backend
@@ -158,11 +158,11 @@
 
 func (i *Instance) prepare(ctx context.Context) {
 	i.ctx, i.startedAt = ctx, i.Clock()
-	i.stateLog = i.Journal.Kind("belief")
-	i.metricsRegistry = &reporter.Register{}
-	i.metrics, i.metricsCloser = i.metricsRegistry.Open(map[string]string{reporter.TagInstance: i.Settings.Name})
+	i.stateLog = i.Journal.Logger("belief")
+	i.metricsRegistry = &reporter.Registry{}
+	i.metrics, i.metricsCloser = i.metricsRegistry.NewScope(map[string]string{reporter.TagInstance: i.Settings.Name})
 	i.backends, i.members = map[string]*backend{}, map[string][]tracker.Member{}
-	requests, traces := i.Journal.Kind("request"), i.Journal.Kind("served")
+	requests, traces := i.Journal.Logger("request"), i.Journal.Logger("served")
 	i.server = &dispatcher.Server{
 		Address: i.Settings.Callers, Network: i.Network, Codec: i.Platform.CallerCodec, Clock: i.Clock,
 		Configuration: i.configuration.Load, ConfigurationCurrent: func() bool { return i.watcher.Current() }, MaxConfigurationDelay: i.Settings.MaxApplyDelay,
@@ -177,7 +177,7 @@
 	}
 	i.elector = &elector.Elector{
 		Store: i.Platform.Store, Clock: i.Clock, Name: i.Settings.Name + runIDSeparator + newRunID(),
-		ColdStart: i.Settings.FirstStart, Groups: i.promotableGroups, Supervise: i.runKeeper, Log: i.Journal.Kind("duty").Log,
+		ColdStart: i.Settings.FirstStart, Groups: i.promotableGroups, Supervise: i.runKeeper, Log: i.Journal.Logger("duty").Log,
 	}
 	i.watcher = i.newWatcher()
 	i.elector.StoreReachable = i.watcher.StoreAvailable
@@ -308,7 +308,7 @@
 
 // recordConnect counts connection attempts to members and logs the failed ones.
 func (i *Instance) recordConnect(group string) func(member string, err error) {
-	connections := i.Journal.Kind("connection")
+	connections := i.Journal.Logger("connection")
 	return func(member string, err error) {
 		if err == nil {
 			i.metrics.Counter(metricOpened).Inc(1)
@@ -330,7 +330,7 @@
 
 // recordIdleLoss counts and logs connections to a member that broke while idle.
 func (i *Instance) recordIdleLoss(group string) func(member string, idle time.Duration) {
-	connections := i.Journal.Kind("connection")
+	connections := i.Journal.Logger("connection")
 	return func(member string, idle time.Duration) {
 		i.metrics.Counter(metricIdleLost).Inc(1)
 		connections.Log("event", "connection-lost", "group", group, "member", member, "idle-ms", idle.Milliseconds())
@@ -364,7 +364,7 @@
 		},
 		ConnectionLimit: func() int { return i.configuration.Load().Groups[group].Connections },
 		ProcessStart:    i.startedAt, PrimaryChanged: b.Pool.MembersChanged,
-		Log: i.Journal.Kind("duty").Log,
+		Log: i.Journal.Logger("duty").Log,
 	}
 	return k.Run(ctx)
 }
--- a/internal/launcher/launcher_test.go
+++ b/internal/launcher/launcher_test.go
@@ -18,9 +18,9 @@
 	"time"
 
 	"github.com/go-faster/errors"
-	"github.com/oriolegw/oriolegw/internal/journaler"
 	"github.com/oriolegw/oriolegw/internal/launcher"
 	"github.com/oriolegw/oriolegw/internal/loader"
+	"github.com/oriolegw/oriolegw/internal/logwriter"
 	"github.com/oriolegw/oriolegw/internal/standin/liner"
 	"github.com/oriolegw/oriolegw/internal/standin/platformer"
 	"github.com/oriolegw/oriolegw/internal/standin/wirer"
@@ -201,7 +201,7 @@
 	}
 	store := (&platform.Store{Address: s.StoreAddress, Network: i.host}).Open()
 	promotions := (&platform.PromotionClient{Address: s.PromotionAddress, Network: i.host, LeaseHolder: s.Name}).Open()
-	journal := journaler.New(&f.log)
+	journal := logwriter.New(&f.log)
 	begin := time.Now().Add(-time.Hour)
 	x := &launcher.Instance{
 		Settings: s, Network: i.host, Journal: journal, Clock: func() tracker.Timestamp { return time.Since(begin) }, Shutdown: i.shutdown,
--- a/internal/launcher/limits.go
+++ b/internal/launcher/limits.go
@@ -45,7 +45,7 @@
 			ReportExpected: func() bool { return slices.Contains(lenders(), i.Settings.PeerAddress) },
 		},
 		Ledger: &limiter.Ledger{Tolerance: i.Settings.LimitTolerance, Incarnation: run, ExpectedInstances: lenders},
-		Links:  n.client, Clock: i.Clock, Limit: i.limit, Active: i.customersEnabled, Limits: i.limits, Log: i.Journal.Kind("limits").Log,
+		Links:  n.client, Clock: i.Clock, Limit: i.limit, Active: i.customersEnabled, Limits: i.limits, Log: i.Journal.Logger("limits").Log,
 		CurrentAccountant: func() (string, bool) { return i.accountantAddress(n) },
 		NoteFailed:        func(address string) { n.teller.Discoverer.RecordFailure(i.Clock(), address) },
 	}).Init()
--- a/internal/launcher/metrics.go
+++ b/internal/launcher/metrics.go
@@ -43,30 +43,30 @@
 // Metrics returns the metrics of an entry instance on the users' platform.
 func Metrics() []reporter.Metric {
 	list := []reporter.Metric{
-		{Name: metricPrefix + dispatcher.CountAccepted, Kind: reporter.KindCounter, Text: "Callers that connected."},
-		{Name: metricPrefix + dispatcher.CountMalformed, Kind: reporter.KindCounter, Text: "Callers whose first message was malformed."},
-		{Name: metricPrefix + dispatcher.CountDisconnected, Kind: reporter.KindCounter, Text: "Callers whose connection broke. Log lines with part=request of=session outcome=caller-cut show their last request. Alert when it grows by a tenth of the callers within a second."},
-		{Name: metricIdleLost, Kind: reporter.KindCounter, Text: "Connections to members that broke while idle or between two statements. Alert when it grows by a tenth of the callers within a second."},
-		{Name: metricPrefix + dispatcher.CountStatements, Kind: reporter.KindCounter, Text: "Statements that callers sent."},
-		{Name: metricOpened, Kind: reporter.KindCounter, Text: "Connections to members that were opened."},
-		{Name: metricConnectFailed, Kind: reporter.KindCounter, Text: "Connections to members that could not be opened, or were refused. Alert when it grows faster than a few a second."},
-		{Name: metricCheckoutReused, Kind: reporter.KindCounter, Text: "Checkouts for callers' work that reused an open connection of the same customer."},
-		{Name: metricCheckoutOpened, Kind: reporter.KindCounter, Text: "Checkouts for callers' work that opened a connection. Alert when it grows by half as much as lent-kept for a minute: members then spend their slots on connection setup."},
-		{Name: metricCustomers, Kind: reporter.KindGauge, Text: "Customers in the configuration in force; 0 where callers are not assigned to customers."},
-		{Name: metricKeys, Kind: reporter.KindGauge, Text: "Keys of all customers."},
-		{Name: metricCallers, Kind: reporter.KindGauge, Text: "Callers that are connected now."},
-		{Name: metricVersion, Kind: reporter.KindGauge, Text: "Version of the configuration in force; 0 is none. Alert when instances differ for more than 3 s."},
-		{Name: metricDropped, Kind: reporter.KindGauge, Text: "Log lines that were dropped since the start."},
-		{Name: metricConnections, Kind: reporter.KindGauge, Text: "Connections to members, over all groups."},
-		{Name: metricWaiting, Kind: reporter.KindGauge, Text: "Requests waiting for a connection. Alert when it stays above 20 for a second."},
+		{Name: metricPrefix + dispatcher.CountAccepted, Kind: reporter.KindCounter, Description: "Callers that connected."},
+		{Name: metricPrefix + dispatcher.CountMalformed, Kind: reporter.KindCounter, Description: "Callers whose first message was malformed."},
+		{Name: metricPrefix + dispatcher.CountDisconnected, Kind: reporter.KindCounter, Description: "Callers whose connection broke. Log lines with part=request of=session outcome=caller-cut show their last request. Alert when it grows by a tenth of the callers within a second."},
+		{Name: metricIdleLost, Kind: reporter.KindCounter, Description: "Connections to members that broke while idle or between two statements. Alert when it grows by a tenth of the callers within a second."},
+		{Name: metricPrefix + dispatcher.CountStatements, Kind: reporter.KindCounter, Description: "Statements that callers sent."},
+		{Name: metricOpened, Kind: reporter.KindCounter, Description: "Connections to members that were opened."},
+		{Name: metricConnectFailed, Kind: reporter.KindCounter, Description: "Connections to members that could not be opened, or were refused. Alert when it grows faster than a few a second."},
+		{Name: metricCheckoutReused, Kind: reporter.KindCounter, Description: "Checkouts for callers' work that reused an open connection of the same customer."},
+		{Name: metricCheckoutOpened, Kind: reporter.KindCounter, Description: "Checkouts for callers' work that opened a connection. Alert when it grows by half as much as lent-kept for a minute: members then spend their slots on connection setup."},
+		{Name: metricCustomers, Kind: reporter.KindGauge, Description: "Customers in the configuration in force; 0 where callers are not assigned to customers."},
+		{Name: metricKeys, Kind: reporter.KindGauge, Description: "Keys of all customers."},
+		{Name: metricCallers, Kind: reporter.KindGauge, Description: "Callers that are connected now."},
+		{Name: metricVersion, Kind: reporter.KindGauge, Description: "Version of the configuration in force; 0 is none. Alert when instances differ for more than 3 s."},
+		{Name: metricDropped, Kind: reporter.KindGauge, Description: "Log lines that were dropped since the start."},
+		{Name: metricConnections, Kind: reporter.KindGauge, Description: "Connections to members, over all groups."},
+		{Name: metricWaiting, Kind: reporter.KindGauge, Description: "Requests waiting for a connection. Alert when it stays above 20 for a second."},
 	}
 	for _, n := range ruleNames {
-		list = append(list, reporter.Metric{Name: metricServed + n, Kind: kindHistogram, Text: "Time from reading a statement to its response, by the route's kind."})
+		list = append(list, reporter.Metric{Name: metricServed + n, Kind: kindHistogram, Description: "Time from reading a statement to its response, by the route's kind."})
 	}
 	for _, r := range dispatcher.Reasons {
 		list = append(list,
-			reporter.Metric{Name: metricRefused + string(r.Reason), Kind: reporter.KindCounter, Text: "Statements refused or aborted. " + r.Text},
-			reporter.Metric{Name: metricRetried + string(r.Reason), Kind: reporter.KindCounter, Text: "Attempts that were retried. " + r.Text},
+			reporter.Metric{Name: metricRefused + string(r.Reason), Kind: reporter.KindCounter, Description: "Statements refused or aborted. " + r.Text},
+			reporter.Metric{Name: metricRetried + string(r.Reason), Kind: reporter.KindCounter, Description: "Attempts that were retried. " + r.Text},
 		)
 	}
 	return list
@@ -85,7 +85,7 @@
 	}
 	tags := map[string]string{reporter.TagInstance: i.Settings.Name}
 	gauge := func(name string, read func() int64) {
-		i.metricsRegistry.Watch(name, tags, func() float64 { return float64(read()) })
+		i.metricsRegistry.AddGaugeFunc(name, tags, func() float64 { return float64(read()) })
 	}
 	gauge(metricCallers, func() int64 { return int64(i.server.SessionCount()) })
 	gauge(metricDropped, i.Journal.Dropped)
--- a/internal/launcher/pages.go
+++ b/internal/launcher/pages.go
@@ -22,7 +22,7 @@
 func (i *Instance) metricsHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-		_, _ = w.Write(i.metricsRegistry.Page())
+		_, _ = w.Write(i.metricsRegistry.Render())
 	})
 }
 
--- a/internal/launcher/peers.go
+++ b/internal/launcher/peers.go
@@ -28,7 +28,7 @@
 }
 
 func (i *Instance) newPeerServices() *peerServices {
-	kind := i.Journal.Kind("peers")
+	kind := i.Journal.Logger("peers")
 	logger := log.LoggerFunc(func(fields ...any) error {
 		kind.Log(fields...)
 		return nil
--- a/internal/loader/entry.go
+++ b/internal/loader/entry.go
@@ -64,7 +64,7 @@
 		return nil, errors.Wrap(err, "read settings")
 	}
 	s, problems := CheckEdgeSettings(file, text)
-	if err := problems.Known().Err(); err != nil {
+	if err := problems.WithoutUnknownKeys().Err(); err != nil {
 		return nil, err
 	}
 	return s, nil
@@ -79,27 +79,27 @@
 	}
 	problems := inspector.Read(file, text, func(n inspector.Node) {
 		n.Object(
-			inspector.Need("name", func(n inspector.Node) { s.Name = n.Text() }),
-			inspector.Need("availability-zone", func(n inspector.Node) { s.Zone = n.Text() }),
-			inspector.Need("regions", func(n inspector.Node) {
-				n.Pairs(maxRegions, func(zone string, n inspector.Node) { s.Regions[zone] = n.Text() })
+			inspector.Required("name", func(n inspector.Node) { s.Name = n.Text() }),
+			inspector.Required("availability-zone", func(n inspector.Node) { s.Zone = n.Text() }),
+			inspector.Required("regions", func(n inspector.Node) {
+				n.Members(maxRegions, func(zone string, n inspector.Node) { s.Regions[zone] = n.Text() })
 			}),
-			inspector.Need("callers-address", address(&s.Callers)),
-			inspector.Need("ready-address", address(&s.ReadinessAddress)),
-			inspector.May("metrics-address", address(&s.MetricsAddress)),
-			inspector.May("peers-address", address(&s.PeerAddress)),
-			inspector.May("seeds", func(n inspector.Node) {
-				n.Each(0, maxSeeds, func(n inspector.Node) { s.Seeds = append(s.Seeds, n.Address()) })
+			inspector.Required("callers-address", address(&s.Callers)),
+			inspector.Required("ready-address", address(&s.ReadinessAddress)),
+			inspector.Optional("metrics-address", address(&s.MetricsAddress)),
+			inspector.Optional("peers-address", address(&s.PeerAddress)),
+			inspector.Optional("seeds", func(n inspector.Node) {
+				n.Elements(0, maxSeeds, func(n inspector.Node) { s.Seeds = append(s.Seeds, n.Address()) })
 			}),
-			inspector.Need("store-address", address(&s.StoreAddress)),
-			inspector.May("promotions-address", address(&s.PromotionAddress)),
-			inspector.May("cores", func(n inspector.Node) { s.Cores = n.Number(0, maxCores) }),
-			inspector.May("in-force-ms", func(n inspector.Node) { s.MaxApplyDelay = n.Milliseconds(minInForce, maxShutdown) }),
-			inspector.May("limit-window-s", func(n inspector.Node) { s.LimitTolerance.Window = n.Seconds(time.Second, maxLimitWindow) }),
-			inspector.May("limit-overage", func(n inspector.Node) { s.LimitTolerance.Overage = n.Number(0, maxOverage) }),
-			inspector.May("limit-slack", func(n inspector.Node) { s.LimitTolerance.Slack = n.Number(0, maxSlack) }),
-			inspector.May("shutdown-s", func(n inspector.Node) { s.ShutdownTimeout = n.Seconds(0, maxShutdown) }),
-			inspector.May("first-start", func(n inspector.Node) { s.FirstStart = n.Bool() }),
+			inspector.Required("store-address", address(&s.StoreAddress)),
+			inspector.Optional("promotions-address", address(&s.PromotionAddress)),
+			inspector.Optional("cores", func(n inspector.Node) { s.Cores = n.Number(0, maxCores) }),
+			inspector.Optional("in-force-ms", func(n inspector.Node) { s.MaxApplyDelay = n.Milliseconds(minInForce, maxShutdown) }),
+			inspector.Optional("limit-window-s", func(n inspector.Node) { s.LimitTolerance.Window = n.Seconds(time.Second, maxLimitWindow) }),
+			inspector.Optional("limit-overage", func(n inspector.Node) { s.LimitTolerance.Overage = n.Number(0, maxOverage) }),
+			inspector.Optional("limit-slack", func(n inspector.Node) { s.LimitTolerance.Slack = n.Number(0, maxSlack) }),
+			inspector.Optional("shutdown-s", func(n inspector.Node) { s.ShutdownTimeout = n.Seconds(0, maxShutdown) }),
+			inspector.Optional("first-start", func(n inspector.Node) { s.FirstStart = n.Bool() }),
 		)
 	})
 	return s, problems
--- a/internal/loader/entry_test.go
+++ b/internal/loader/entry_test.go
@@ -42,11 +42,11 @@
 		{`"name": "edge-1", `, ``},
 	} {
 		_, problems := loader.CheckEdgeSettings("f", []byte(strings.Replace(entrySettings, c.old, c.invalid, 1)))
-		must.Error(t, problems.Known().Err(), must.Sprint(c.invalid))
+		must.Error(t, problems.WithoutUnknownKeys().Err(), must.Sprint(c.invalid))
 	}
 	// Unknown keys, as of a newer version, don't prevent a start.
 	_, problems := loader.CheckEdgeSettings("f", []byte(strings.Replace(entrySettings, `"name"`, `"new-key": 1, "name"`, 1)))
-	must.NoError(t, problems.Known().Err())
+	must.NoError(t, problems.WithoutUnknownKeys().Err())
 }
 
 // CompareEntry reports a change of every field of EntrySettings.
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -115,21 +115,21 @@
 	problems := inspector.Read(file, text, func(n inspector.Node) {
 		var authentication inspector.Node
 		n.Object(
-			inspector.Need("name", func(n inspector.Node) { s.Name = n.Name() }),
-			inspector.Need("availability-zone", func(n inspector.Node) { s.Zone = n.Name() }),
-			inspector.Need("callers-address", listenAddress(&s.Callers)),
-			inspector.Need("peers-address", listenAddress(&s.PeerAddress)),
-			inspector.May("peer-seeds", func(n inspector.Node) {
-				n.Each(0, maxSeeds, func(n inspector.Node) { s.Seeds = append(s.Seeds, n.Address()) })
+			inspector.Required("name", func(n inspector.Node) { s.Name = n.Name() }),
+			inspector.Required("availability-zone", func(n inspector.Node) { s.Zone = n.Name() }),
+			inspector.Required("callers-address", listenAddress(&s.Callers)),
+			inspector.Required("peers-address", listenAddress(&s.PeerAddress)),
+			inspector.Optional("peer-seeds", func(n inspector.Node) {
+				n.Elements(0, maxSeeds, func(n inspector.Node) { s.Seeds = append(s.Seeds, n.Address()) })
 			}),
-			inspector.May("status-address", listenAddress(&s.StatusAddress)),
-			inspector.Need("platform-address", func(n inspector.Node) { s.PlatformAddress = n.Address() }),
-			inspector.Need("token-keys", func(n inspector.Node) { s.TokenKeys = readTokenKeys(n) }),
-			inspector.Need("authentication", func(n inspector.Node) {
+			inspector.Optional("status-address", listenAddress(&s.StatusAddress)),
+			inspector.Required("platform-address", func(n inspector.Node) { s.PlatformAddress = n.Address() }),
+			inspector.Required("token-keys", func(n inspector.Node) { s.TokenKeys = readTokenKeys(n) }),
+			inspector.Required("authentication", func(n inspector.Node) {
 				authentication, s.Authentication = n, inspector.OneOf(n, AuthenticationTrust, AuthenticationPassword)
 			}),
-			inspector.May("tls", func(n inspector.Node) { s.Encryption = readEncryption(n) }),
-			inspector.May("limits", func(n inspector.Node) { readLimits(n, &s.Limits) }),
+			inspector.Optional("tls", func(n inspector.Node) { s.Encryption = readEncryption(n) }),
+			inspector.Optional("limits", func(n inspector.Node) { readLimits(n, &s.Limits) }),
 		)
 		if s.Authentication == AuthenticationPassword && s.Encryption.Mode != EncryptionRequire {
 			authentication.Problem(`"password" without TLS`, `"password" with the tls mode "require", since a password must not be sent unencrypted`)
@@ -141,14 +141,14 @@
 func readTokenKeys(n inspector.Node) []TokenKey {
 	var out []TokenKey
 	unique := inspector.Unique("key number")
-	n.Each(1, maxTokenKeys, func(n inspector.Node) {
+	n.Elements(1, maxTokenKeys, func(n inspector.Node) {
 		var k TokenKey
 		n.Object(
-			inspector.Need("number", func(n inspector.Node) {
+			inspector.Required("number", func(n inspector.Node) {
 				k.Number = uint8(n.Int(0, 255))
-				unique(n, n.Found())
+				unique(n, n.Describe())
 			}),
-			inspector.Need("secret", func(n inspector.Node) {
+			inspector.Required("secret", func(n inspector.Node) {
 				if k.Secret = n.Text(); k.Secret != "" && len(k.Secret) < minSecretBytes {
 					// The message doesn't quote the secret.
 					n.Problem("a secret that is too short", "at least 16 bytes")
@@ -163,11 +163,11 @@
 func readEncryption(n inspector.Node) Encryption {
 	e := Encryption{Mode: EncryptionOff}
 	n.Object(
-		inspector.Need("mode", func(n inspector.Node) {
+		inspector.Required("mode", func(n inspector.Node) {
 			e.Mode = inspector.OneOf(n, EncryptionOff, EncryptionAllow, EncryptionRequire)
 		}),
-		inspector.May("certificate-file", func(n inspector.Node) { e.Certificate = n.Text() }),
-		inspector.May("key-file", func(n inspector.Node) { e.Key = n.Text() }),
+		inspector.Optional("certificate-file", func(n inspector.Node) { e.Certificate = n.Text() }),
+		inspector.Optional("key-file", func(n inspector.Node) { e.Key = n.Text() }),
 	)
 	if e.Mode != EncryptionOff && (e.Certificate == "" || e.Key == "") {
 		n.Problem("the mode "+string(e.Mode)+" without certificate", "certificate-file and key-file, required by the modes allow and require")
@@ -177,8 +177,8 @@
 
 func readLimits(n inspector.Node, l *Limits) {
 	n.Object(
-		inspector.May("callers", func(n inspector.Node) { l.Callers = n.Int(1, maxCallers) }),
-		inspector.May("start-up-ms", func(n inspector.Node) { l.AuthenticationTimeout = n.Milliseconds(100*time.Millisecond, maxStartUp) }),
-		inspector.May("drain-ms", func(n inspector.Node) { l.DrainTimeout = n.Milliseconds(0, maxDrain) }),
+		inspector.Optional("callers", func(n inspector.Node) { l.Callers = n.Int(1, maxCallers) }),
+		inspector.Optional("start-up-ms", func(n inspector.Node) { l.AuthenticationTimeout = n.Milliseconds(100*time.Millisecond, maxStartUp) }),
+		inspector.Optional("drain-ms", func(n inspector.Node) { l.DrainTimeout = n.Milliseconds(0, maxDrain) }),
 	)
 }
--- a/internal/runner/callers.go
+++ b/internal/runner/callers.go
@@ -17,11 +17,11 @@
 func (i *Instance) statusPages(ctx context.Context, control *controller.Controller, clients *acceptor.Greeter) *reporter.Pages {
 	if i.Register != nil {
 		tags := map[string]string{reporter.TagInstance: i.Settings.Name}
-		i.Register.Watch(reporter.GaugeCallers, tags, func() float64 { return float64(clients.Callers()) })
-		i.Register.Watch(reporter.GaugeVersion, tags, func() float64 { return float64(i.statusState().Version) })
+		i.Register.AddGaugeFunc(reporter.GaugeCallers, tags, func() float64 { return float64(clients.Callers()) })
+		i.Register.AddGaugeFunc(reporter.GaugeVersion, tags, func() float64 { return float64(i.statusState().Version) })
 	}
 	return &reporter.Pages{
-		Address: i.Settings.StatusAddress, Network: i.Network, State: i.statusState, Recent: i.sessions.explainer.Recent, Register: i.Register,
+		Address: i.Settings.StatusAddress, Network: i.Network, State: i.statusState, RecentDecisions: i.sessions.explainer.Recent, Registry: i.Register,
 		Drain: func() { control.Post(ctx, drainer.InstanceLeaving{}) },
 	}
 }
@@ -30,12 +30,12 @@
 func (i *Instance) statusState() reporter.State {
 	state := reporter.State{Instance: i.Settings.Name, Zone: i.Settings.Zone, Leaving: i.drain.leaving.Load()}
 	if table := i.table.Load(); table != nil {
-		state.Version, state.Groups = table.Version, reporter.Describe(table, time.Now())
+		state.Version, state.Groups = table.Version, reporter.GroupStates(table, time.Now())
 	}
 	for k := range state.Groups {
 		if entry := i.group(state.Groups[k].Service); entry != nil {
 			use := entry.pool.Usage()
-			state.Groups[k].Connections, state.Groups[k].Share = use.Held, use.Share.Connections
+			state.Groups[k].Connections, state.Groups[k].MaxConnections = use.Held, use.Share.Connections
 		}
 	}
 	return state
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -30,7 +30,7 @@
 	Log      log.Logger
 	Metrics  tally.Scope
 	// Register holds the metrics for the status pages; nil if they show none.
-	Register *reporter.Register
+	Register *reporter.Registry
 	// Store and List are clients of the platform's key-value store and instance list.
 	Store     storer.Store
 	Instances lister.List
@@ -109,7 +109,7 @@
 	if i.Metrics == nil {
 		i.Metrics = tally.NoopScope
 	}
-	reporter.Declare(i.Metrics)
+	reporter.DeclareCounters(i.Metrics)
 	return i.sealer.Validate()
 }
 
--- a/internal/summarizer/summarizer.go
+++ b/internal/summarizer/summarizer.go
@@ -87,7 +87,7 @@
 	if len(lines) == 0 {
 		return r
 	}
-	r.From, r.To = lines[0].At, lines[len(lines)-1].At
+	r.From, r.To = lines[0].Time, lines[len(lines)-1].Time
 	causes := map[[2]string]*Cause{}
 	lost := map[[2]string]int{}
 	for _, l := range lines {
@@ -100,7 +100,7 @@
 			r.addConnection(l)
 		case "peers":
 			if l.Fields["event"] == "carried" {
-				r.countEvent(SeriesRelayed, l.At)
+				r.countEvent(SeriesRelayed, l.Time)
 			}
 		case "duty":
 			r.addPrimaryChange(l)
@@ -133,31 +133,31 @@
 }
 
 func (r *Report) addServed(l explainer.Line) {
-	r.countEvent(SeriesServed, l.At)
-	recordMillis(r.Latency, r.secondOf(l.At), intField(l, "ms"))
-	recordMillis(r.Wait, r.secondOf(l.At), intField(l, "waited-ms"))
+	r.countEvent(SeriesServed, l.Time)
+	recordMillis(r.Latency, r.secondOf(l.Time), intField(l, "ms"))
+	recordMillis(r.Wait, r.secondOf(l.Time), intField(l, "waited-ms"))
 	recordMillis(r.Groups, l.Fields["group"], intField(l, "ms"))
 }
 
 func (r *Report) addRequest(l explainer.Line, causes map[[2]string]*Cause) {
 	outcome, reason, group := l.Fields["outcome"], l.Fields["reason"], l.Fields["group"]
 	if outcome == "caller-cut" {
-		r.countEvent(SeriesCallerDisconnected, l.At)
+		r.countEvent(SeriesCallerDisconnected, l.Time)
 	}
 	if reason == "" {
 		return
 	}
-	r.countEvent(outcome+", "+reason, l.At)
+	r.countEvent(outcome+", "+reason, l.Time)
 	if outcome != outcomeRetried {
-		r.Failures[r.secondOf(l.At)]++
+		r.Failures[r.secondOf(l.Time)]++
 	}
 	key := [2]string{outcome, reason}
 	c, ok := causes[key]
 	if !ok {
-		c = &Cause{Outcome: outcome, Reason: reason, Groups: map[string]int{}, First: l.At}
+		c = &Cause{Outcome: outcome, Reason: reason, Groups: map[string]int{}, First: l.Time}
 		causes[key] = c
 	}
-	c.Count, c.Last = c.Count+1, l.At
+	c.Count, c.Last = c.Count+1, l.Time
 	c.Groups[group]++
 }
 
@@ -169,7 +169,7 @@
 	if strings.Contains(l.Fields["cause"], "too-many-connections") {
 		series = SeriesConnectionLimit
 	}
-	r.countEvent(series, l.At)
+	r.countEvent(series, l.Time)
 }
 
 // addPrimaryChange adds a change of the primary. A change without a logged end is kept as
@@ -178,7 +178,7 @@
 	group := l.Fields["group"]
 	switch l.Fields["event"] {
 	case "move-begins":
-		r.unfinishedChanges[group] = PrimaryChange{At: l.At, Group: group, Reason: l.Fields["reason"], From: l.Fields["primary"], Result: "end not logged"}
+		r.unfinishedChanges[group] = PrimaryChange{At: l.Time, Group: group, Reason: l.Fields["reason"], From: l.Fields["primary"], Result: "end not logged"}
 		return
 	case "move-ended":
 		delete(r.unfinishedChanges, group)
@@ -186,21 +186,21 @@
 		return
 	}
 	r.PrimaryChanges = append(r.PrimaryChanges, PrimaryChange{
-		At: l.At, Group: group, Reason: l.Fields["reason"], From: l.Fields["from"], To: l.Fields["to"],
+		At: l.Time, Group: group, Reason: l.Fields["reason"], From: l.Fields["from"], To: l.Fields["to"],
 		Result: l.Fields["outcome"], Took: time.Duration(intField(l, "ms")) * time.Millisecond,
 	})
 }
 
 // addDependency pairs the loss and the return of a dependency on the same instance.
 func (r *Report) addDependency(l explainer.Line, lost map[[2]string]int) {
-	key := [2]string{l.Source(), l.Fields["dependency"]}
+	key := [2]string{l.InstanceName(), l.Fields["dependency"]}
 	switch l.Fields["event"] {
 	case "dependency-lost":
 		lost[key] = len(r.Outages)
-		r.Outages = append(r.Outages, Outage{At: l.At, Instance: key[0], Dependency: key[1], Cause: l.Fields["cause"]})
+		r.Outages = append(r.Outages, Outage{At: l.Time, Instance: key[0], Dependency: key[1], Cause: l.Fields["cause"]})
 	case "dependency-regained":
 		if i, ok := lost[key]; ok {
-			r.Outages[i].Until = l.At
+			r.Outages[i].Until = l.Time
 			delete(lost, key)
 		}
 	}
--- a/internal/summarizer/summarizer_test.go
+++ b/internal/summarizer/summarizer_test.go
@@ -25,7 +25,7 @@
 
 func read(t *testing.T, text string) *summarizer.Report {
 	t.Helper()
-	lines, err := explainer.Read(strings.NewReader(text))
+	lines, err := explainer.ParseLog(strings.NewReader(text))
 	must.NoError(t, err)
 	return summarizer.Summarize(lines)
 }
@@ -85,7 +85,7 @@
 }
 
 func ExampleSummarize() {
-	lines, err := explainer.Read(strings.NewReader(log))
+	lines, err := explainer.ParseLog(strings.NewReader(log))
 	if err != nil {
 		fmt.Println(err)
 		return
