--- a/internal/standin/keeper/keeper.go
+++ b/internal/standin/keeper/keeper.go
@@ -1,5 +1,5 @@
-// Package keeper is the stand-in for the platform: its key-value service, over
-// the published HTTP protocol, and its lagging list of instances.
+// Package keeper is a test stand-in for the platform: it serves its key-value store over the
+// published HTTP protocol, and its delayed list of instances.
 package keeper
 
 import (
@@ -16,13 +16,13 @@
 	"github.com/oriolegw/oriolegw/internal/storer"
 )
 
-// Keeper serves the platform's part. Set the exported fields, then call Run.
+// Keeper serves the key-value store and the instance list. Set the exported fields, then call Run.
 type Keeper struct {
 	Address string
 	Network networker.Network
 	Store   *storer.Memory
 	Log     log.Logger
-	// ListLag is how late the instance list shows a change.
+	// ListLag delays changes to the instance list.
 	ListLag time.Duration
 
 	mutex   sync.Mutex
@@ -32,16 +32,16 @@
 type listChange struct {
 	at       time.Time
 	instance lister.Instance
-	gone     bool
+	removed  bool
 }
 
 // Run serves until the context ends.
 func (k *Keeper) Run(ctx context.Context) error {
-	_ = k.Log.Log("part", "platform", "msg", "Store and instance list begin to be served.", "address", k.Address)
+	_ = k.Log.Log("part", "platform", "msg", "Serving the store and the instance list.", "address", k.Address)
 	return networker.ServePages(ctx, k.Network, k.Address, &http.Server{Handler: k.Handler()})
 }
 
-// Handler returns the HTTP interface, fault switches included.
+// Handler returns the HTTP interface, including fault injection.
 func (k *Keeper) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+storer.PathRange, k.handleRange)
@@ -53,151 +53,151 @@
 	mux.HandleFunc("GET "+lister.Path, k.handleList)
 	mux.HandleFunc("POST "+lister.Path, k.handleRegister)
 	mux.HandleFunc("POST /faults", k.handleFaults)
-	mux.HandleFunc("GET /calls", func(w http.ResponseWriter, _ *http.Request) { reply(w, k.Store.Calls()) })
+	mux.HandleFunc("GET /calls", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, k.Store.Calls()) })
 	return mux
 }
 
-func reply(w http.ResponseWriter, v any) { _ = json.NewEncoder(w).Encode(v) }
+func writeJSON(w http.ResponseWriter, v any) { _ = json.NewEncoder(w).Encode(v) }
 
-func refuse(w http.ResponseWriter, err error) {
+func writeError(w http.ResponseWriter, err error) {
 	e := storer.WireError{Code: 14, Message: err.Error()}
 	status := http.StatusServiceUnavailable
 	if errors.Is(err, storer.ErrLeaseExpired) {
 		e.Code, status = 5, http.StatusNotFound
 	}
 	w.WriteHeader(status)
-	reply(w, e)
+	writeJSON(w, e)
 }
 
-// take decodes a call; a false result has been answered.
-func take(w http.ResponseWriter, r *http.Request, v any) bool {
+// decodeRequest decodes a request body, or writes an error response and returns false.
+func decodeRequest(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4<<20)).Decode(v); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
-		reply(w, storer.WireError{Code: 3, Message: err.Error()})
+		writeJSON(w, storer.WireError{Code: 3, Message: err.Error()})
 		return false
 	}
 	return true
 }
 
-func wire(p storer.Pair) storer.WireKV {
+func toWireKV(p storer.Pair) storer.WireKV {
 	return storer.WireKV{Key: []byte(p.Key), Value: p.Value, ModRevision: p.Revision}
 }
 
 func (k *Keeper) handleRange(w http.ResponseWriter, r *http.Request) {
-	var ask storer.WireRange
-	if !take(w, r, &ask) {
+	var request storer.WireRange
+	if !decodeRequest(w, r, &request) {
 		return
 	}
-	var a storer.WireRangeResponse
-	if len(ask.RangeEnd) == 0 {
-		p, err := k.Store.Get(r.Context(), string(ask.Key))
+	var response storer.WireRangeResponse
+	if len(request.RangeEnd) == 0 {
+		p, err := k.Store.Get(r.Context(), string(request.Key))
 		if err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
 		if p.Revision != 0 {
-			a.KVs = append(a.KVs, wire(p))
+			response.KVs = append(response.KVs, toWireKV(p))
 		}
-		reply(w, a)
+		writeJSON(w, response)
 		return
 	}
-	ps, err := k.Store.List(r.Context(), string(ask.Key))
+	pairs, err := k.Store.List(r.Context(), string(request.Key))
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
-	for _, p := range ps {
-		a.KVs = append(a.KVs, wire(p))
+	for _, p := range pairs {
+		response.KVs = append(response.KVs, toWireKV(p))
 	}
-	reply(w, a)
+	writeJSON(w, response)
 }
 
 func (k *Keeper) handleTxn(w http.ResponseWriter, r *http.Request) {
-	var ask storer.WireTxn
-	if !take(w, r, &ask) {
+	var request storer.WireTxn
+	if !decodeRequest(w, r, &request) {
 		return
 	}
-	if len(ask.Compare) != 1 || len(ask.Success) != 1 || ask.Compare[0].Target != storer.TargetMod {
-		refuse(w, errors.New("the stand-in takes one compare of a mod revision and one operation"))
+	if len(request.Compare) != 1 || len(request.Success) != 1 || request.Compare[0].Target != storer.TargetMod {
+		writeError(w, errors.New("exactly one mod-revision comparison and one operation are supported"))
 		return
 	}
-	p := storer.Pair{Key: string(ask.Compare[0].Key), Revision: ask.Compare[0].ModRevision}
-	var a storer.WireTxnResponse
+	p := storer.Pair{Key: string(request.Compare[0].Key), Revision: request.Compare[0].ModRevision}
+	var response storer.WireTxnResponse
 	var err error
-	if put := ask.Success[0].Put; put != nil {
+	if put := request.Success[0].Put; put != nil {
 		p.Value = put.Value
-		p, a.Succeeded, err = k.Store.Swap(r.Context(), p, storer.Lease(put.Lease))
-		a.Header.Revision = p.Revision
+		p, response.Succeeded, err = k.Store.Swap(r.Context(), p, storer.Lease(put.Lease))
+		response.Header.Revision = p.Revision
 	} else {
-		a.Succeeded, err = k.Store.Delete(r.Context(), p)
+		response.Succeeded, err = k.Store.Delete(r.Context(), p)
 	}
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
-	if !a.Succeeded {
+	if !response.Succeeded {
 		found := &storer.WireRangeResponse{}
 		if p.Revision != 0 {
-			found.KVs = append(found.KVs, wire(p))
+			found.KVs = append(found.KVs, toWireKV(p))
 		}
-		a.Responses = []storer.WireOpResponse{{Range: found}}
+		response.Responses = []storer.WireOpResponse{{Range: found}}
 	}
-	reply(w, a)
+	writeJSON(w, response)
 }
 
 func (k *Keeper) handleGrant(w http.ResponseWriter, r *http.Request) {
-	var ask storer.WireLease
-	if !take(w, r, &ask) {
+	var request storer.WireLease
+	if !decodeRequest(w, r, &request) {
 		return
 	}
-	l, err := k.Store.Grant(r.Context(), time.Duration(ask.TTL)*time.Second)
+	l, err := k.Store.Grant(r.Context(), time.Duration(request.TTL)*time.Second)
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
-	reply(w, storer.WireLease{ID: int64(l), TTL: ask.TTL})
+	writeJSON(w, storer.WireLease{ID: int64(l), TTL: request.TTL})
 }
 
 func (k *Keeper) handleKeepAlive(w http.ResponseWriter, r *http.Request) {
-	var ask storer.WireLease
-	if !take(w, r, &ask) {
+	var request storer.WireLease
+	if !decodeRequest(w, r, &request) {
 		return
 	}
-	err := k.Store.KeepAlive(r.Context(), storer.Lease(ask.ID))
+	err := k.Store.KeepAlive(r.Context(), storer.Lease(request.ID))
 	if err != nil && !errors.Is(err, storer.ErrLeaseExpired) {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
-	a := storer.WireKeepAliveResponse{Result: storer.WireLease{ID: ask.ID, TTL: 1}}
+	response := storer.WireKeepAliveResponse{Result: storer.WireLease{ID: request.ID, TTL: 1}}
 	if err != nil {
-		a.Result.TTL = 0
+		response.Result.TTL = 0
 	}
-	reply(w, a)
+	writeJSON(w, response)
 }
 
 func (k *Keeper) handleRevoke(w http.ResponseWriter, r *http.Request) {
-	var ask storer.WireLease
-	if !take(w, r, &ask) {
+	var request storer.WireLease
+	if !decodeRequest(w, r, &request) {
 		return
 	}
-	if err := k.Store.Revoke(r.Context(), storer.Lease(ask.ID)); err != nil {
-		refuse(w, err)
+	if err := k.Store.Revoke(r.Context(), storer.Lease(request.ID)); err != nil {
+		writeError(w, err)
 		return
 	}
-	reply(w, struct{}{})
+	writeJSON(w, struct{}{})
 }
 
 func (k *Keeper) handleWatch(w http.ResponseWriter, r *http.Request) {
-	var ask storer.WireWatch
-	if !take(w, r, &ask) {
+	var request storer.WireWatch
+	if !decodeRequest(w, r, &request) {
 		return
 	}
 	out := json.NewEncoder(w)
 	flush := http.NewResponseController(w)
 	started := false
-	err := k.Store.Watch(r.Context(), string(ask.Create.Key), ask.Create.StartRevision-1, func(p storer.Pair) {
+	err := k.Store.Watch(r.Context(), string(request.Create.Key), request.Create.StartRevision-1, func(p storer.Pair) {
 		started = true
-		e := storer.WireEvent{KV: wire(p)}
+		e := storer.WireEvent{KV: toWireKV(p)}
 		if p.Revision == 0 {
 			e.Type = storer.TypeDelete
 		}
@@ -205,6 +205,6 @@
 		_ = flush.Flush()
 	})
 	if !started {
-		refuse(w, err)
+		writeError(w, err)
 	}
 }
--- a/internal/standin/keeper/list.go
+++ b/internal/standin/keeper/list.go
@@ -9,38 +9,38 @@
 	"github.com/oriolegw/oriolegw/internal/storer"
 )
 
-// Register adds or changes an instance in the list.
+// Register adds or updates an instance in the list.
 func (k *Keeper) Register(i lister.Instance) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.changes = append(k.changes, listChange{at: time.Now(), instance: i})
 }
 
-// Remove takes an instance from the list.
+// Remove removes an instance from the list.
 func (k *Keeper) Remove(name string) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.changes = append(k.changes, listChange{at: time.Now(), instance: lister.Instance{Name: name}, gone: true})
+	k.changes = append(k.changes, listChange{at: time.Now(), instance: lister.Instance{Name: name}, removed: true})
 }
 
-// Instances returns the list as it stood ListLag ago.
+// Instances returns the list as of ListLag ago, sorted by name.
 func (k *Keeper) Instances() []lister.Instance {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now := time.Now()
-	seen := map[string]lister.Instance{}
+	current := map[string]lister.Instance{}
 	for _, c := range k.changes {
 		if now.Sub(c.at) < k.ListLag {
 			continue
 		}
-		if c.gone {
-			delete(seen, c.instance.Name)
+		if c.removed {
+			delete(current, c.instance.Name)
 			continue
 		}
-		seen[c.instance.Name] = c.instance
+		current[c.instance.Name] = c.instance
 	}
-	out := make([]lister.Instance, 0, len(seen))
-	for _, i := range seen {
+	out := make([]lister.Instance, 0, len(current))
+	for _, i := range current {
 		out = append(out, i)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
@@ -48,28 +48,28 @@
 }
 
 func (k *Keeper) handleList(w http.ResponseWriter, r *http.Request) {
-	// The list shares the service's fate: when the store is down, so is it.
+	// The list fails whenever the store fails.
 	if _, err := k.Store.Get(r.Context(), lister.Path); err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
-	reply(w, lister.ToWire(k.Instances()))
+	writeJSON(w, lister.ToWire(k.Instances()))
 }
 
 func (k *Keeper) handleRegister(w http.ResponseWriter, r *http.Request) {
-	var ask lister.WireInstance
-	if !take(w, r, &ask) {
+	var request lister.WireInstance
+	if !decodeRequest(w, r, &request) {
 		return
 	}
-	if ask.State == lister.WireGone {
-		k.Remove(ask.Name)
+	if request.State == lister.WireGone {
+		k.Remove(request.Name)
 	} else {
-		k.Register(lister.FromWire(ask))
+		k.Register(lister.FromWire(request))
 	}
-	reply(w, struct{}{})
+	writeJSON(w, struct{}{})
 }
 
-// wireFaults is the body of a fault switch; an absent field changes nothing.
+// wireFaults is the body of a fault injection request; absent fields change nothing.
 type wireFaults struct {
 	Down        *bool `json:"down"`
 	SlowMS      *int  `json:"slow-ms"`
@@ -79,28 +79,28 @@
 }
 
 func (k *Keeper) handleFaults(w http.ResponseWriter, r *http.Request) {
-	var ask wireFaults
-	if !take(w, r, &ask) {
+	var request wireFaults
+	if !decodeRequest(w, r, &request) {
 		return
 	}
 	k.Store.SetFaults(func(f *storer.Faults) {
-		if ask.Down != nil {
-			f.Down = *ask.Down
+		if request.Down != nil {
+			f.Down = *request.Down
 		}
-		if ask.SlowMS != nil {
-			f.Latency = time.Duration(*ask.SlowMS) * time.Millisecond
+		if request.SlowMS != nil {
+			f.Latency = time.Duration(*request.SlowMS) * time.Millisecond
 		}
-		if ask.LoseAnswers != nil {
-			f.LoseResponses = *ask.LoseAnswers
+		if request.LoseAnswers != nil {
+			f.LoseResponses = *request.LoseAnswers
 		}
 	})
-	if ask.ListLagMS != nil {
+	if request.ListLagMS != nil {
 		k.mutex.Lock()
-		k.ListLag = time.Duration(*ask.ListLagMS) * time.Millisecond
+		k.ListLag = time.Duration(*request.ListLagMS) * time.Millisecond
 		k.mutex.Unlock()
 	}
-	if ask.Lapse {
+	if request.Lapse {
 		k.Store.ExpireLeases()
 	}
-	reply(w, struct{}{})
+	writeJSON(w, struct{}{})
 }
