--- a/internal/standin/platformer/platformer.go
+++ b/internal/standin/platformer/platformer.go
@@ -1,5 +1,5 @@
-// Package platformer is the stand-in for the users' platform: its store and its
-// call to promote a member, over HTTP.
+// Package platformer is a test stand-in for a user's platform: it serves the store and the
+// promotion call over HTTP.
 package platformer
 
 import (
@@ -17,20 +17,19 @@
 )
 
 type (
-	// Platform serves the store and the promotions. Set the exported fields, then call
-	// Run.
+	// Platform serves the store and the promotion call. Set the exported fields, then call Run.
 	Platform struct {
 		Address string
 		Network networker.Network
 		Store   *storer.Memory
-		// Promote carries out an order; the error is answered as a refusal.
+		// Promote promotes a member; an error is returned as 409 Conflict.
 		Promote func(group, member string) error
 
-		mutex  sync.Mutex
-		fences map[string]int64
+		mutex         sync.Mutex
+		fencingTokens map[string]int64 // highest seen, by group
 	}
 
-	item struct {
+	wireItem struct {
 		Key      string `json:"key"`
 		Value    []byte `json:"value,omitempty"`
 		Revision int64  `json:"revision"`
@@ -38,7 +37,7 @@
 	}
 
 	transaction struct {
-		Conditions []item `json:"if_rev"`
+		Conditions []wireItem `json:"if_rev"`
 		Writes     []struct {
 			Key   string `json:"key"`
 			Value []byte `json:"value"`
@@ -48,8 +47,8 @@
 	}
 )
 
-// pageItems is how many items a page of a range has; few, so that tests see pages.
-const pageItems = 2
+// pageSize is the number of items in a page of a range, small enough that tests need several pages.
+const pageSize = 2
 
 // Run serves until the context ends.
 func (p *Platform) Run(ctx context.Context) error {
@@ -65,19 +64,19 @@
 	mux.HandleFunc("POST /kv-txn", p.handleTransaction)
 	mux.HandleFunc("POST /kv-lease", p.handleLease)
 	mux.HandleFunc("POST /kv-keep/{id}", p.handleKeep)
-	mux.HandleFunc("DELETE /kv-lease-end/{id}", p.handleEnd)
+	mux.HandleFunc("DELETE /kv-lease-end/{id}", p.handleRevoke)
 	mux.HandleFunc("POST /failover", p.handlePromote)
 	return mux
 }
 
-func reply(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// fail answers an error of the store.
-func fail(w http.ResponseWriter, err error) {
+// writeError writes a store error with its HTTP status.
+func writeError(w http.ResponseWriter, err error) {
 	status := http.StatusServiceUnavailable
 	switch {
 	case errors.Is(err, storer.ErrCompacted):
@@ -85,13 +84,13 @@
 	case errors.Is(err, storer.ErrLeaseExpired):
 		status = http.StatusNotFound
 	}
-	reply(w, status, map[string]string{"error": err.Error()})
+	writeJSON(w, status, map[string]string{"error": err.Error()})
 }
 
-func items(list []storer.Pair) []item {
-	out := []item{}
+func toWireItems(list []storer.Pair) []wireItem {
+	out := []wireItem{}
 	for _, p := range list {
-		out = append(out, item{Key: p.Key, Value: p.Value, Revision: p.Revision, Deleted: p.Revision == 0})
+		out = append(out, wireItem{Key: p.Key, Value: p.Value, Revision: p.Revision, Deleted: p.Revision == 0})
 	}
 	return out
 }
@@ -100,94 +99,94 @@
 	v, err := p.Store.Get(r.Context(), r.URL.Query().Get("key"))
 	switch {
 	case err != nil:
-		fail(w, err)
+		writeError(w, err)
 	case v.Revision == 0:
-		reply(w, http.StatusNotFound, map[string]string{})
+		writeJSON(w, http.StatusNotFound, map[string]string{})
 	default:
-		reply(w, http.StatusOK, items([]storer.Pair{v})[0])
+		writeJSON(w, http.StatusOK, toWireItems([]storer.Pair{v})[0])
 	}
 }
 
 func (p *Platform) handleRange(w http.ResponseWriter, r *http.Request) {
 	list, revision, err := p.Store.Snapshot(r.Context(), r.URL.Query().Get("prefix"))
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	after := r.URL.Query().Get("after")
 	for len(list) > 0 && list[0].Key <= after {
 		list = list[1:]
 	}
-	more := len(list) > pageItems
+	more := len(list) > pageSize
 	if more {
-		list = list[:pageItems]
+		list = list[:pageSize]
 	}
-	reply(w, http.StatusOK, map[string]any{"items": items(list), "has_more": more, "at_rev": revision})
+	writeJSON(w, http.StatusOK, map[string]any{"items": toWireItems(list), "has_more": more, "at_rev": revision})
 }
 
 func (p *Platform) handleWatch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, err := strconv.ParseInt(q.Get("after"), 10, 64)
 	if err != nil {
-		reply(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
+		writeJSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
 		return
 	}
 	wait, err := strconv.Atoi(q.Get("wait_ms"))
 	if err != nil {
-		reply(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
+		writeJSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
 		return
 	}
 	list, revision, err := p.Store.Changes(r.Context(), q.Get("prefix"), after, time.Duration(wait)*time.Millisecond)
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	reply(w, http.StatusOK, map[string]any{"events": items(list), "at_rev": revision})
+	writeJSON(w, http.StatusOK, map[string]any{"events": toWireItems(list), "at_rev": revision})
 }
 
 func (p *Platform) handleTransaction(w http.ResponseWriter, r *http.Request) {
 	var t transaction
 	if err := json.NewDecoder(r.Body).Decode(&t); err != nil || len(t.Conditions) != 1 {
-		reply(w, http.StatusBadRequest, map[string]string{"error": "want one condition"})
+		writeJSON(w, http.StatusBadRequest, map[string]string{"error": "exactly one condition is required"})
 		return
 	}
 	pair := storer.Pair{Key: t.Conditions[0].Key, Revision: t.Conditions[0].Revision}
-	var now storer.Pair
+	var current storer.Pair
 	var ok bool
 	var err error
 	if len(t.Deletes) > 0 {
 		ok, err = p.Store.Delete(r.Context(), pair)
 	} else {
 		pair.Value = t.Writes[0].Value
-		now, ok, err = p.Store.Swap(r.Context(), pair, storer.Lease(t.Writes[0].Lease))
+		current, ok, err = p.Store.Swap(r.Context(), pair, storer.Lease(t.Writes[0].Lease))
 	}
 	switch {
 	case err != nil:
-		fail(w, err)
+		writeError(w, err)
 	case !ok:
-		reply(w, http.StatusPreconditionFailed, map[string]any{"items": items([]storer.Pair{now})})
+		writeJSON(w, http.StatusPreconditionFailed, map[string]any{"items": toWireItems([]storer.Pair{current})})
 	default:
-		reply(w, http.StatusOK, map[string]int64{"revision": now.Revision})
+		writeJSON(w, http.StatusOK, map[string]int64{"revision": current.Revision})
 	}
 }
 
 func (p *Platform) handleLease(w http.ResponseWriter, r *http.Request) {
-	var ask struct {
+	var request struct {
 		TTL int64 `json:"ttl_ms"`
 	}
-	if err := json.NewDecoder(r.Body).Decode(&ask); err != nil {
-		reply(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
+		writeJSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
 		return
 	}
-	l, err := p.Store.Grant(r.Context(), time.Duration(ask.TTL)*time.Millisecond)
+	l, err := p.Store.Grant(r.Context(), time.Duration(request.TTL)*time.Millisecond)
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	reply(w, http.StatusOK, map[string]int64{"lease_id": int64(l), "ttl_ms": ask.TTL})
+	writeJSON(w, http.StatusOK, map[string]int64{"lease_id": int64(l), "ttl_ms": request.TTL})
 }
 
-func lease(r *http.Request) storer.Lease {
+func leaseFromPath(r *http.Request) storer.Lease {
 	n, err := strconv.ParseInt(r.PathValue("id"), 10, 64)
 	if err != nil {
 		return 0
@@ -196,49 +195,49 @@
 }
 
 func (p *Platform) handleKeep(w http.ResponseWriter, r *http.Request) {
-	if err := p.Store.KeepAlive(r.Context(), lease(r)); err != nil {
-		fail(w, err)
+	if err := p.Store.KeepAlive(r.Context(), leaseFromPath(r)); err != nil {
+		writeError(w, err)
 		return
 	}
-	reply(w, http.StatusOK, map[string]int64{"ttl_ms": 1})
+	writeJSON(w, http.StatusOK, map[string]int64{"ttl_ms": 1})
 }
 
-func (p *Platform) handleEnd(w http.ResponseWriter, r *http.Request) {
-	if err := p.Store.Revoke(r.Context(), lease(r)); err != nil {
-		fail(w, err)
+func (p *Platform) handleRevoke(w http.ResponseWriter, r *http.Request) {
+	if err := p.Store.Revoke(r.Context(), leaseFromPath(r)); err != nil {
+		writeError(w, err)
 		return
 	}
-	reply(w, http.StatusOK, map[string]string{})
+	writeJSON(w, http.StatusOK, map[string]string{})
 }
 
 func (p *Platform) handlePromote(w http.ResponseWriter, r *http.Request) {
-	var ask struct {
+	var request struct {
 		Service string `json:"service"`
 		ID      string `json:"id"`
 	}
-	fence, err := strconv.ParseInt(r.Header.Get("Oriolegw-Fencing-Token"), 10, 64)
-	if err != nil || json.NewDecoder(r.Body).Decode(&ask) != nil || r.Header.Get("Oriolegw-Lease-Holder") == "" {
-		reply(w, http.StatusBadRequest, map[string]string{"error": "want a holder, a fence, a service and an id"})
+	token, err := strconv.ParseInt(r.Header.Get("Oriolegw-Fencing-Token"), 10, 64)
+	if err != nil || json.NewDecoder(r.Body).Decode(&request) != nil || r.Header.Get("Oriolegw-Lease-Holder") == "" {
+		writeJSON(w, http.StatusBadRequest, map[string]string{"error": "lease holder, fencing token, service and id are required"})
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.fences == nil {
-		p.fences = map[string]int64{}
+	if p.fencingTokens == nil {
+		p.fencingTokens = map[string]int64{}
 	}
-	if fence < p.fences[ask.Service] {
-		reply(w, http.StatusConflict, map[string]string{"error": "a higher fence was seen"})
+	if token < p.fencingTokens[request.Service] {
+		writeJSON(w, http.StatusConflict, map[string]string{"error": "stale fencing token"})
 		return
 	}
-	p.fences[ask.Service] = fence
-	if err := p.Promote(ask.Service, ask.ID); err != nil {
-		reply(w, http.StatusConflict, map[string]string{"error": err.Error()})
+	p.fencingTokens[request.Service] = token
+	if err := p.Promote(request.Service, request.ID); err != nil {
+		writeJSON(w, http.StatusConflict, map[string]string{"error": err.Error()})
 		return
 	}
-	reply(w, http.StatusOK, map[string]string{})
+	writeJSON(w, http.StatusOK, map[string]string{})
 }
 
-// Entry is what a member writes of itself.
+// Entry encodes the record that a member publishes about itself.
 func Entry(m tracker.Member) []byte {
 	phase, role := "ready", "replica"
 	if m.Leaving {
@@ -253,26 +252,26 @@
 	if m.StartTime != 0 {
 		fields["born"] = m.StartTime
 	}
-	return encode(fields)
+	return mustEncode(fields)
 }
 
-var typeWords = map[tracker.Rule]string{
+var ruleNames = map[tracker.Rule]string{
 	tracker.RulePrimary: "primary", tracker.RuleBounded: "bounded_staleness", tracker.RuleReadYourWrites: "read_your_writes",
 }
 
-// Customer is a customer as an operator writes it, with its keys.
+// Customer is a client account of a configuration, with its API keys and rate limit.
 type Customer struct {
 	Name             string
 	Keys             []string
 	PerSecond, Burst float64
 }
 
-// Configuration is what an operator writes. Without customers, it tells none apart.
+// Configuration encodes a configuration document. Without customers, it has no tenants section.
 func Configuration(c tracker.Configuration, customers ...Customer) []byte {
 	routes, services := []any{}, []any{}
 	for _, r := range c.Routes {
 		routes = append(routes, map[string]any{
-			"database": r.Database, "service": r.Group, "type": typeWords[r.Rule], "priority": r.Priority,
+			"database": r.Database, "service": r.Group, "type": ruleNames[r.Rule], "priority": r.Priority,
 			"timeout_ms": r.Timeout.Milliseconds(), "target_latency_ms": r.LatencyObjective.Milliseconds(), "max_staleness_ms": r.Staleness.Milliseconds(),
 			"anonymous": r.Anonymous,
 		})
@@ -291,10 +290,10 @@
 		}
 		document["tenants"] = tenants
 	}
-	return encode(document)
+	return mustEncode(document)
 }
 
-func encode(v any) []byte {
+func mustEncode(v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
 		panic("platformer: " + err.Error())
