--- a/internal/standin/replicator/control.go
+++ b/internal/standin/replicator/control.go
@@ -9,17 +9,17 @@
 	"github.com/oriolegw/oriolegw/pkg/orderer"
 )
 
-// Codes that a member reports beside those of PostgreSQL. A statement refused
-// with CodeFenced was not run.
+// SQLSTATE codes that the group uses in its errors. A statement rejected with CodeFenced was
+// not executed.
 const (
-	CodeFenced      = "OG001"
-	CodeReadOnly    = "25006"
-	CodeRevoked     = "OG003"
-	CodeEvicted     = "OG004"
-	CodeActivity    = "OG005"
-	codeNotFence    = "OG002"
-	codeUnsupported = "0A000"
-	codeAborted     = "25P02"
+	CodeFenced       = "OG001"
+	CodeReadOnly     = "25006"
+	CodeRevoked      = "OG003"
+	CodeEvicted      = "OG004"
+	CodeActivity     = "OG005"
+	codeTermRejected = "OG002"
+	codeUnsupported  = "0A000"
+	codeAborted      = "25P02"
 )
 
 var statusColumns = []column{
@@ -54,12 +54,10 @@
 	return statusResult(s.member.Status())
 }
 
-// runAwait answers whether a majority of the group holds a position of the term
-// in which this member is, or was last, the primary. The answer true stays true:
-// a follower that was fenced before it held the entry never acknowledges it, and
-// one fenced later shows it to whoever fenced it. A primary that was fenced still
-// counts itself, since its log shows the entry to whoever fenced it; it stops
-// answering when it follows another, which may cut its log.
+// runAwait waits, up to a timeout, until a majority of the group holds a position of the term that
+// this member streams. A true result is final: a fenced follower acknowledges no further entries,
+// and reports those it holds to the owner of the new term. A fenced primary still counts itself,
+// until it follows another primary, which may truncate its log.
 func runAwait(ctx context.Context, s *session, a []string) result {
 	m := s.member
 	want := parsePosition(a[0], a[1])
@@ -67,21 +65,20 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(milliseconds)*time.Millisecond)
 	defer cancel()
 	m.mutex.Lock()
-	held := false
+	acked := false
 	m.await(ctx, func() bool {
-		held = m.majorityHolds(want)
-		return held || m.streamed != want.Term
+		acked = m.majorityAcked(want)
+		return acked || m.streamTerm != want.Term
 	})
 	m.mutex.Unlock()
 	text := "f"
-	if held {
+	if acked {
 		text = "t"
 	}
 	return result{Columns: []column{{"oriole_await", oidBool}}, Rows: [][]string{{text}}, Tag: "SELECT 1"}
 }
 
-// runReplayed answers whether this member's reads show a position, and waits for
-// it a little.
+// runReplayed waits, up to a timeout, until this member has replayed a position.
 func runReplayed(ctx context.Context, s *session, a []string) result {
 	m := s.member
 	want := parsePosition(a[0], a[1])
@@ -89,44 +86,44 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(milliseconds)*time.Millisecond)
 	defer cancel()
 	m.mutex.Lock()
-	shown := m.await(ctx, func() bool { return m.ledger.replayedPosition().AtLeast(want) })
+	replayed := m.await(ctx, func() bool { return m.wal.replayedPosition().AtLeast(want) })
 	m.mutex.Unlock()
 	text := "f"
-	if shown {
+	if replayed {
 		text = "t"
 	}
 	return result{Columns: []column{{"oriole_replayed", oidBool}}, Rows: [][]string{{text}}, Tag: "SELECT 1"}
 }
 
-func (m *Member) majorityHolds(p orderer.Position) bool {
-	if m.streamed == 0 || m.streamed != p.Term {
+func (m *Member) majorityAcked(p orderer.Position) bool {
+	if m.streamTerm == 0 || m.streamTerm != p.Term {
 		return false
 	}
-	holders := 1
-	for _, q := range m.acked {
+	acks := 1
+	for _, q := range m.ackedPositions {
 		if q.Term == p.Term && q.Offset >= p.Offset {
-			holders++
+			acks++
 		}
 	}
-	return holders > m.size()/2
+	return acks > m.groupSize()/2
 }
 
-func (m *Member) size() int {
+func (m *Member) groupSize() int {
 	if m.GroupSize > 0 {
 		return m.GroupSize
 	}
 	return defaultGroupSize
 }
 
-// runFence makes the member obey a newer term. A member grants each term to one
-// owner, so that two promoters with the same term can't both fence a majority.
+// runFence moves the member to a newer term. A member grants each term to one owner, so that two
+// owners with the same term can't both fence a majority.
 func runFence(_ context.Context, s *session, a []string) result {
 	m := s.member
 	term, _ := strconv.ParseUint(a[0], 10, 64)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if term < m.term || (term == m.term && a[1] != m.owner) {
-		return result{Err: &refusal{Code: codeNotFence, Message: "term " + strconv.FormatUint(m.term, 10) + " is already granted to " + m.owner}}
+		return result{Err: &sqlError{Code: codeTermRejected, Message: "term " + strconv.FormatUint(m.term, 10) + " is already granted to " + m.owner}}
 	}
 	m.fence(term, a[1])
 	return statusResult(m.status())
@@ -140,11 +137,9 @@
 	}
 }
 
-// runDrain fences a primary once the transactions that are open have ended, or
-// at the latest after the given milliseconds. From its start on, no connection
-// gets to begin another one: it is refused as not run, and whoever holds the
-// request sends it to the next primary. Without the wait, a planned change would
-// roll back every open transaction.
+// runDrain fences a primary after its open transactions have ended or the timeout has passed, so
+// that a planned failover doesn't roll them back. New transactions are rejected as not executed;
+// the caller retries them on the next primary.
 func runDrain(ctx context.Context, s *session, a []string) result {
 	m := s.member
 	term, _ := strconv.ParseUint(a[0], 10, 64)
@@ -152,38 +147,38 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if term > m.term && m.role == RolePrimary {
-		bound, cancel := context.WithTimeout(ctx, time.Duration(milliseconds)*time.Millisecond)
+		drainCtx, cancel := context.WithTimeout(ctx, time.Duration(milliseconds)*time.Millisecond)
 		defer cancel()
 		m.draining = true
-		m.await(bound, func() bool { return len(m.active) == 0 || m.term >= term })
+		m.await(drainCtx, func() bool { return len(m.activeSessions) == 0 || m.term >= term })
 	}
 	if term < m.term || (term == m.term && a[1] != m.owner) {
-		return result{Err: &refusal{Code: codeNotFence, Message: "term " + strconv.FormatUint(m.term, 10) + " is already granted to " + m.owner}}
+		return result{Err: &sqlError{Code: codeTermRejected, Message: "term " + strconv.FormatUint(m.term, 10) + " is already granted to " + m.owner}}
 	}
 	m.fence(term, a[1])
 	return statusResult(m.status())
 }
 
-// runPromote makes a member that was fenced for the term its primary. What it has
-// received and not replayed yet is replayed first, which takes its time.
+// runPromote makes a member that was fenced for the term its primary, after it has replayed the
+// received entries.
 func runPromote(ctx context.Context, s *session, a []string) result {
 	m := s.member
 	term, _ := strconv.ParseUint(a[0], 10, 64)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	wait := m.backlog()
+	wait := m.remainingReplayTime()
 	m.mutex.Unlock()
 	sleep(ctx, wait)
 	m.mutex.Lock()
 	if term != m.term || a[1] != m.owner || m.role == RoleReplica {
-		return result{Err: &refusal{Code: codeNotFence, Message: "not fenced for this term and owner"}}
+		return result{Err: &sqlError{Code: codeTermRejected, Message: "not fenced for this term and owner"}}
 	}
 	if m.role == RoleFenced {
-		m.role, m.primary, m.streamed = RolePrimary, "", term
-		m.acked = map[string]orderer.Position{}
-		m.ledger.append(term, nil)
-		m.ledger.replay(len(m.ledger.entries))
-		m.arrivals = nil
+		m.role, m.primary, m.streamTerm = RolePrimary, "", term
+		m.ackedPositions = map[string]orderer.Position{}
+		m.wal.append(term, nil)
+		m.wal.replay(len(m.wal.entries))
+		m.receiveTimes = nil
 		m.notify()
 	}
 	return statusResult(m.status())
@@ -196,16 +191,16 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if term < m.term || (term == m.term && m.role == RolePrimary) {
-		return result{Err: &refusal{Code: codeNotFence, Message: "term " + strconv.FormatUint(m.term, 10) + " is newer, or this is its primary"}}
+		return result{Err: &sqlError{Code: codeTermRejected, Message: "term " + strconv.FormatUint(m.term, 10) + " is newer, or this member is its primary"}}
 	}
 	if term == m.term && m.role == RoleReplica && m.primary == a[1] {
-		return statusResult(m.status()) // an order given twice must not break the stream
+		return statusResult(m.status()) // a repeated request must not interrupt the stream
 	}
 	if term > m.term {
 		m.owner = ""
 	}
-	m.term, m.role, m.primary, m.streamed, m.draining = term, RoleReplica, a[1], 0, false
-	m.acked = map[string]orderer.Position{}
+	m.term, m.role, m.primary, m.streamTerm, m.draining = term, RoleReplica, a[1], 0, false
+	m.ackedPositions = map[string]orderer.Position{}
 	m.notify()
 	return statusResult(m.status())
 }
--- a/internal/standin/replicator/control_test.go
+++ b/internal/standin/replicator/control_test.go
@@ -14,165 +14,165 @@
 	"github.com/shoenig/test/must"
 )
 
-// bench is a group of three members, the first of them the primary, and what
-// gives them orders.
-type bench struct {
+// testGroup is a group of three members, of which the first is the primary, and a client for control
+// statements.
+type testGroup struct {
 	ctx     context.Context
 	t       *testing.T
 	net     *wirer.Net
-	orders  *commander.Postgres
+	control *commander.Postgres
 	members []*replicator.Member
 }
 
-func onBench(t *testing.T, play func(b *bench)) {
+func runWithGroup(t *testing.T, run func(g *testGroup)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		b := &bench{ctx: ctx, t: t, net: wirer.New(1)}
-		b.orders = &commander.Postgres{Network: b.net.Host("10.0.0.9", "a"), Application: "entry"}
-		ended := make(chan error)
+		g := &testGroup{ctx: ctx, t: t, net: wirer.New(1)}
+		g.control = &commander.Postgres{Network: g.net.Host("10.0.0.9", "a"), Application: "entry"}
+		done := make(chan error)
 		for i := range 3 {
 			ip := "10.0.0." + strconv.Itoa(i+1)
-			m := &replicator.Member{Name: "m" + strconv.Itoa(i+1), Address: ip + ":5432", Network: b.net.Host(ip, "a"), Log: log.NewNopLogger()}
-			b.members = append(b.members, m)
-			m.Bootstrap(b.members[0].Address)
-			go func() { ended <- m.Run(ctx) }()
+			m := &replicator.Member{Name: "m" + strconv.Itoa(i+1), Address: ip + ":5432", Network: g.net.Host(ip, "a"), Log: log.NewNopLogger()}
+			g.members = append(g.members, m)
+			m.Bootstrap(g.members[0].Address)
+			go func() { done <- m.Run(ctx) }()
 		}
 		time.Sleep(time.Second)
 		defer func() {
-			b.orders.Close()
+			g.control.Close()
 			cancel()
-			for range b.members {
-				<-ended
+			for range g.members {
+				<-done
 			}
 		}()
-		play(b)
+		run(g)
 	})
 }
 
-func (b *bench) fence(i int, term uint64, owner string) (commander.Status, error) {
-	return b.orders.Fence(b.ctx, b.members[i].Address, term, owner)
+func (g *testGroup) fence(i int, term uint64, owner string) (commander.Status, error) {
+	return g.control.Fence(g.ctx, g.members[i].Address, term, owner)
 }
 
-// write commits one row on the primary and returns what a majority says of it.
-func (b *bench) write(key string) (held bool, err error) {
-	c, err := commander.Dial(b.ctx, b.orders.Network, b.members[0].Address, map[string]string{replicator.ParameterTerm: "1"})
-	must.NoError(b.t, err)
-	defer c.Close(b.ctx)
-	if _, err := c.Exec(b.ctx, "INSERT INTO ledger VALUES ('"+key+"', '1')").ReadAll(); err != nil {
+// write commits a row on the primary and reports whether a majority acknowledged it.
+func (g *testGroup) write(key string) (acked bool, err error) {
+	c, err := commander.Dial(g.ctx, g.control.Network, g.members[0].Address, map[string]string{replicator.ParameterTerm: "1"})
+	must.NoError(g.t, err)
+	defer c.Close(g.ctx)
+	if _, err := c.Exec(g.ctx, "INSERT INTO ledger VALUES ('"+key+"', '1')").ReadAll(); err != nil {
 		return false, err
 	}
-	p := b.members[0].Status().Received
-	rows, err := c.Exec(b.ctx, "SELECT oriole_await("+strconv.FormatUint(p.Term, 10)+", "+strconv.FormatUint(p.Offset, 10)+", 500)").ReadAll()
+	p := g.members[0].Status().Received
+	rows, err := c.Exec(g.ctx, "SELECT oriole_await("+strconv.FormatUint(p.Term, 10)+", "+strconv.FormatUint(p.Offset, 10)+", 500)").ReadAll()
 	if err != nil {
 		return false, err
 	}
 	return string(rows[0].Rows[0][0]) == "t", nil
 }
 
-func (b *bench) refused(err error) { must.ErrorIs(b.t, err, commander.ErrRefused) }
+func (g *testGroup) mustRefuse(err error) { must.ErrorIs(g.t, err, commander.ErrRefused) }
 
-// What a target must do with the control statements (docs/TARGET.md).
+// Control statements behave as specified in docs/TARGET.md.
 func TestControlStatements(t *testing.T) {
 	tests := []struct {
 		name string
-		play func(b *bench)
+		run  func(g *testGroup)
 	}{
-		{"a term is granted to one owner", func(b *bench) {
-			_, err := b.fence(1, 2, "a")
-			must.NoError(b.t, err)
-			_, err = b.fence(1, 2, "b")
-			b.refused(err)
-			_, err = b.fence(1, 1, "a")
-			b.refused(err)
-			s, err := b.fence(1, 2, "a")
-			must.NoError(b.t, err)
-			must.Eq(b.t, commander.RoleFenced, s.Role)
+		{"a term is granted to one owner", func(g *testGroup) {
+			_, err := g.fence(1, 2, "a")
+			must.NoError(g.t, err)
+			_, err = g.fence(1, 2, "b")
+			g.mustRefuse(err)
+			_, err = g.fence(1, 1, "a")
+			g.mustRefuse(err)
+			s, err := g.fence(1, 2, "a")
+			must.NoError(g.t, err)
+			must.Eq(g.t, commander.RoleFenced, s.Role)
 		}},
-		{"only the owner of the term promotes, and only whom it fenced", func(b *bench) {
-			_, err := b.fence(1, 2, "a")
-			must.NoError(b.t, err)
-			_, err = b.orders.Promote(b.ctx, b.members[1].Address, 2, "b")
-			b.refused(err)
-			_, err = b.orders.Promote(b.ctx, b.members[2].Address, 2, "a")
-			b.refused(err)
-			s, err := b.orders.Promote(b.ctx, b.members[1].Address, 2, "a")
-			must.NoError(b.t, err)
-			must.Eq(b.t, commander.RolePrimary, s.Role)
-			must.Eq(b.t, 2, s.Received.Term) // the term opens with an entry of its own
+		{"only the owner of the term promotes, and only fenced members", func(g *testGroup) {
+			_, err := g.fence(1, 2, "a")
+			must.NoError(g.t, err)
+			_, err = g.control.Promote(g.ctx, g.members[1].Address, 2, "b")
+			g.mustRefuse(err)
+			_, err = g.control.Promote(g.ctx, g.members[2].Address, 2, "a")
+			g.mustRefuse(err)
+			s, err := g.control.Promote(g.ctx, g.members[1].Address, 2, "a")
+			must.NoError(g.t, err)
+			must.Eq(g.t, commander.RolePrimary, s.Role)
+			must.Eq(g.t, 2, s.Received.Term) // the first entry of the term
 		}},
-		{"a fenced primary runs no work of its term", func(b *bench) {
-			_, err := b.fence(0, 2, "a")
-			must.NoError(b.t, err)
-			_, err = commander.Dial(b.ctx, b.orders.Network, b.members[0].Address, map[string]string{replicator.ParameterTerm: "1"})
-			must.ErrorContains(b.t, err, replicator.CodeFenced)
+		{"a fenced primary rejects connections of its term", func(g *testGroup) {
+			_, err := g.fence(0, 2, "a")
+			must.NoError(g.t, err)
+			_, err = commander.Dial(g.ctx, g.control.Network, g.members[0].Address, map[string]string{replicator.ParameterTerm: "1"})
+			must.ErrorContains(g.t, err, replicator.CodeFenced)
 		}},
-		{"a majority confirms, a minority does not", func(b *bench) {
-			held, err := b.write("a")
-			must.NoError(b.t, err)
-			must.True(b.t, held)
+		{"a write is confirmed by a majority, not by a minority", func(g *testGroup) {
+			acked, err := g.write("a")
+			must.NoError(g.t, err)
+			must.True(g.t, acked)
 			for _, i := range []int{1, 2} {
-				_, err := b.fence(i, 2, "a")
-				must.NoError(b.t, err)
+				_, err := g.fence(i, 2, "a")
+				must.NoError(g.t, err)
 			}
-			held, err = b.write("b")
-			must.NoError(b.t, err)
-			must.False(b.t, held)
+			acked, err = g.write("b")
+			must.NoError(g.t, err)
+			must.False(g.t, acked)
 		}},
-		{"a fenced replica stores nothing that was on its way", func(b *bench) {
-			b.members[1].Faults.SetStreamLag(200 * time.Millisecond)
-			_, err := b.write("a")
-			must.NoError(b.t, err)
+		{"a fenced replica discards entries in flight", func(g *testGroup) {
+			g.members[1].Faults.SetStreamLag(200 * time.Millisecond)
+			_, err := g.write("a")
+			must.NoError(g.t, err)
 			time.Sleep(50 * time.Millisecond)
-			s, err := b.fence(1, 2, "a")
-			must.NoError(b.t, err)
+			s, err := g.fence(1, 2, "a")
+			must.NoError(g.t, err)
 			time.Sleep(time.Second)
-			must.Eq(b.t, s.Received, b.members[1].Status().Received)
+			must.Eq(g.t, s.Received, g.members[1].Status().Received)
 		}},
-		{"a fenced primary still sends and confirms what it had committed", func(b *bench) {
-			b.members[1].Faults.SetStreamLag(200 * time.Millisecond)
-			b.members[2].Faults.SetStreamLag(200 * time.Millisecond)
+		{"a fenced primary still streams and confirms its commits", func(g *testGroup) {
+			g.members[1].Faults.SetStreamLag(200 * time.Millisecond)
+			g.members[2].Faults.SetStreamLag(200 * time.Millisecond)
 			done := make(chan bool)
 			go func() {
-				held, err := b.write("a")
-				done <- held && err == nil
+				acked, err := g.write("a")
+				done <- acked && err == nil
 			}()
 			time.Sleep(100 * time.Millisecond)
-			s, err := b.fence(0, 2, "a")
-			must.NoError(b.t, err)
-			must.True(b.t, <-done)
+			s, err := g.fence(0, 2, "a")
+			must.NoError(g.t, err)
+			must.True(g.t, <-done)
 			time.Sleep(time.Second)
-			must.Eq(b.t, s.Received, b.members[1].Status().Received)
+			must.Eq(g.t, s.Received, g.members[1].Status().Received)
 		}},
-		{"replicas tell how long ago they heard the primary", func(b *bench) {
-			s, err := b.orders.Status(b.ctx, b.members[1].Address)
-			must.NoError(b.t, err)
-			must.Between(b.t, 0, s.Heard, 250*time.Millisecond)
-			b.members[0].Faults.Freeze()
+		{"replicas report the time since the last heartbeat", func(g *testGroup) {
+			s, err := g.control.Status(g.ctx, g.members[1].Address)
+			must.NoError(g.t, err)
+			must.Between(g.t, 0, s.Heard, 250*time.Millisecond)
+			g.members[0].Faults.Freeze()
 			time.Sleep(time.Second)
-			s, err = b.orders.Status(b.ctx, b.members[1].Address)
-			must.NoError(b.t, err)
-			must.Greater(b.t, 700*time.Millisecond, s.Heard)
-			b.members[0].Faults.Thaw()
+			s, err = g.control.Status(g.ctx, g.members[1].Address)
+			must.NoError(g.t, err)
+			must.Greater(g.t, 700*time.Millisecond, s.Heard)
+			g.members[0].Faults.Thaw()
 		}},
-		{"an order meets a silent connection", func(b *bench) {
-			_, err := b.orders.Status(b.ctx, b.members[1].Address)
-			must.NoError(b.t, err)
-			b.members[1].SilenceOpen()
-			began := time.Now()
-			_, err = b.orders.Status(b.ctx, b.members[1].Address)
-			must.NoError(b.t, err)
-			must.Less(b.t, 300*time.Millisecond, time.Since(began))
+		{"a control statement recovers from an unresponsive connection", func(g *testGroup) {
+			_, err := g.control.Status(g.ctx, g.members[1].Address)
+			must.NoError(g.t, err)
+			g.members[1].SilenceOpen()
+			start := time.Now()
+			_, err = g.control.Status(g.ctx, g.members[1].Address)
+			must.NoError(g.t, err)
+			must.Less(g.t, 300*time.Millisecond, time.Since(start))
 		}},
-		{"nothing serves, or nothing answers", func(b *bench) {
-			_, err := b.orders.Status(b.ctx, "10.0.0.9:1")
-			must.ErrorIs(b.t, err, commander.ErrUnreachable)
-			b.members[1].Faults.Freeze()
-			_, err = b.orders.Status(b.ctx, b.members[1].Address)
-			must.ErrorIs(b.t, err, commander.ErrSilent)
-			b.members[1].Faults.Thaw()
+		{"unreachable and unresponsive members are told apart", func(g *testGroup) {
+			_, err := g.control.Status(g.ctx, "10.0.0.9:1")
+			must.ErrorIs(g.t, err, commander.ErrUnreachable)
+			g.members[1].Faults.Freeze()
+			_, err = g.control.Status(g.ctx, g.members[1].Address)
+			must.ErrorIs(g.t, err, commander.ErrSilent)
+			g.members[1].Faults.Thaw()
 		}},
 	}
-	for _, c := range tests {
-		t.Run(c.name, func(t *testing.T) { onBench(t, c.play) })
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) { runWithGroup(t, test.run) })
 	}
 }
--- a/internal/standin/replicator/counter.go
+++ b/internal/standin/replicator/counter.go
@@ -2,20 +2,20 @@
 
 import "sync"
 
-// Counter counts sessions over the members of a group.
+// Counter counts the open sessions of several members.
 type Counter struct {
 	mutex     sync.Mutex
 	now, peak int
 }
 
-// Now returns how many sessions there are.
+// Now returns the number of open sessions.
 func (c *Counter) Now() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.now
 }
 
-// Peak returns the most sessions that there ever were at once.
+// Peak returns the highest number of sessions open at the same time.
 func (c *Counter) Peak() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/standin/replicator/evict.go
+++ b/internal/standin/replicator/evict.go
@@ -9,29 +9,27 @@
 )
 
 const (
-	// ParameterEvict, sent at start-up, names an application whose sessions are
-	// to end; ParameterEvictPID names one of them. The connection never becomes
-	// a session: the answer is an error with CodeEvicted, whose message is the
-	// number of sessions that remain.
+	// ParameterEvict, sent at start-up, requests termination of the sessions of an application, and
+	// ParameterEvictPID of only one of them. The response is a fatal error with CodeEvicted and the
+	// number of remaining sessions as its message.
 	ParameterEvict    = "oriole.evict"
 	ParameterEvictPID = "oriole.evict-pid"
-	// ParameterActivity, sent at start-up, asks what the session with a number
-	// does. The answer is an error with CodeActivity: active, idle or absent.
+	// ParameterActivity, sent at start-up, requests the state of the session with a process ID. The
+	// response is a fatal error with CodeActivity and the message active, idle or absent.
 	ParameterActivity = "oriole.activity"
 
-	// evictWait is how long an eviction waits for sessions to end.
-	evictWait = 500 * time.Millisecond
+	// evictTimeout bounds the wait for evicted sessions to end.
+	evictTimeout = 500 * time.Millisecond
 )
 
-// evict ends the session of an application with a number, or, for number 0, all
-// of its sessions, and from then on refuses new ones of it. It returns how many
-// remain. The refusal is what lets another instance take over connections of one
-// that may only be paused: whatever it opens when it wakes is turned away.
+// evict terminates the session of an application with a process ID and returns the number of
+// sessions that remain. With 0, it terminates all sessions of the application and revokes it, so
+// that an instance that was only paused can't reconnect after another took over its connections.
 func (m *Member) evict(ctx context.Context, application string, pid uint32) int {
 	match := func(o *session) bool {
 		return o.application == application && (pid == 0 || o.pid == pid)
 	}
-	ctx, cancel := context.WithTimeout(ctx, evictWait)
+	ctx, cancel := context.WithTimeout(ctx, evictTimeout)
 	defer cancel()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -47,36 +45,36 @@
 			_ = o.conn.Close()
 		}
 	}
-	remain := 0
+	remaining := 0
 	m.await(ctx, func() bool {
-		remain = 0
+		remaining = 0
 		for o := range m.sessions {
 			if match(o) {
-				remain++
+				remaining++
 			}
 		}
-		return remain == 0
+		return remaining == 0
 	})
-	return remain
+	return remaining
 }
 
-// answerEviction carries out an eviction that a start-up message asks for.
-func (s *session) answerEviction(ctx context.Context, parameters map[string]string) error {
+// handleEvict handles a start-up message with ParameterEvict.
+func (s *session) handleEvict(ctx context.Context, parameters map[string]string) error {
 	pid, _ := strconv.ParseUint(parameters[ParameterEvictPID], 10, 32)
-	remain := s.member.evict(ctx, parameters[ParameterEvict], uint32(pid))
-	s.backend.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: CodeEvicted, Message: strconv.Itoa(remain)})
+	remaining := s.member.evict(ctx, parameters[ParameterEvict], uint32(pid))
+	s.backend.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: CodeEvicted, Message: strconv.Itoa(remaining)})
 	_ = s.backend.Flush()
 	return errClosed
 }
 
-// answerActivity answers a question about a session that came at start-up.
-func (s *session) answerActivity(pid string) error {
+// handleActivity handles a start-up message with ParameterActivity.
+func (s *session) handleActivity(pid string) error {
 	state := "absent"
 	s.member.mutex.Lock()
 	for o := range s.member.sessions {
 		if strconv.FormatUint(uint64(o.pid), 10) == pid {
 			state = "idle"
-			if o.running.Load() != nil {
+			if o.cancelRunning.Load() != nil {
 				state = "active"
 			}
 		}
@@ -87,15 +85,15 @@
 	return errClosed
 }
 
-// admit counts a session, unless its application has been revoked meanwhile.
-func (m *Member) admit(s *session) bool {
+// addSession registers a session, unless its application has been revoked in the meantime.
+func (m *Member) addSession(s *session) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.revoked[s.application] {
 		return false
 	}
 	m.sessions[s] = struct{}{}
-	m.peak = max(m.peak, len(m.sessions))
+	m.peakSessions = max(m.peakSessions, len(m.sessions))
 	m.Counter.add(1)
 	return true
 }
--- a/internal/standin/replicator/execute.go
+++ b/internal/standin/replicator/execute.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// run executes one statement in a slot and records it.
-func (s *session) run(ctx context.Context, sql string, sh *shape, args, params []string) result {
-	if sh == nil {
-		return result{Err: &refusal{Code: "42601", Message: "statement shape not known to the stand-in: " + sql}}
+// runStatement executes a statement in a slot and records it.
+func (s *session) runStatement(ctx context.Context, sql string, kind *statementKind, args, params []string) result {
+	if kind == nil {
+		return result{Err: &sqlError{Code: "42601", Message: "statement not supported by the stand-in: " + sql}}
 	}
-	if s.failed && sh.Name != "commit" && sh.Name != "rollback" {
-		return result{Err: &refusal{Code: codeAborted, Message: "current transaction is aborted"}}
+	if s.failed && kind.Name != "commit" && kind.Name != "rollback" {
+		return result{Err: &sqlError{Code: codeAborted, Message: "current transaction is aborted"}}
 	}
-	if r := s.refuse(sh); r != nil {
+	if r := s.checkRole(kind); r != nil {
 		s.member.record(Record{Application: s.application, Statement: sql, Code: r.Code})
 		return result{Err: r}
 	}
-	s.worked = !controls[sh.Name]
+	s.ranStatement = !controlStatements[kind.Name]
 	ctx, stop := context.WithCancel(ctx)
-	s.running.Store(&stop)
-	defer func() { s.running.Store(nil); stop() }()
-	if !controls[sh.Name] {
-		s.member.occupy(ctx)
+	s.cancelRunning.Store(&stop)
+	defer func() { s.cancelRunning.Store(nil); stop() }()
+	if !controlStatements[kind.Name] {
+		s.member.holdSlot(ctx)
 	}
-	if err := s.member.Faults.pass(ctx); err != nil {
-		return result{Err: &refusal{Code: "57014", Message: "canceling statement due to user request"}}
+	if err := s.member.Faults.waitWhileFrozen(ctx); err != nil {
+		return result{Err: &sqlError{Code: "57014", Message: "canceling statement due to user request"}}
 	}
-	r := sh.Run(ctx, s, bind(args, params))
-	if !controls[sh.Name] {
+	r := kind.Run(ctx, s, bindArguments(args, params))
+	if !controlStatements[kind.Name] {
 		rec := Record{Application: s.application, Statement: sql}
 		if r.Err != nil {
 			rec.Code = r.Err.Code
@@ -38,8 +38,8 @@
 	return r
 }
 
-// controls are the shapes that need no slot and are not recorded.
-var controls = map[string]bool{
+// controlStatements names the statements that need no slot and are not recorded.
+var controlStatements = map[string]bool{
 	"status": true, "await": true, "replayed": true, "activity": true,
 	"fence": true, "drain": true, "promote": true, "follow": true,
 }
@@ -51,8 +51,8 @@
 	m.journal = append(m.journal, r)
 }
 
-// occupy waits for a slot and holds it for the time that a statement takes.
-func (m *Member) occupy(ctx context.Context) {
+// holdSlot waits for a slot and occupies it for the duration of a statement.
+func (m *Member) holdSlot(ctx context.Context) {
 	if m.slots != nil {
 		select {
 		case m.slots <- struct{}{}:
@@ -61,34 +61,36 @@
 			return
 		}
 	}
-	sleep(ctx, m.Work+m.Faults.read(func() time.Duration { return m.Faults.slow }))
+	sleep(ctx, m.Work+m.Faults.readDuration(func() time.Duration { return m.Faults.statementDelay }))
 }
 
-// refuse decides, before anything runs, whether the member may run a statement.
-func (s *session) refuse(sh *shape) *refusal {
-	if controls[sh.Name] {
+// checkRole returns an error if the term, the role or a drain forbids the statement, and otherwise
+// marks the session as active.
+func (s *session) checkRole(kind *statementKind) *sqlError {
+	if controlStatements[kind.Name] {
 		return nil
 	}
 	m := s.member
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if s.term != 0 && m.draining && !m.active[s] {
-		return &refusal{Code: CodeFenced, Message: "draining: the primary is about to be replaced", Fatal: true}
+	if s.term != 0 && m.draining && !m.activeSessions[s] {
+		return &sqlError{Code: CodeFenced, Message: "draining: the primary is about to be replaced", Fatal: true}
 	}
 	if s.term != 0 && (m.role != RolePrimary || m.term != s.term) {
-		return &refusal{Code: CodeFenced, Message: "fenced: the connection belongs to an older term", Fatal: true}
+		return &sqlError{Code: CodeFenced, Message: "fenced: the connection belongs to an older term", Fatal: true}
 	}
-	if sh.Write && m.role != RolePrimary {
-		return &refusal{Code: CodeReadOnly, Message: "cannot execute a write in a read-only transaction"}
+	if kind.Write && m.role != RolePrimary {
+		return &sqlError{Code: CodeReadOnly, Message: "cannot execute a write in a read-only transaction"}
 	}
-	m.active[s] = true
+	m.activeSessions[s] = true
 	return nil
 }
 
-// idle notes that nothing of a session is under way; the mutex is held.
-func (m *Member) idle(s *session) {
-	if m.active[s] {
-		delete(m.active, s)
+// markIdle marks a session as having no transaction or statement in progress. The caller must hold
+// the mutex.
+func (m *Member) markIdle(s *session) {
+	if m.activeSessions[s] {
+		delete(m.activeSessions, s)
 		if m.draining {
 			m.notify()
 		}
--- a/internal/standin/replicator/faults.go
+++ b/internal/standin/replicator/faults.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Faults are the switches of a member. All can be thrown while it runs.
+// Faults injects faults into a member, also while it runs.
 type Faults struct {
-	mutex     sync.Mutex
-	thawed    chan struct{} // nil while not frozen
-	replayLag time.Duration
-	streamLag time.Duration
-	slow      time.Duration
-	acceptLag time.Duration
-	refuse    bool
-	loseAfter bool
-	stray     time.Duration
-	strayNext bool
-	leaving   bool
-	cutRows   int
+	mutex              sync.Mutex
+	thawed             chan struct{} // nil while not frozen
+	replayLag          time.Duration
+	streamLag          time.Duration
+	statementDelay     time.Duration
+	acceptDelay        time.Duration
+	refuseConnections  bool
+	dropResponse       bool
+	extraResponseDelay time.Duration
+	extraResponse      bool
+	shuttingDown       bool
+	truncateAfterRows  int
 }
 
-// Freeze stops the member: connections stay open and nothing is answered.
+// Freeze suspends the member: connections stay open and get no response.
 func (f *Faults) Freeze() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -31,7 +31,7 @@
 	}
 }
 
-// Thaw lets a frozen member go on where it stopped.
+// Thaw resumes a frozen member.
 func (f *Faults) Thaw() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -41,61 +41,62 @@
 	}
 }
 
-// SetReplayLag delays the visibility of entries on a replica.
+// SetReplayLag delays replay of received entries on a replica.
 func (f *Faults) SetReplayLag(d time.Duration) { f.set(func() { f.replayLag = d }) }
 
-// SetStreamLag delays the receipt of entries on a replica.
+// SetStreamLag delays receipt of entries on a replica.
 func (f *Faults) SetStreamLag(d time.Duration) { f.set(func() { f.streamLag = d }) }
 
-// SetSlow adds to the time of each statement.
-func (f *Faults) SetSlow(d time.Duration) { f.set(func() { f.slow = d }) }
+// SetSlow adds a delay to each statement.
+func (f *Faults) SetSlow(d time.Duration) { f.set(func() { f.statementDelay = d }) }
 
-// SetAcceptLag delays what comes first on each new connection, a cancel too.
-func (f *Faults) SetAcceptLag(d time.Duration) { f.set(func() { f.acceptLag = d }) }
+// SetAcceptLag delays handling of each new connection, including cancel requests.
+func (f *Faults) SetAcceptLag(d time.Duration) { f.set(func() { f.acceptDelay = d }) }
 
-// SetLeaving makes the member say that it is about to be shut down.
-func (f *Faults) SetLeaving(on bool) { f.set(func() { f.leaving = on }) }
+// SetLeaving makes the member report that it is about to shut down.
+func (f *Faults) SetLeaving(on bool) { f.set(func() { f.shuttingDown = on }) }
 
-func (f *Faults) takesLeave() bool {
+func (f *Faults) isShuttingDown() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.leaving
+	return f.shuttingDown
 }
 
-// SetRefuse makes the member close every new connection at once.
-func (f *Faults) SetRefuse(on bool) { f.set(func() { f.refuse = on }) }
+// SetRefuseConnections makes the member close new connections immediately.
+func (f *Faults) SetRefuseConnections(on bool) { f.set(func() { f.refuseConnections = on }) }
 
-// LoseNextAnswer makes the member run the next write and close the connection
-// in place of the answer.
-func (f *Faults) LoseNextAnswer() { f.set(func() { f.loseAfter = true }) }
+// LoseNextAnswer makes the member commit the next write and close the connection without a
+// response.
+func (f *Faults) LoseNextAnswer() { f.set(func() { f.dropResponse = true }) }
 
-// StrayNext makes the member send an answer too many behind that to the next
-// statement, a little later.
-func (f *Faults) StrayNext(later time.Duration) {
-	f.set(func() { f.stray, f.strayNext = later, true })
+// StrayNext makes the member send an unsolicited second response to the next statement, after a
+// delay.
+func (f *Faults) StrayNext(delay time.Duration) {
+	f.set(func() { f.extraResponseDelay, f.extraResponse = delay, true })
 }
 
-// CutNext makes the member close the connection after so many rows of the next
-// answer that has more.
-func (f *Faults) CutNext(rows int) { f.set(func() { f.cutRows = rows }) }
+// CutNext makes the member close the connection after the given number of rows of the next
+// result that has more.
+func (f *Faults) CutNext(rows int) { f.set(func() { f.truncateAfterRows = rows }) }
 
-// takeStray reports, once per StrayNext, that an answer too many is due.
-func (f *Faults) takeStray() (later time.Duration, on bool) {
+// takeExtraResponse returns and resets the fault set by StrayNext.
+func (f *Faults) takeExtraResponse() (delay time.Duration, due bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	on, f.strayNext = f.strayNext, false
-	return f.stray, on
+	due, f.extraResponse = f.extraResponse, false
+	return f.extraResponseDelay, due
 }
 
-// takeCut reports, once per CutNext, after how many of the rows to cut.
-func (f *Faults) takeCut(rows int) int {
+// takeTruncation returns and resets the row limit set by CutNext, or 0 if the result is no longer
+// than the limit.
+func (f *Faults) takeTruncation(rows int) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.cutRows == 0 || f.cutRows >= rows {
+	if f.truncateAfterRows == 0 || f.truncateAfterRows >= rows {
 		return 0
 	}
-	n := f.cutRows
-	f.cutRows = 0
+	n := f.truncateAfterRows
+	f.truncateAfterRows = 0
 	return n
 }
 
@@ -105,23 +106,23 @@
 	change()
 }
 
-func (f *Faults) read(get func() time.Duration) time.Duration {
+func (f *Faults) readDuration(get func() time.Duration) time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return get()
 }
 
-// takeLose reports, once per LoseNextAnswer, that an answer is to be lost.
-func (f *Faults) takeLose() bool {
+// takeDroppedResponse reports and resets the fault set by LoseNextAnswer.
+func (f *Faults) takeDroppedResponse() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	lose := f.loseAfter
-	f.loseAfter = false
-	return lose
+	drop := f.dropResponse
+	f.dropResponse = false
+	return drop
 }
 
-// pass blocks while the member is frozen.
-func (f *Faults) pass(ctx context.Context) error {
+// waitWhileFrozen blocks while the member is frozen.
+func (f *Faults) waitWhileFrozen(ctx context.Context) error {
 	for {
 		f.mutex.Lock()
 		c := f.thawed
--- a/internal/standin/replicator/handler.go
+++ b/internal/standin/replicator/handler.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// wireFaults is the body of a fault switch; an absent field changes nothing.
+// wireFaults is the body of a fault injection request; absent fields change nothing.
 type wireFaults struct {
 	Freeze      *bool `json:"freeze"`
 	Refuse      *bool `json:"refuse"`
@@ -18,7 +18,7 @@
 	Silence     bool  `json:"silence"`
 }
 
-// Handler serves the fault switches, the state and the journal over HTTP.
+// Handler serves fault injection, the status and the journal over HTTP.
 func (m *Member) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /faults", m.handleFaults)
@@ -28,10 +28,10 @@
 }
 
 func (m *Member) handleFaults(w http.ResponseWriter, r *http.Request) {
-	in := json.NewDecoder(r.Body)
-	in.DisallowUnknownFields()
+	decoder := json.NewDecoder(r.Body)
+	decoder.DisallowUnknownFields()
 	var f wireFaults
-	if err := in.Decode(&f); err != nil {
+	if err := decoder.Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -43,7 +43,7 @@
 		}
 	}
 	if f.Refuse != nil {
-		m.Faults.SetRefuse(*f.Refuse)
+		m.Faults.SetRefuseConnections(*f.Refuse)
 	}
 	if f.Leaving != nil {
 		m.Faults.SetLeaving(*f.Leaving)
--- a/internal/standin/replicator/member.go
+++ b/internal/standin/replicator/member.go
@@ -1,9 +1,7 @@
-// Package replicator is the stand-in for a target: one member of a database
-// group that speaks the PostgreSQL protocol, keeps a log in memory, replicates
-// it asynchronously and obeys the control statements of docs/TARGET.md. It
-// understands a fixed table of statement shapes (statements.go), not SQL, and
-// records everything it ran, so that a test can compare what callers were told
-// with what happened.
+// Package replicator is a test stand-in for a target: a member of a database group that speaks the
+// PostgreSQL protocol, replicates an in-memory log asynchronously and implements the control
+// statements of docs/TARGET.md. It supports a fixed set of statements (statements.go), not SQL, and
+// records everything it executed, so that a test can compare responses with effects.
 package replicator
 
 import (
@@ -20,74 +18,72 @@
 
 const defaultGroupSize = 3
 
-// The roles of a member.
+// Roles of a member.
 const (
 	RolePrimary = "primary"
 	RoleReplica = "replica"
-	// RoleFenced is a member that obeys a newer term whose primary it does not
-	// know yet: it neither accepts writes nor receives entries.
+	// RoleFenced is the role in a newer term without a known primary: the member neither accepts
+	// writes nor receives entries.
 	RoleFenced = "fenced"
 )
 
 type (
-	// Member is one target. Set the exported fields, then call Run.
+	// Member is a target. Set the exported fields, then call Run.
 	Member struct {
 		Name  string
 		Group string
-		// GroupSize is how many members the group has; 0 means 3.
+		// GroupSize is the number of members in the group; 0 means 3.
 		GroupSize int
 		Address   string
 		Network   networker.Network
 		Log       log.Logger
-		// ConnectTime is how long a new connection takes to be ready.
+		// ConnectTime is the time to establish a connection.
 		ConnectTime time.Duration
-		// Slots is how many statements run at once; 0 means no limit.
+		// Slots limits concurrent statements; 0 means no limit.
 		Slots int
-		// Work is how long each statement occupies a slot.
+		// Work is the time that each statement occupies a slot.
 		Work time.Duration
 		// Counter, when set, counts the sessions of all members that share it.
 		Counter *Counter
-		// Faults can be thrown at any time.
-		Faults Faults
+		Faults  Faults
 
 		mutex   sync.Mutex
-		changed chan struct{} // closed and replaced at each change of state
+		changed chan struct{} // closed and replaced at each state change
 		term    uint64
 		owner   string
 		role    string
 		primary string // the address that this member follows
-		// streamed is the term whose entries this member sends to its followers. It
-		// outlasts the fence of a primary, so that what it committed still gets to
-		// them, and ends when the member follows another.
-		streamed uint64
-		draining bool
-		heard    time.Time         // replica: the last sign of the primary; zero without a stream
-		active   map[*session]bool // sessions with a transaction or statement under way
-		ledger   ledger
-		arrivals []time.Time                 // when the last entries were received
-		acked    map[string]orderer.Position // primary: what followers hold
-		sessions map[*session]struct{}
-		journal  []Record
-		peak     int
-		revoked  map[string]bool // applications whose connections are refused
-		slots    chan struct{}
-		nextPID  uint32
+		// streamTerm is the term whose entries this member sends to its followers. A fenced primary
+		// keeps it, so that followers still receive its commits, until it follows another.
+		streamTerm     uint64
+		draining       bool
+		lastReceived   time.Time         // replica: last message from the primary; zero without a stream
+		activeSessions map[*session]bool // sessions with a transaction or statement in progress
+		wal            wal
+		receiveTimes   []time.Time                 // of the newest entries, replayed ones removed
+		ackedPositions map[string]orderer.Position // primary: by follower
+		sessions       map[*session]struct{}
+		journal        []Record
+		peakSessions   int
+		revoked        map[string]bool // applications whose connections are refused
+		slots          chan struct{}
+		nextPID        uint32
 	}
 
-	// Record is one statement that a member ran or refused, or one commit.
+	// Record is a journal record of an executed or rejected statement, or of a commit.
 	Record struct {
 		At          time.Time
 		Application string
 		// Statement is empty for a commit.
 		Statement string
-		// Code is the SQLSTATE of a refusal, empty for a statement that ran.
+		// Code is the SQLSTATE of an error, empty for success.
 		Code string
-		// Ops and Position describe a commit.
+		// Ops and Position are set for a commit.
 		Ops      []Op
 		Position orderer.Position
 	}
 
-	// Status is what a member reports of itself.
+	// Status is the reported state of a member.
 	Status struct {
 		Name      string
 		Role      string
@@ -98,32 +94,32 @@
 		Followers map[string]orderer.Position
 		// Following is the address of the primary that a replica follows.
 		Following string
-		// Heard is how long ago a replica last received anything, a heartbeat
-		// included, from its primary; negative without a stream.
+		// Heard is the time since a replica last received an entry or a heartbeat from its primary;
+		// negative without a stream.
 		Heard time.Duration
-		// Leaving says that the member is about to be shut down.
+		// Leaving is set if the member is about to shut down.
 		Leaving  bool
 		Sessions int
 		Peak     int
 	}
 )
 
-// Bootstrap makes the member the primary of term 1, or a replica of it. It is
-// called before Run on the members of a new group.
+// Bootstrap makes the member the primary of term 1, or a replica of it. Call it before Run on the
+// members of a new group.
 func (m *Member) Bootstrap(primary string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.term, m.owner = 1, "bootstrap"
 	if primary == m.Address {
-		m.role, m.streamed = RolePrimary, 1
-		m.ledger.append(1, nil)
-		m.ledger.replay(1)
+		m.role, m.streamTerm = RolePrimary, 1
+		m.wal.append(1, nil)
+		m.wal.replay(1)
 		return
 	}
 	m.role, m.primary = RoleReplica, primary
 }
 
-// Run serves until the context ends.
+// Run serves until the context is cancelled.
 func (m *Member) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -152,8 +148,8 @@
 	if m.changed == nil {
 		m.changed = make(chan struct{})
 	}
-	m.acked = map[string]orderer.Position{}
-	m.sessions, m.active, m.draining = map[*session]struct{}{}, map[*session]bool{}, false
+	m.ackedPositions = map[string]orderer.Position{}
+	m.sessions, m.activeSessions, m.draining = map[*session]struct{}{}, map[*session]bool{}, false
 	if m.Slots > 0 {
 		m.slots = make(chan struct{}, m.Slots)
 	}
@@ -163,7 +159,7 @@
 }
 
 func (m *Member) accept(ctx context.Context, l net.Listener) error {
-	ended := make(chan error)
+	done := make(chan error)
 	running := 0
 	accepted := make(chan net.Conn)
 	failed := make(chan error, 1)
@@ -181,19 +177,19 @@
 		select {
 		case c := <-accepted:
 			running++
-			go func() { ended <- m.serve(ctx, c) }()
-		case <-ended:
+			go func() { done <- m.serve(ctx, c) }()
+		case <-done:
 			running--
 		case err := <-failed:
 			for ; running > 0; running-- {
-				<-ended
+				<-done
 			}
 			return err
 		}
 	}
 }
 
-// notify wakes everything that waits for a change; the mutex is held.
+// notify wakes all callers of await. The caller must hold the mutex.
 func (m *Member) notify() {
 	if m.changed != nil {
 		close(m.changed)
@@ -201,7 +197,8 @@
 	m.changed = make(chan struct{})
 }
 
-// await blocks until ok holds; it is called, and ok runs, with the mutex held.
+// await waits until ok returns true, which it calls with the mutex held. The caller must hold the
+// mutex.
 func (m *Member) await(ctx context.Context, ok func() bool) bool {
 	for !ok() {
 		c := m.changed
@@ -217,7 +214,7 @@
 	return true
 }
 
-// Status returns the member's state.
+// Status returns the state of the member.
 func (m *Member) Status() Status {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -227,63 +224,63 @@
 func (m *Member) status() Status {
 	s := Status{
 		Name: m.Name, Role: m.role, Term: m.term, Owner: m.owner,
-		Received: m.ledger.received(), Replayed: m.ledger.replayedPosition(),
-		Following: m.primary, Heard: -time.Millisecond, Sessions: len(m.sessions), Peak: m.peak, Leaving: m.Faults.takesLeave(),
+		Received: m.wal.received(), Replayed: m.wal.replayedPosition(),
+		Following: m.primary, Heard: -time.Millisecond, Sessions: len(m.sessions), Peak: m.peakSessions, Leaving: m.Faults.isShuttingDown(),
 	}
-	if m.role == RoleReplica && !m.heard.IsZero() {
-		s.Heard = time.Since(m.heard)
+	if m.role == RoleReplica && !m.lastReceived.IsZero() {
+		s.Heard = time.Since(m.lastReceived)
 	}
 	if m.role == RolePrimary {
 		s.Followers = map[string]orderer.Position{}
-		for n, p := range m.acked {
+		for n, p := range m.ackedPositions {
 			s.Followers[n] = p
 		}
 	}
 	return s
 }
 
-// Journal returns a copy of all that the member ran.
+// Journal returns a copy of the records of all statements and commits.
 func (m *Member) Journal() []Record {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return append([]Record(nil), m.journal...)
 }
 
-// Entries returns a copy of the member's log.
+// Entries returns a copy of the log.
 func (m *Member) Entries() []Entry {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return append([]Entry(nil), m.ledger.entries...)
+	return append([]Entry(nil), m.wal.entries...)
 }
 
-// Value returns a visible value; ok is false when there is none.
+// Value returns a replayed value of a table.
 func (m *Member) Value(table, key string) (value string, ok bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	value, ok = m.ledger.visible[table][key]
+	value, ok = m.wal.visible[table][key]
 	return value, ok
 }
 
 func (m *Member) closeSessions(match func(*session) bool) {
 	m.mutex.Lock()
-	var doomed []*session
+	var matching []*session
 	for s := range m.sessions {
 		if match(s) {
-			doomed = append(doomed, s)
+			matching = append(matching, s)
 		}
 	}
 	m.mutex.Unlock()
-	for _, s := range doomed {
+	for _, s := range matching {
 		_ = s.conn.Close()
 	}
 }
 
-// SilenceOpen makes the connections that are open now go silent for good, as if
-// something between the two ends had lost track of them. New ones work.
+// SilenceOpen makes all open connections unresponsive without closing them, as when a firewall drops
+// their state. New connections work.
 func (m *Member) SilenceOpen() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for s := range m.sessions {
-		s.silent.Store(true)
+		s.unresponsive.Store(true)
 	}
 }
--- a/internal/standin/replicator/messages.go
+++ b/internal/standin/replicator/messages.go
@@ -8,17 +8,17 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-func (s *session) simple(ctx context.Context, sql string) {
-	statements := split(sql)
+func (s *session) handleQuery(ctx context.Context, sql string) {
+	statements := splitStatements(sql)
 	if len(statements) == 0 {
 		s.backend.Send(&pgproto3.EmptyQueryResponse{})
 		return
 	}
 	for _, q := range statements {
-		sh, args := match(q)
-		r := s.run(ctx, q, sh, args, nil)
+		kind, args := matchStatement(q)
+		r := s.runStatement(ctx, q, kind, args, nil)
 		if r.Err != nil {
-			s.fail(r.Err)
+			s.sendError(r.Err)
 			return
 		}
 		if r.Copy {
@@ -29,29 +29,29 @@
 		if r.Columns != nil {
 			s.backend.Send(describeRows(r.Columns))
 		}
-		s.rows(r, nil)
+		s.sendRows(r, nil)
 	}
 	s.endImplicit()
 }
 
-func (s *session) rows(r result, formats []int16) {
-	cut := s.member.Faults.takeCut(len(r.Rows))
+func (s *session) sendRows(r result, formats []int16) {
+	limit := s.member.Faults.takeTruncation(len(r.Rows))
 	for i, row := range r.Rows {
-		if cut > 0 && i == cut {
+		if limit > 0 && i == limit {
 			_ = s.backend.Flush()
 			_ = s.conn.Close()
 			return
 		}
 		values := make([][]byte, len(row))
 		for i, v := range row {
-			values[i] = encode(v, r.Columns[i].OID, format(formats, i))
+			values[i] = encodeValue(v, r.Columns[i].OID, formatCode(formats, i))
 		}
 		s.backend.Send(&pgproto3.DataRow{Values: values})
 	}
 	s.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(r.Tag)})
 }
 
-func format(formats []int16, i int) int16 {
+func formatCode(formats []int16, i int) int16 {
 	switch {
 	case len(formats) == 0:
 		return 0
@@ -63,7 +63,7 @@
 	return 0
 }
 
-func encode(v string, oid uint32, format int16) []byte {
+func encodeValue(v string, oid uint32, format int16) []byte {
 	if format == 0 || oid == oidText {
 		return []byte(v)
 	}
@@ -85,20 +85,20 @@
 	return d
 }
 
-func (s *session) parse(msg *pgproto3.Parse) {
-	sh, args := match(msg.Query)
-	if sh == nil && msg.Query != "" {
-		s.fail(&refusal{Code: "42601", Message: "statement shape not known to the stand-in: " + msg.Query})
+func (s *session) handleParse(msg *pgproto3.Parse) {
+	kind, args := matchStatement(msg.Query)
+	if kind == nil && msg.Query != "" {
+		s.sendError(&sqlError{Code: "42601", Message: "statement not supported by the stand-in: " + msg.Query})
 		return
 	}
-	s.statements[msg.Name] = &prepared{sql: msg.Query, shape: sh, args: args, params: countParams(msg.Query)}
+	s.statements[msg.Name] = &prepared{sql: msg.Query, statementKind: kind, args: args, paramCount: maxPlaceholder(msg.Query)}
 	s.backend.Send(&pgproto3.ParseComplete{})
 }
 
-func (s *session) bind(msg *pgproto3.Bind) {
+func (s *session) handleBind(msg *pgproto3.Bind) {
 	st := s.statements[msg.PreparedStatement]
 	if st == nil {
-		s.fail(&refusal{Code: "26000", Message: "prepared statement does not exist: " + msg.PreparedStatement})
+		s.sendError(&sqlError{Code: "26000", Message: "prepared statement does not exist: " + msg.PreparedStatement})
 		return
 	}
 	p := &portal{statement: st, formats: append([]int16(nil), msg.ResultFormatCodes...)}
@@ -109,11 +109,11 @@
 	s.backend.Send(&pgproto3.BindComplete{})
 }
 
-func (s *session) describe(msg *pgproto3.Describe) {
+func (s *session) handleDescribe(msg *pgproto3.Describe) {
 	var st *prepared
 	if msg.ObjectType == 'S' {
 		if st = s.statements[msg.Name]; st != nil {
-			oids := make([]uint32, st.params)
+			oids := make([]uint32, st.paramCount)
 			for i := range oids {
 				oids[i] = oidText
 			}
@@ -124,48 +124,48 @@
 	}
 	switch {
 	case st == nil:
-		s.fail(&refusal{Code: "26000", Message: "nothing to describe: " + msg.Name})
-	case st.shape == nil || st.shape.Columns == nil:
+		s.sendError(&sqlError{Code: "26000", Message: "prepared statement or portal does not exist: " + msg.Name})
+	case st.statementKind == nil || st.statementKind.Columns == nil:
 		s.backend.Send(&pgproto3.NoData{})
 	default:
-		s.backend.Send(describeRows(st.shape.Columns))
+		s.backend.Send(describeRows(st.statementKind.Columns))
 	}
 }
 
-func (s *session) execute(ctx context.Context, msg *pgproto3.Execute) {
+func (s *session) handleExecute(ctx context.Context, msg *pgproto3.Execute) {
 	p := s.portals[msg.Portal]
 	if p == nil {
-		s.fail(&refusal{Code: "34000", Message: "portal does not exist: " + msg.Portal})
+		s.sendError(&sqlError{Code: "34000", Message: "portal does not exist: " + msg.Portal})
 		return
 	}
-	if p.statement.shape == nil {
+	if p.statement.statementKind == nil {
 		s.backend.Send(&pgproto3.EmptyQueryResponse{})
 		return
 	}
-	r := s.run(ctx, p.statement.sql, p.statement.shape, p.statement.args, p.params)
+	r := s.runStatement(ctx, p.statement.sql, p.statement.statementKind, p.statement.args, p.params)
 	if r.Err != nil {
-		s.fail(r.Err)
+		s.sendError(r.Err)
 		return
 	}
-	s.rows(r, p.formats)
+	s.sendRows(r, p.formats)
 }
 
-func (s *session) fail(r *refusal) {
+func (s *session) sendError(r *sqlError) {
 	severity := "ERROR"
 	if r.Fatal {
 		severity = "FATAL"
 	}
 	s.backend.Send(&pgproto3.ErrorResponse{Severity: severity, Code: r.Code, Message: r.Message})
-	s.skip = true
-	if s.open {
+	s.skipUntilSync = true
+	if s.inTransaction {
 		s.failed = true
 	} else {
-		s.ops = nil
+		s.stagedOps = nil
 	}
 }
 
-// split cuts a simple query at semicolons outside quotes.
-func split(sql string) []string {
+// splitStatements splits a simple query at semicolons outside quotes.
+func splitStatements(sql string) []string {
 	var out []string
 	quoted, start := false, 0
 	flush := func(end int) {
--- a/internal/standin/replicator/replication.go
+++ b/internal/standin/replicator/replication.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	retryFollow   = 50 * time.Millisecond
-	followTimeout = 2 * time.Second
-	replayPoll    = time.Millisecond
-	// heartbeat is how often a primary with nothing to send shows that it lives.
-	heartbeat       = 200 * time.Millisecond
-	replicationMode = "oriole"
+	followRetryDelay   = 50 * time.Millisecond
+	followDialTimeout  = 2 * time.Second
+	replayPollInterval = time.Millisecond
+	// heartbeatInterval is the interval of heartbeats on an idle stream.
+	heartbeatInterval = 200 * time.Millisecond
+	replicationMode   = "oriole"
 )
 
 type (
-	// hello opens a replication stream.
-	hello struct {
+	// streamRequest opens a replication stream. Ends holds the last position of each term in the
+	// log of the follower.
+	streamRequest struct {
 		Name string
 		Term uint64
 		Ends []orderer.Position
 	}
 
-	// welcome answers it: the follower keeps the first Keep entries.
-	welcome struct {
+	// streamResponse answers a streamRequest. The follower keeps the first Keep entries of its log.
+	streamResponse struct {
 		Term  uint64
 		Keep  int
 		Error string
@@ -38,7 +39,7 @@
 	ack struct{ Position orderer.Position }
 )
 
-// follow keeps a stream from the primary open while the member is a replica.
+// follow keeps a stream from the primary open while the member is a replica, and reconnects.
 func (m *Member) follow(ctx context.Context) error {
 	for ctx.Err() == nil {
 		m.mutex.Lock()
@@ -54,33 +55,33 @@
 			continue
 		}
 		if err := m.stream(ctx, term, primary); err != nil && ctx.Err() == nil {
-			sleep(ctx, retryFollow)
+			sleep(ctx, followRetryDelay)
 		}
 	}
 	return ctx.Err()
 }
 
-// stream receives entries of one term from one primary until either changes.
+// stream receives entries from a primary until the term, the role or the primary changes.
 func (m *Member) stream(ctx context.Context, term uint64, primary string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	dial, stop := context.WithTimeout(ctx, followTimeout)
-	conn, err := m.Network.Dial(dial, primary)
+	dialCtx, stop := context.WithTimeout(ctx, followDialTimeout)
+	conn, err := m.Network.Dial(dialCtx, primary)
 	stop()
 	if err != nil {
 		return errors.Wrap(err, "dial primary")
 	}
 	defer conn.Close()
-	defer m.hear(false)
-	watched := make(chan struct{})
+	defer m.setLastReceived(false)
+	watcherDone := make(chan struct{})
 	go func() {
-		defer close(watched)
+		defer close(watcherDone)
 		m.mutex.Lock()
 		m.await(ctx, func() bool { return m.term != term || m.role != RoleReplica || m.primary != primary })
 		m.mutex.Unlock()
 		_ = conn.Close()
 	}()
-	defer func() { cancel(); <-watched }()
+	defer func() { cancel(); <-watcherDone }()
 	return m.receive(ctx, conn, term)
 }
 
@@ -95,69 +96,69 @@
 	if m, err := f.Receive(); err != nil {
 		return errors.Wrap(err, "open stream")
 	} else if _, ok := m.(*pgproto3.AuthenticationOk); !ok {
-		return errors.Errorf("open stream: answered by %T", m)
+		return errors.Errorf("open stream: unexpected message %T", m)
 	}
 	m.mutex.Lock()
-	h := hello{Name: m.Name, Term: term, Ends: m.ledger.ends()}
+	request := streamRequest{Name: m.Name, Term: term, Ends: m.wal.lastPositions()}
 	m.mutex.Unlock()
-	out, in := json.NewEncoder(conn), json.NewDecoder(conn)
-	if err := out.Encode(h); err != nil {
-		return errors.Wrap(err, "send hello")
+	encoder, decoder := json.NewEncoder(conn), json.NewDecoder(conn)
+	if err := encoder.Encode(request); err != nil {
+		return errors.Wrap(err, "send stream request")
 	}
-	var w welcome
-	if err := in.Decode(&w); err != nil {
-		return errors.Wrap(err, "receive welcome")
+	var response streamResponse
+	if err := decoder.Decode(&response); err != nil {
+		return errors.Wrap(err, "receive stream response")
 	}
-	if w.Error != "" || w.Term != term {
-		return errors.Errorf("primary refused the stream: %s", w.Error)
+	if response.Error != "" || response.Term != term {
+		return errors.Errorf("primary refused the stream: %s", response.Error)
 	}
-	if !m.update(term, func() { m.ledger.truncate(w.Keep) }) {
+	if !m.updateReplica(term, func() { m.wal.truncate(response.Keep) }) {
 		return errors.New("term changed")
 	}
 	for {
 		var e Entry
-		if err := in.Decode(&e); err != nil {
+		if err := decoder.Decode(&e); err != nil {
 			return errors.Wrap(err, "receive entry")
 		}
-		if err := m.Faults.pass(ctx); err != nil {
+		if err := m.Faults.waitWhileFrozen(ctx); err != nil {
 			return err
 		}
-		m.hear(true)
+		m.setLastReceived(true)
 		if e.Position.IsZero() {
 			continue
 		}
-		sleep(ctx, m.Faults.read(func() time.Duration { return m.Faults.streamLag }))
-		// An entry counts as held only while the term that sent it is still the
-		// newest this member obeys: after a fence it must not move its position.
-		if !m.update(term, func() { m.store(e) }) {
+		sleep(ctx, m.Faults.readDuration(func() time.Duration { return m.Faults.streamLag }))
+		// After a fence, the member must not append entries of the old term.
+		if !m.updateReplica(term, func() { m.appendEntry(e) }) {
 			return errors.New("term changed")
 		}
-		if err := out.Encode(ack{Position: e.Position}); err != nil {
+		if err := encoder.Encode(ack{Position: e.Position}); err != nil {
 			return errors.Wrap(err, "acknowledge")
 		}
 	}
 }
 
-// hear notes that the primary has been heard, or that the stream has ended.
-func (m *Member) hear(streaming bool) {
+// setLastReceived records the time of a message from the primary, or clears it at the end of a
+// stream.
+func (m *Member) setLastReceived(streaming bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.heard = time.Time{}
+	m.lastReceived = time.Time{}
 	if streaming {
-		m.heard = time.Now()
+		m.lastReceived = time.Now()
 	}
 }
 
-func (m *Member) store(e Entry) {
-	if e.Position.Offset != uint64(len(m.ledger.entries))+1 {
+func (m *Member) appendEntry(e Entry) {
+	if e.Position.Offset != uint64(len(m.wal.entries))+1 {
 		return
 	}
-	m.ledger.entries = append(m.ledger.entries, e)
-	m.arrivals = append(m.arrivals, time.Now())
+	m.wal.entries = append(m.wal.entries, e)
+	m.receiveTimes = append(m.receiveTimes, time.Now())
 }
 
-// update changes the state of a replica of the given term.
-func (m *Member) update(term uint64, change func()) bool {
+// updateReplica calls change if the member is a replica in the given term, and reports whether it is.
+func (m *Member) updateReplica(term uint64, change func()) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.term != term || m.role != RoleReplica {
@@ -168,16 +169,16 @@
 	return true
 }
 
-// replayLoop makes received entries visible, after the replay lag.
+// replayLoop replays received entries after the replay lag.
 func (m *Member) replayLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		m.mutex.Lock()
-		m.await(ctx, func() bool { return m.role == RoleReplica && m.ledger.replayed < len(m.ledger.entries) })
+		m.await(ctx, func() bool { return m.role == RoleReplica && m.wal.replayed < len(m.wal.entries) })
 		m.mutex.Unlock()
-		if m.Faults.pass(ctx) != nil {
+		if m.Faults.waitWhileFrozen(ctx) != nil {
 			break
 		}
-		lag := m.Faults.read(func() time.Duration { return m.Faults.replayLag })
+		lag := m.Faults.readDuration(func() time.Duration { return m.Faults.replayLag })
 		m.mutex.Lock()
 		wait := m.replayDue(lag)
 		m.mutex.Unlock()
@@ -186,112 +187,113 @@
 	return ctx.Err()
 }
 
-// replayDue replays what is due and returns how long to wait for more.
+// replayDue replays the due entries and returns the delay until the next check.
 func (m *Member) replayDue(lag time.Duration) time.Duration {
 	now := time.Now()
-	n := m.ledger.replayed
-	for n < len(m.ledger.entries) {
-		// Entries that were in the log before the stream began are due at once.
-		i := n - (len(m.ledger.entries) - len(m.arrivals))
-		if i >= 0 && now.Sub(m.arrivals[i]) < lag {
+	n := m.wal.replayed
+	for n < len(m.wal.entries) {
+		// Entries without a receive time are due immediately.
+		i := n - (len(m.wal.entries) - len(m.receiveTimes))
+		if i >= 0 && now.Sub(m.receiveTimes[i]) < lag {
 			break
 		}
 		n++
 	}
-	if n > m.ledger.replayed {
-		m.ledger.replay(n)
+	if n > m.wal.replayed {
+		m.wal.replay(n)
 		m.notify()
 	}
-	if keep := len(m.ledger.entries) - n; keep < len(m.arrivals) {
-		m.arrivals = append([]time.Time(nil), m.arrivals[len(m.arrivals)-keep:]...)
+	if unreplayed := len(m.wal.entries) - n; unreplayed < len(m.receiveTimes) {
+		m.receiveTimes = append([]time.Time(nil), m.receiveTimes[len(m.receiveTimes)-unreplayed:]...)
 	}
-	if n < len(m.ledger.entries) {
-		return replayPoll
+	if n < len(m.wal.entries) {
+		return replayPollInterval
 	}
 	return 0
 }
 
-// backlog is how long replaying what was received takes; the mutex is held.
-func (m *Member) backlog() time.Duration {
-	if m.role != RoleFenced || len(m.arrivals) == 0 || m.ledger.replayed == len(m.ledger.entries) {
+// remainingReplayTime returns the time until all received entries can be replayed on a fenced
+// member. The caller must hold the mutex.
+func (m *Member) remainingReplayTime() time.Duration {
+	if m.role != RoleFenced || len(m.receiveTimes) == 0 || m.wal.replayed == len(m.wal.entries) {
 		return 0
 	}
-	lag := m.Faults.read(func() time.Duration { return m.Faults.replayLag })
-	return max(0, time.Until(m.arrivals[len(m.arrivals)-1].Add(lag)))
+	lag := m.Faults.readDuration(func() time.Duration { return m.Faults.replayLag })
+	return max(0, time.Until(m.receiveTimes[len(m.receiveTimes)-1].Add(lag)))
 }
 
-// feed serves a follower's stream on a primary.
-func (m *Member) feed(ctx context.Context, conn net.Conn) error {
-	out, in := json.NewEncoder(conn), json.NewDecoder(conn)
-	var h hello
-	if err := in.Decode(&h); err != nil {
-		return errors.Wrap(err, "receive hello")
+// serveStream serves the replication stream of a follower.
+func (m *Member) serveStream(ctx context.Context, conn net.Conn) error {
+	encoder, decoder := json.NewEncoder(conn), json.NewDecoder(conn)
+	var request streamRequest
+	if err := decoder.Decode(&request); err != nil {
+		return errors.Wrap(err, "receive stream request")
 	}
 	m.mutex.Lock()
-	w := welcome{Term: m.term}
-	if m.streamed == 0 || m.streamed != h.Term {
-		w.Error = "not the primary of term"
+	response := streamResponse{Term: m.term}
+	if m.streamTerm == 0 || m.streamTerm != request.Term {
+		response.Error = "not the primary of term"
 	}
-	w.Keep = m.ledger.common(h.Ends)
+	response.Keep = m.wal.commonPrefix(request.Ends)
 	m.mutex.Unlock()
-	if err := out.Encode(w); err != nil || w.Error != "" {
+	if err := encoder.Encode(response); err != nil || response.Error != "" {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	ended := make(chan error, 1)
+	done := make(chan error, 1)
 	go func() {
 		defer cancel()
-		ended <- m.readAcks(ctx, in, h)
+		done <- m.readAcks(ctx, decoder, request)
 	}()
-	err := m.sendEntries(ctx, out, h.Term, w.Keep)
+	err := m.sendEntries(ctx, encoder, request.Term, response.Keep)
 	cancel()
 	_ = conn.Close()
-	<-ended
+	<-done
 	return err
 }
 
-func (m *Member) readAcks(ctx context.Context, in *json.Decoder, h hello) error {
+func (m *Member) readAcks(ctx context.Context, decoder *json.Decoder, request streamRequest) error {
 	for {
 		var a ack
-		if err := in.Decode(&a); err != nil {
+		if err := decoder.Decode(&a); err != nil {
 			return err
 		}
-		if err := m.Faults.pass(ctx); err != nil {
+		if err := m.Faults.waitWhileFrozen(ctx); err != nil {
 			return err
 		}
 		m.mutex.Lock()
-		if m.streamed == h.Term {
-			m.acked[h.Name] = a.Position
+		if m.streamTerm == request.Term {
+			m.ackedPositions[request.Name] = a.Position
 			m.notify()
 		}
 		m.mutex.Unlock()
 	}
 }
 
-func (m *Member) sendEntries(ctx context.Context, out *json.Encoder, term uint64, next int) error {
+func (m *Member) sendEntries(ctx context.Context, encoder *json.Encoder, term uint64, next int) error {
 	for {
-		beat, stop := context.WithTimeout(ctx, heartbeat)
+		heartbeatCtx, stop := context.WithTimeout(ctx, heartbeatInterval)
 		m.mutex.Lock()
-		m.await(beat, func() bool { return m.streamed != term || next < len(m.ledger.entries) })
-		if ctx.Err() != nil || m.streamed != term {
+		m.await(heartbeatCtx, func() bool { return m.streamTerm != term || next < len(m.wal.entries) })
+		if ctx.Err() != nil || m.streamTerm != term {
 			m.mutex.Unlock()
 			stop()
 			return errors.New("stream ended")
 		}
-		batch := append([]Entry(nil), m.ledger.entries[next:]...)
+		batch := append([]Entry(nil), m.wal.entries[next:]...)
 		m.mutex.Unlock()
 		stop()
-		if err := m.Faults.pass(ctx); err != nil {
+		if err := m.Faults.waitWhileFrozen(ctx); err != nil {
 			return err
 		}
 		for _, e := range batch {
-			if err := out.Encode(e); err != nil {
+			if err := encoder.Encode(e); err != nil {
 				return errors.Wrap(err, "send entry")
 			}
 		}
 		next += len(batch)
 		if len(batch) == 0 {
-			if err := out.Encode(Entry{}); err != nil {
+			if err := encoder.Encode(Entry{}); err != nil {
 				return errors.Wrap(err, "send heartbeat")
 			}
 		}
--- a/internal/standin/replicator/session.go
+++ b/internal/standin/replicator/session.go
@@ -14,47 +14,48 @@
 	"github.com/oriolegw/oriolegw/pkg/orderer"
 )
 
-// Parameters that a member reports before ReadyForQuery, when they changed.
+// Protocol parameters of a member. Position and commit are reported before ReadyForQuery when
+// they change.
 const (
-	// ParameterPosition is the newest position whose rows the session can see.
+	// ParameterPosition is the newest position visible to the session.
 	ParameterPosition = "oriole.position"
-	// ParameterCommit is the position of the transaction that just committed.
+	// ParameterCommit is the position of the last committed transaction.
 	ParameterCommit = "oriole.commit"
-	// ParameterTerm, sent at start-up, binds a connection to a primary's term.
+	// ParameterTerm, sent at start-up, binds the connection to the term of a primary.
 	ParameterTerm = "oriole.term"
 )
 
 type (
-	// session is one connection to the member.
+	// session is a client connection to the member.
 	session struct {
-		member      *Member
-		conn        net.Conn
-		backend     *pgproto3.Backend
-		application string
-		term        uint64 // 0 when not bound to a term
-		pid         uint32
-		secret      uint32
-		silent      atomic.Bool
-		running     atomic.Pointer[context.CancelFunc]
-		stop        context.CancelFunc
+		member        *Member
+		conn          net.Conn
+		backend       *pgproto3.Backend
+		application   string
+		term          uint64 // 0 when not bound to a term
+		pid           uint32
+		secret        uint32
+		unresponsive  atomic.Bool
+		cancelRunning atomic.Pointer[context.CancelFunc]
+		stop          context.CancelFunc // ends the session
 
-		open       bool // inside a transaction block
-		failed     bool
-		skip       bool // after an error, until Sync
-		worked     bool // a statement has run since the last ReadyForQuery
-		ops        []Op
-		committed  orderer.Position // what the current exchange committed
-		reported   string
-		settings   map[string]string
-		statements map[string]*prepared
-		portals    map[string]*portal
+		inTransaction    bool // inside a transaction block
+		failed           bool
+		skipUntilSync    bool // after an error, until Sync
+		ranStatement     bool // a statement has run since the last ReadyForQuery
+		stagedOps        []Op
+		commitPosition   orderer.Position // of the current exchange; zero without a commit
+		reportedPosition string
+		settings         map[string]string
+		statements       map[string]*prepared
+		portals          map[string]*portal
 	}
 
 	prepared struct {
-		sql    string
-		shape  *shape
-		args   []string
-		params int
+		sql           string
+		statementKind *statementKind
+		args          []string
+		paramCount    int
 	}
 
 	portal struct {
@@ -66,52 +67,52 @@
 
 var errClosed = errors.New("session closed")
 
-// serve runs one connection from start-up to its end.
+// serve handles a connection from start-up to its end.
 func (m *Member) serve(ctx context.Context, conn net.Conn) error {
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	if m.refuses() {
+	if m.refusesConnections() {
 		return errClosed
 	}
-	if err := m.Faults.pass(ctx); err != nil {
+	if err := m.Faults.waitWhileFrozen(ctx); err != nil {
 		return err
 	}
-	sleep(ctx, m.Faults.read(func() time.Duration { return m.Faults.acceptLag }))
+	sleep(ctx, m.Faults.readDuration(func() time.Duration { return m.Faults.acceptDelay }))
 	s := &session{
 		member: m, conn: conn, backend: pgproto3.NewBackend(conn, conn),
 		settings: map[string]string{}, statements: map[string]*prepared{}, portals: map[string]*portal{},
 	}
-	replicate, err := s.start(ctx)
+	replicate, err := s.receiveStartup(ctx)
 	if err != nil {
 		return err
 	}
 	if replicate {
-		return m.feed(ctx, conn)
+		return m.serveStream(ctx, conn)
 	}
 	ctx, s.stop = context.WithCancel(ctx)
 	defer s.stop()
-	if !m.admit(s) {
+	if !m.addSession(s) {
 		return errClosed
 	}
 	defer func() {
 		m.mutex.Lock()
 		delete(m.sessions, s)
 		m.Counter.add(-1)
-		m.idle(s)
+		m.markIdle(s)
 		m.notify()
 		m.mutex.Unlock()
 	}()
-	return s.loop(ctx)
+	return s.receiveMessages(ctx)
 }
 
-func (m *Member) refuses() bool {
+func (m *Member) refusesConnections() bool {
 	m.Faults.mutex.Lock()
 	defer m.Faults.mutex.Unlock()
-	return m.Faults.refuse
+	return m.Faults.refuseConnections
 }
 
-func (s *session) start(ctx context.Context) (replicate bool, err error) {
+func (s *session) receiveStartup(ctx context.Context) (replicate bool, err error) {
 	for {
 		msg, err := s.backend.ReceiveStartupMessage()
 		if err != nil {
@@ -126,25 +127,24 @@
 			s.member.cancel(msg.ProcessID, binary.BigEndian.Uint32(msg.SecretKey))
 			return false, errClosed
 		case *pgproto3.StartupMessage:
-			return s.welcome(ctx, msg.Parameters)
+			return s.handleStartup(ctx, msg.Parameters)
 		}
 	}
 }
 
-func (s *session) welcome(ctx context.Context, parameters map[string]string) (replicate bool, err error) {
+func (s *session) handleStartup(ctx context.Context, parameters map[string]string) (replicate bool, err error) {
 	m := s.member
 	if parameters["replication"] == replicationMode {
-		// The follower waits for this before its hello. Sent at once, the hello
-		// could arrive together with the start-up message, be read ahead by the
-		// backend and lost: both ends would then wait for good.
+		// The follower waits for this message before its stream request, which the backend could
+		// otherwise read ahead together with the start-up message and lose.
 		s.backend.Send(&pgproto3.AuthenticationOk{})
 		return true, s.backend.Flush()
 	}
 	if parameters[ParameterEvict] != "" {
-		return false, s.answerEviction(ctx, parameters)
+		return false, s.handleEvict(ctx, parameters)
 	}
 	if pid := parameters[ParameterActivity]; pid != "" {
-		return false, s.answerActivity(pid)
+		return false, s.handleActivity(pid)
 	}
 	sleep(ctx, m.ConnectTime)
 	s.application = parameters["application_name"]
@@ -180,26 +180,26 @@
 		s.backend.Send(&pgproto3.ParameterStatus{Name: p[0], Value: p[1]})
 	}
 	s.backend.Send(&pgproto3.BackendKeyData{ProcessID: s.pid, SecretKey: secret})
-	return false, s.ready()
+	return false, s.sendReady()
 }
 
-// cancel ends the running statement of the session with this key.
+// cancel cancels the running statement of the session with the given key.
 func (m *Member) cancel(pid, secret uint32) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for s := range m.sessions {
 		if s.pid == pid && s.secret == secret {
-			if stop := s.running.Load(); stop != nil {
+			if stop := s.cancelRunning.Load(); stop != nil {
 				(*stop)()
 			}
 		}
 	}
 }
 
-func (s *session) loop(ctx context.Context) error {
+func (s *session) receiveMessages(ctx context.Context) error {
 	for {
 		msg, err := s.backend.Receive()
-		if s.silent.Load() { // not even the caller's end gets through
+		if s.unresponsive.Load() { // ignore the end of the connection, too
 			<-ctx.Done()
 			return ctx.Err()
 		}
@@ -210,43 +210,43 @@
 			}
 			return errors.Wrap(err, "receive")
 		}
-		if err := s.member.Faults.pass(ctx); err != nil {
+		if err := s.member.Faults.waitWhileFrozen(ctx); err != nil {
 			return err
 		}
-		if err := s.handle(ctx, msg); err != nil {
+		if err := s.handleMessage(ctx, msg); err != nil {
 			s.rollback()
 			return err
 		}
 	}
 }
 
-func (s *session) handle(ctx context.Context, msg pgproto3.FrontendMessage) error {
+func (s *session) handleMessage(ctx context.Context, msg pgproto3.FrontendMessage) error {
 	switch msg := msg.(type) {
 	case *pgproto3.Query:
-		s.skip = false
-		s.simple(ctx, msg.String)
-		return s.ready()
+		s.skipUntilSync = false
+		s.handleQuery(ctx, msg.String)
+		return s.sendReady()
 	case *pgproto3.Sync:
-		s.skip = false
+		s.skipUntilSync = false
 		s.endImplicit()
-		return s.ready()
+		return s.sendReady()
 	case *pgproto3.Flush:
 		return s.backend.Flush()
 	case *pgproto3.Terminate:
 		return errClosed
 	}
-	if s.skip {
+	if s.skipUntilSync {
 		return nil
 	}
 	switch msg := msg.(type) {
 	case *pgproto3.Parse:
-		s.parse(msg)
+		s.handleParse(msg)
 	case *pgproto3.Bind:
-		s.bind(msg)
+		s.handleBind(msg)
 	case *pgproto3.Describe:
-		s.describe(msg)
+		s.handleDescribe(msg)
 	case *pgproto3.Execute:
-		s.execute(ctx, msg)
+		s.handleExecute(ctx, msg)
 	case *pgproto3.Close:
 		if msg.ObjectType == 'S' {
 			delete(s.statements, msg.Name)
@@ -255,56 +255,56 @@
 		}
 		s.backend.Send(&pgproto3.CloseComplete{})
 	default:
-		s.fail(&refusal{Code: codeUnsupported, Message: "message not supported"})
+		s.sendError(&sqlError{Code: codeUnsupported, Message: "message not supported"})
 	}
 	return nil
 }
 
-// ready ends an exchange: what changed is reported, then ReadyForQuery. A lost
-// answer closes the connection here, after the effect.
-func (s *session) ready() error {
+// sendReady reports changed parameters and sends ReadyForQuery. With LoseNextAnswer, it closes the
+// connection instead, after the commit.
+func (s *session) sendReady() error {
 	m := s.member
-	if !s.committed.IsZero() {
-		if m.Faults.takeLose() {
+	if !s.commitPosition.IsZero() {
+		if m.Faults.takeDroppedResponse() {
 			return errClosed
 		}
-		s.backend.Send(&pgproto3.ParameterStatus{Name: ParameterCommit, Value: s.committed.String()})
-		s.committed = orderer.Position{}
+		s.backend.Send(&pgproto3.ParameterStatus{Name: ParameterCommit, Value: s.commitPosition.String()})
+		s.commitPosition = orderer.Position{}
 	}
 	m.mutex.Lock()
-	p := m.ledger.replayedPosition().String()
-	if !s.open {
-		m.idle(s)
+	p := m.wal.replayedPosition().String()
+	if !s.inTransaction {
+		m.markIdle(s)
 	}
 	m.mutex.Unlock()
-	if p != s.reported {
-		s.reported = p
+	if p != s.reportedPosition {
+		s.reportedPosition = p
 		s.backend.Send(&pgproto3.ParameterStatus{Name: ParameterPosition, Value: p})
 	}
 	status := byte('I')
 	if s.failed {
 		status = 'E'
-	} else if s.open {
+	} else if s.inTransaction {
 		status = 'T'
 	}
 	s.backend.Send(&pgproto3.ReadyForQuery{TxStatus: status})
 	if err := s.backend.Flush(); err != nil {
 		return err
 	}
-	worked := s.worked
-	s.worked = false
-	if !worked {
+	ranStatement := s.ranStatement
+	s.ranStatement = false
+	if !ranStatement {
 		return nil
 	}
-	if later, on := m.Faults.takeStray(); on {
-		return s.stray(later, status)
+	if delay, due := m.Faults.takeExtraResponse(); due {
+		return s.sendExtraResponse(delay, status)
 	}
 	return nil
 }
 
-// stray sends an answer that nobody asked for.
-func (s *session) stray(later time.Duration, status byte) error {
-	time.Sleep(later)
+// sendExtraResponse sends an unsolicited response after a delay.
+func (s *session) sendExtraResponse(delay time.Duration, status byte) error {
+	time.Sleep(delay)
 	s.backend.Send(describeRows(valueColumn))
 	s.backend.Send(&pgproto3.DataRow{Values: [][]byte{[]byte("stray")}})
 	s.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte("SELECT 1")})
--- a/internal/standin/replicator/statements.go
+++ b/internal/standin/replicator/statements.go
@@ -24,93 +24,94 @@
 		OID  uint32
 	}
 
-	// result is the outcome of one statement.
+	// result is the result of a statement, or an error.
 	result struct {
 		Columns []column
 		Rows    [][]string
 		Tag     string
-		Err     *refusal
-		// Copy is set when the statement goes on to take rows from the caller.
+		Err     *sqlError
+		// Copy is set if the statement continues in copy-in mode.
 		Copy bool
 	}
 
-	// refusal is an error that the member reports.
-	refusal struct {
+	// sqlError is an error response, of severity FATAL or ERROR.
+	sqlError struct {
 		Code    string
 		Message string
 		Fatal   bool
 	}
 
-	// shape is one form of statement that the member understands. Placeholders
-	// ($1) and literals ('x' or 12) both match (value).
-	shape struct {
+	// statementKind is a supported form of statement.
+	statementKind struct {
 		Name    string
 		Pattern *regexp.Regexp
-		// Write marks shapes that only a primary runs.
+		// Write marks statements that only a primary executes.
 		Write   bool
 		Columns []column
 		Run     func(ctx context.Context, s *session, a []string) result
 	}
 )
 
-const value = `(\$\d+(?:::\w+)?|'(?:[^']|'')*'|-?\d+(?:\.\d+)?)`
+// valuePattern matches a placeholder such as $1, or a string or number literal.
+const valuePattern = `(\$\d+(?:::\w+)?|'(?:[^']|'')*'|-?\d+(?:\.\d+)?)`
 
-func pattern(s string) *regexp.Regexp {
-	s = strings.ReplaceAll(s, "{v}", value)
+func compilePattern(s string) *regexp.Regexp {
+	s = strings.ReplaceAll(s, "{v}", valuePattern)
 	s = strings.ReplaceAll(s, " ", `\s+`)
 	return regexp.MustCompile(`(?is)^\s*` + s + `\s*;?\s*$`)
 }
 
 var (
-	valueColumn = []column{{"value", oidText}}
-	pairColumns = []column{{"key", oidText}, {"value", oidText}}
-	countColumn = []column{{"count", oidInt8}}
-
-	// shapes is the table of statements; the first match wins.
-	shapes = []shape{
-		{Name: "insert", Write: true, Pattern: pattern(`INSERT INTO (\w+)(?: \(\w+,\s*\w+\))? VALUES\s*\(\s*{v}\s*,\s*{v}\s*\)`), Run: runInsert},
-		{Name: "add", Write: true, Pattern: pattern(`UPDATE (\w+) SET \w+\s*=\s*\w+\s*\+\s*{v} WHERE \w+\s*=\s*{v}`), Run: runAdd},
-		{Name: "update", Write: true, Pattern: pattern(`UPDATE (\w+) SET \w+\s*=\s*{v} WHERE \w+\s*=\s*{v}`), Run: runUpdate},
-		{Name: "delete", Write: true, Pattern: pattern(`DELETE FROM (\w+) WHERE \w+\s*=\s*{v}`), Run: runDelete},
-		{Name: "get", Columns: valueColumn, Pattern: pattern(`SELECT value FROM (\w+) WHERE key\s*=\s*{v}(?: FOR UPDATE)?`), Run: runGet},
-		{Name: "count", Columns: countColumn, Pattern: pattern(`SELECT count\(\*\) FROM (\w+)`), Run: runCount},
-		{Name: "scan", Columns: pairColumns, Pattern: pattern(`SELECT (?:\*|key,\s*value) FROM (\w+)(?: ORDER BY key)?(?: LIMIT (\d+))?`), Run: runScan},
-		{Name: "series", Columns: []column{{"generate_series", oidInt8}}, Pattern: pattern(`SELECT (?:\* FROM )?generate_series\(\s*{v}\s*,\s*{v}\s*\)`), Run: runSeries},
-		{Name: "sleep", Columns: []column{{"pg_sleep", oidText}}, Pattern: pattern(`SELECT pg_sleep\(\s*{v}\s*\)`), Run: runSleep},
-		{Name: "constant", Columns: []column{{"?column?", oidText}}, Pattern: pattern(`SELECT {v}`), Run: runConstant},
-		{Name: "begin", Pattern: pattern(`(?:BEGIN|START TRANSACTION)(?: [\w\s,]+)?`), Run: runBegin},
-		{Name: "commit", Pattern: pattern(`(?:COMMIT|END)(?: TRANSACTION| WORK)?`), Run: runCommit},
-		{Name: "rollback", Pattern: pattern(`(?:ROLLBACK|ABORT)(?: TRANSACTION| WORK)?`), Run: runRollback},
-		{Name: "set", Pattern: pattern(`SET(?: SESSION)? ([\w.]+)(?:\s*=\s*| TO )(.+?)`), Run: runSet},
-		{Name: "set_config", Columns: []column{{"set_config", oidText}}, Pattern: pattern(`SELECT set_config\(\s*{v}\s*,\s*{v}\s*,\s*false\s*\)`), Run: runSetConfig},
-		{Name: "show", Columns: []column{{"setting", oidText}}, Pattern: pattern(`SHOW ([\w.]+)`), Run: runShow},
-		{Name: "discard", Pattern: pattern(`(?:DISCARD ALL|DEALLOCATE ALL|UNLISTEN \*|CLOSE ALL)`), Run: runDiscard},
-		{Name: "reset", Pattern: pattern(`RESET (?:ALL|\w+)`), Run: runReset},
-		{Name: "deallocate", Pattern: pattern(`DEALLOCATE (\S+?)`), Run: runDeallocate},
-		{Name: "status", Columns: statusColumns, Pattern: pattern(`SELECT \* FROM oriole_status\(\)`), Run: runStatus},
-		{Name: "await", Columns: []column{{"oriole_await", oidBool}}, Pattern: pattern(`SELECT oriole_await\(\s*{v}\s*,\s*{v}\s*,\s*{v}\s*\)`), Run: runAwait},
-		{Name: "replayed", Columns: []column{{"oriole_replayed", oidBool}}, Pattern: pattern(`SELECT oriole_replayed\(\s*{v}\s*,\s*{v}\s*,\s*{v}\s*\)`), Run: runReplayed},
-		{Name: "activity", Columns: []column{{"state", oidText}}, Pattern: pattern(`SELECT state FROM pg_stat_activity WHERE pid\s*=\s*{v}`), Run: runActivity},
-		{Name: "advisory lock", Columns: []column{{"pg_advisory_lock", oidText}}, Pattern: pattern(`SELECT pg_advisory_lock\(\s*{v}\s*\)`), Run: runAdvisoryLock},
-		{Name: "hidden set", Columns: []column{{"value", oidText}}, Pattern: pattern(`SELECT \* FROM remember\(\s*{v}\s*\)`), Run: runRemember},
-		{Name: "release", Columns: []column{{"value", oidText}}, Write: true, Pattern: pattern(`SELECT release_locker\(\s*{v}\s*\)`), Run: runRelease},
-		{Name: "copy", Write: true, Pattern: pattern(`(?:WITH x AS \(SELECT 1\) )?COPY (\w+) FROM STDIN`), Run: runCopy},
-		{Name: "fence", Columns: statusColumns, Pattern: pattern(`SELECT \* FROM oriole_fence\(\s*{v}\s*,\s*{v}\s*\)`), Run: runFence},
-		{Name: "drain", Columns: statusColumns, Pattern: pattern(`SELECT \* FROM oriole_drain\(\s*{v}\s*,\s*{v}\s*,\s*{v}\s*\)`), Run: runDrain},
-		{Name: "promote", Columns: statusColumns, Pattern: pattern(`SELECT \* FROM oriole_promote\(\s*{v}\s*,\s*{v}\s*\)`), Run: runPromote},
-		{Name: "follow", Columns: statusColumns, Pattern: pattern(`SELECT \* FROM oriole_follow\(\s*{v}\s*,\s*{v}\s*\)`), Run: runFollow},
+	valueColumn     = []column{{"value", oidText}}
+	keyValueColumns = []column{{"key", oidText}, {"value", oidText}}
+	countColumn     = []column{{"count", oidInt8}}
+
+	// statementKinds lists the supported statements; the first match is used.
+	statementKinds = []statementKind{
+		{Name: "insert", Write: true, Pattern: compilePattern(`INSERT INTO (\w+)(?: \(\w+,\s*\w+\))? VALUES\s*\(\s*{v}\s*,\s*{v}\s*\)`), Run: runInsert},
+		{Name: "add", Write: true, Pattern: compilePattern(`UPDATE (\w+) SET \w+\s*=\s*\w+\s*\+\s*{v} WHERE \w+\s*=\s*{v}`), Run: runAdd},
+		{Name: "update", Write: true, Pattern: compilePattern(`UPDATE (\w+) SET \w+\s*=\s*{v} WHERE \w+\s*=\s*{v}`), Run: runUpdate},
+		{Name: "delete", Write: true, Pattern: compilePattern(`DELETE FROM (\w+) WHERE \w+\s*=\s*{v}`), Run: runDelete},
+		{Name: "get", Columns: valueColumn, Pattern: compilePattern(`SELECT value FROM (\w+) WHERE key\s*=\s*{v}(?: FOR UPDATE)?`), Run: runGet},
+		{Name: "count", Columns: countColumn, Pattern: compilePattern(`SELECT count\(\*\) FROM (\w+)`), Run: runCount},
+		{Name: "scan", Columns: keyValueColumns, Pattern: compilePattern(`SELECT (?:\*|key,\s*value) FROM (\w+)(?: ORDER BY key)?(?: LIMIT (\d+))?`), Run: runScan},
+		{Name: "series", Columns: []column{{"generate_series", oidInt8}}, Pattern: compilePattern(`SELECT (?:\* FROM )?generate_series\(\s*{v}\s*,\s*{v}\s*\)`), Run: runSeries},
+		{Name: "sleep", Columns: []column{{"pg_sleep", oidText}}, Pattern: compilePattern(`SELECT pg_sleep\(\s*{v}\s*\)`), Run: runSleep},
+		{Name: "constant", Columns: []column{{"?column?", oidText}}, Pattern: compilePattern(`SELECT {v}`), Run: runConstant},
+		{Name: "begin", Pattern: compilePattern(`(?:BEGIN|START TRANSACTION)(?: [\w\s,]+)?`), Run: runBegin},
+		{Name: "commit", Pattern: compilePattern(`(?:COMMIT|END)(?: TRANSACTION| WORK)?`), Run: runCommit},
+		{Name: "rollback", Pattern: compilePattern(`(?:ROLLBACK|ABORT)(?: TRANSACTION| WORK)?`), Run: runRollback},
+		{Name: "set", Pattern: compilePattern(`SET(?: SESSION)? ([\w.]+)(?:\s*=\s*| TO )(.+?)`), Run: runSet},
+		{Name: "set_config", Columns: []column{{"set_config", oidText}}, Pattern: compilePattern(`SELECT set_config\(\s*{v}\s*,\s*{v}\s*,\s*false\s*\)`), Run: runSetConfig},
+		{Name: "show", Columns: []column{{"setting", oidText}}, Pattern: compilePattern(`SHOW ([\w.]+)`), Run: runShow},
+		{Name: "discard", Pattern: compilePattern(`(?:DISCARD ALL|DEALLOCATE ALL|UNLISTEN \*|CLOSE ALL)`), Run: runDiscard},
+		{Name: "reset", Pattern: compilePattern(`RESET (?:ALL|\w+)`), Run: runReset},
+		{Name: "deallocate", Pattern: compilePattern(`DEALLOCATE (\S+?)`), Run: runDeallocate},
+		{Name: "status", Columns: statusColumns, Pattern: compilePattern(`SELECT \* FROM oriole_status\(\)`), Run: runStatus},
+		{Name: "await", Columns: []column{{"oriole_await", oidBool}}, Pattern: compilePattern(`SELECT oriole_await\(\s*{v}\s*,\s*{v}\s*,\s*{v}\s*\)`), Run: runAwait},
+		{Name: "replayed", Columns: []column{{"oriole_replayed", oidBool}}, Pattern: compilePattern(`SELECT oriole_replayed\(\s*{v}\s*,\s*{v}\s*,\s*{v}\s*\)`), Run: runReplayed},
+		{Name: "activity", Columns: []column{{"state", oidText}}, Pattern: compilePattern(`SELECT state FROM pg_stat_activity WHERE pid\s*=\s*{v}`), Run: runActivity},
+		{Name: "advisory lock", Columns: []column{{"pg_advisory_lock", oidText}}, Pattern: compilePattern(`SELECT pg_advisory_lock\(\s*{v}\s*\)`), Run: runAdvisoryLock},
+		{Name: "set in function", Columns: []column{{"value", oidText}}, Pattern: compilePattern(`SELECT \* FROM remember\(\s*{v}\s*\)`), Run: runRemember},
+		{Name: "release", Columns: []column{{"value", oidText}}, Write: true, Pattern: compilePattern(`SELECT release_locker\(\s*{v}\s*\)`), Run: runRelease},
+		{Name: "copy", Write: true, Pattern: compilePattern(`(?:WITH x AS \(SELECT 1\) )?COPY (\w+) FROM STDIN`), Run: runCopy},
+		{Name: "fence", Columns: statusColumns, Pattern: compilePattern(`SELECT \* FROM oriole_fence\(\s*{v}\s*,\s*{v}\s*\)`), Run: runFence},
+		{Name: "drain", Columns: statusColumns, Pattern: compilePattern(`SELECT \* FROM oriole_drain\(\s*{v}\s*,\s*{v}\s*,\s*{v}\s*\)`), Run: runDrain},
+		{Name: "promote", Columns: statusColumns, Pattern: compilePattern(`SELECT \* FROM oriole_promote\(\s*{v}\s*,\s*{v}\s*\)`), Run: runPromote},
+		{Name: "follow", Columns: statusColumns, Pattern: compilePattern(`SELECT \* FROM oriole_follow\(\s*{v}\s*,\s*{v}\s*\)`), Run: runFollow},
 	}
 )
 
-// reportedSettings are those whose changes a member reports, by their small name.
+// reportedSettings maps the lower-case names of settings whose changes are reported to the
+// parameter names.
 var reportedSettings = map[string]string{"timezone": "TimeZone", "datestyle": "DateStyle", "application_name": "application_name"}
 
-// match finds the shape of a statement and its raw arguments.
-func match(sql string) (*shape, []string) {
+// matchStatement returns the kind of a statement and its raw arguments, or nil.
+func matchStatement(sql string) (*statementKind, []string) {
 	sql = stripComment(sql)
-	for i := range shapes {
-		if a := shapes[i].Pattern.FindStringSubmatch(sql); a != nil {
-			return &shapes[i], a[1:]
+	for i := range statementKinds {
+		if a := statementKinds[i].Pattern.FindStringSubmatch(sql); a != nil {
+			return &statementKinds[i], a[1:]
 		}
 	}
 	return nil, nil
@@ -128,8 +129,8 @@
 	return sql
 }
 
-// bind replaces placeholders and unquotes literals.
-func bind(args, params []string) []string {
+// bindArguments replaces placeholders by parameters and unquotes literals.
+func bindArguments(args, params []string) []string {
 	out := make([]string, len(args))
 	for i, a := range args {
 		switch {
@@ -149,8 +150,8 @@
 
 var placeholders = regexp.MustCompile(`\$(\d+)`)
 
-// countParams returns the highest placeholder of a statement.
-func countParams(sql string) int {
+// maxPlaceholder returns the highest placeholder number in a statement.
+func maxPlaceholder(sql string) int {
 	n := 0
 	for _, a := range placeholders.FindAllStringSubmatch(sql, -1) {
 		if k, err := strconv.Atoi(a[1]); err == nil {
@@ -161,28 +162,28 @@
 }
 
 func runInsert(_ context.Context, s *session, a []string) result {
-	if _, ok := s.get(a[0], a[1]); ok {
-		return result{Err: &refusal{Code: "23505", Message: "duplicate key value violates unique constraint"}}
+	if _, ok := s.lookup(a[0], a[1]); ok {
+		return result{Err: &sqlError{Code: "23505", Message: "duplicate key value violates unique constraint"}}
 	}
 	s.stage(Op{Table: a[0], Key: a[1], Value: a[2]})
 	return result{Tag: "INSERT 0 1"}
 }
 
 func runUpdate(_ context.Context, s *session, a []string) result {
-	return s.change(Op{Table: a[0], Key: a[2], Value: a[1]}, "UPDATE")
+	return s.stageExisting(Op{Table: a[0], Key: a[2], Value: a[1]}, "UPDATE")
 }
 
 func runAdd(_ context.Context, s *session, a []string) result {
-	return s.change(Op{Table: a[0], Key: a[2], Value: a[1], Add: true}, "UPDATE")
+	return s.stageExisting(Op{Table: a[0], Key: a[2], Value: a[1], Add: true}, "UPDATE")
 }
 
 func runDelete(_ context.Context, s *session, a []string) result {
-	return s.change(Op{Table: a[0], Key: a[1], Delete: true}, "DELETE")
+	return s.stageExisting(Op{Table: a[0], Key: a[1], Delete: true}, "DELETE")
 }
 
 func runGet(_ context.Context, s *session, a []string) result {
 	r := result{Columns: valueColumn}
-	if v, ok := s.get(a[0], a[1]); ok {
+	if v, ok := s.lookup(a[0], a[1]); ok {
 		r.Rows = [][]string{{v}}
 	}
 	r.Tag = "SELECT " + strconv.Itoa(len(r.Rows))
@@ -190,11 +191,11 @@
 }
 
 func runCount(_ context.Context, s *session, a []string) result {
-	return result{Columns: countColumn, Rows: [][]string{{strconv.Itoa(len(s.view(a[0])))}}, Tag: "SELECT 1"}
+	return result{Columns: countColumn, Rows: [][]string{{strconv.Itoa(len(s.tableView(a[0])))}}, Tag: "SELECT 1"}
 }
 
 func runScan(_ context.Context, s *session, a []string) result {
-	t := s.view(a[0])
+	t := s.tableView(a[0])
 	keys := make([]string, 0, len(t))
 	for k := range t {
 		keys = append(keys, k)
@@ -203,7 +204,7 @@
 	if n, err := strconv.Atoi(a[1]); err == nil && n < len(keys) {
 		keys = keys[:n]
 	}
-	r := result{Columns: pairColumns, Tag: "SELECT " + strconv.Itoa(len(keys))}
+	r := result{Columns: keyValueColumns, Tag: "SELECT " + strconv.Itoa(len(keys))}
 	for _, k := range keys {
 		r.Rows = append(r.Rows, []string{k, t[k]})
 	}
@@ -225,7 +226,7 @@
 	seconds, _ := strconv.ParseFloat(a[0], 64)
 	sleep(ctx, time.Duration(seconds*float64(time.Second)))
 	if ctx.Err() != nil {
-		return result{Err: &refusal{Code: "57014", Message: "canceling statement due to user request"}}
+		return result{Err: &sqlError{Code: "57014", Message: "canceling statement due to user request"}}
 	}
 	return result{Columns: []column{{"pg_sleep", oidText}}, Rows: [][]string{{""}}, Tag: "SELECT 1"}
 }
@@ -235,7 +236,7 @@
 }
 
 func runBegin(_ context.Context, s *session, _ []string) result {
-	s.open = true
+	s.inTransaction = true
 	return result{Tag: "BEGIN"}
 }
 
@@ -257,7 +258,7 @@
 
 func runSet(_ context.Context, s *session, a []string) result {
 	if strings.ToLower(a[0]) == "no_such_setting" {
-		return result{Err: &refusal{Code: "42704", Message: "unrecognized configuration parameter"}}
+		return result{Err: &sqlError{Code: "42704", Message: "unrecognized configuration parameter"}}
 	}
 	s.settings[strings.ToLower(a[0])] = strings.Trim(a[1], `'"`)
 	if name := reportedSettings[strings.ToLower(a[0])]; name != "" {
@@ -290,7 +291,7 @@
 	return result{Tag: "RESET"}
 }
 
-// runActivity tells what a session of this member does.
+// runActivity returns whether a session is active or idle, or no row.
 func runActivity(_ context.Context, s *session, a []string) result {
 	m := s.member
 	m.mutex.Lock()
@@ -301,7 +302,7 @@
 			continue
 		}
 		state := "idle"
-		if o.running.Load() != nil {
+		if o.cancelRunning.Load() != nil {
 			state = "active"
 		}
 		r.Rows, r.Tag = [][]string{{state}}, "SELECT 1"
@@ -309,20 +310,19 @@
 	return r
 }
 
-// runAdvisoryLock takes a lock that lasts as long as the session.
+// runAdvisoryLock records a session-level lock, which blocks no other session.
 func runAdvisoryLock(_ context.Context, s *session, a []string) result {
 	s.settings["lock"] = a[0]
 	return result{Columns: []column{{"pg_advisory_lock", oidText}}, Rows: [][]string{{""}}, Tag: "SELECT 1"}
 }
 
-// runRemember is a set-returning function that hides a SET from a reader of the
-// statement; the tag still tells.
+// runRemember changes a setting in a function call, which only the command tag shows.
 func runRemember(_ context.Context, s *session, a []string) result {
 	s.settings["remembered"] = a[0]
 	return result{Columns: []column{{"value", oidText}}, Rows: [][]string{{a[0]}}, Tag: "SET"}
 }
 
-// runRelease is a function with an effect, called in a SELECT.
+// runRelease writes a row in a function called by SELECT.
 func runRelease(_ context.Context, s *session, a []string) result {
 	s.stage(Op{Table: "ledger", Key: a[0], Value: "1", Add: true})
 	return result{Columns: []column{{"value", oidText}}, Rows: [][]string{{a[0]}}, Tag: "SELECT 1"}
