--- a/internal/standin/replicator/counter.go
+++ b/internal/standin/replicator/counter.go
@@ -4,15 +4,15 @@
 
 // Counter counts the open sessions of several members.
 type Counter struct {
-	mutex     sync.Mutex
-	now, peak int
+	mutex      sync.Mutex
+	open, peak int
 }
 
-// Now returns the number of open sessions.
-func (c *Counter) Now() int {
+// Open returns the number of open sessions.
+func (c *Counter) Open() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.now
+	return c.open
 }
 
 // Peak returns the highest number of sessions open at the same time.
@@ -28,6 +28,6 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.now += n
-	c.peak = max(c.peak, c.now)
+	c.open += n
+	c.peak = max(c.peak, c.open)
 }
