--- a/internal/standin/checker/checker.go
+++ b/internal/standin/checker/checker.go
@@ -1,6 +1,6 @@
-// Package checker records what callers asked and were told, and judges whether
-// the promises held: acknowledged writes are kept, refusals that say "not run"
-// are true, and a session sees its own work.
+// Package checker records the requests and responses of clients and verifies the
+// consistency guarantees: durability of acknowledged writes, no effect of requests
+// refused as not run, read-your-writes and linearizability.
 package checker
 
 import (
@@ -12,29 +12,28 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Outcome is what a caller was told of its request.
+// Outcome is the outcome of a request as reported to its client.
 type Outcome int
 
 const (
-	// Unknown is the outcome of a request that has no answer yet, and of one
-	// whose answer said that it may have run.
+	// Unknown: no response yet, or one that leaves open whether the request ran.
 	Unknown Outcome = iota
-	// Done: the request was acknowledged.
-	Done
-	// NotRun: the caller was told that nothing of the request ran.
+	// Acknowledged: the request was acknowledged.
+	Acknowledged
+	// NotRun: the request was refused and must have no effect.
 	NotRun
 )
 
 type (
-	// History is what callers saw, per key. Its methods may be called from
-	// several goroutines. Each write of a key needs a value of its own.
+	// History records the operations of all sessions. It is safe for concurrent use.
+	// The values written to a key must be unique.
 	History struct {
-		mutex sync.Mutex
-		ops   []*Op
+		mutex      sync.Mutex
+		operations []*Operation
 	}
 
-	// Op is one request of one session.
-	Op struct {
+	// Operation is a read or write of one key by one session.
+	Operation struct {
 		history *History
 		session int
 		key     string
@@ -43,10 +42,10 @@
 		strong  bool
 		outcome Outcome
 		begin   time.Time
-		end     time.Time // zero while the request is open
+		end     time.Time // zero while in flight or if the outcome is unknown
 	}
 
-	// Violation is one promise that did not hold.
+	// Violation is one breach of a guarantee.
 	Violation struct {
 		Promise string
 		Key     string
@@ -54,44 +53,44 @@
 	}
 )
 
-// The promises that a Violation names.
+// The guarantees that Check verifies.
 const (
-	PromiseAcknowledged = "no acknowledged write is lost"
-	PromiseNotRun       = "a refusal that says not run is true"
-	PromiseOwnWork      = "a session reads its own writes"
-	PromiseRegister     = "acknowledged writes and strong reads are linearizable"
+	GuaranteeDurability      = "no acknowledged write is lost"
+	GuaranteeNotRun          = "a write refused as not run has no effect"
+	GuaranteeReadYourWrites  = "a session reads its own writes"
+	GuaranteeLinearizability = "acknowledged writes and strong reads are linearizable"
 )
 
-// String returns the promise, the key and what was seen.
+// String returns the guarantee, the key and the details.
 func (v Violation) String() string { return v.Promise + ": key " + v.Key + ": " + v.Detail }
 
-// Write records that a session sends a write.
-func (h *History) Write(session int, key, value string) *Op {
-	return h.add(&Op{session: session, key: key, value: value, write: true})
+// Write records the start of a write by a session.
+func (h *History) Write(session int, key, value string) *Operation {
+	return h.add(&Operation{session: session, key: key, value: value, write: true})
 }
 
-// Read records that a session sends a read that may be stale.
-func (h *History) Read(session int, key string) *Op {
-	return h.add(&Op{session: session, key: key})
+// Read records the start of a read that may return a stale value.
+func (h *History) Read(session int, key string) *Operation {
+	return h.add(&Operation{session: session, key: key})
 }
 
-// StrongRead records a read that must see every write acknowledged before it,
-// such as a read of the final primary when all is healed.
-func (h *History) StrongRead(session int, key string) *Op {
-	return h.add(&Op{session: session, key: key, strong: true})
+// StrongRead records the start of a read that must see every write acknowledged
+// before it.
+func (h *History) StrongRead(session int, key string) *Operation {
+	return h.add(&Operation{session: session, key: key, strong: true})
 }
 
-func (h *History) add(o *Op) *Op {
+func (h *History) add(o *Operation) *Operation {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	o.history, o.begin = h, time.Now()
-	h.ops = append(h.ops, o)
+	h.operations = append(h.operations, o)
 	return o
 }
 
-// Return records the answer to a write. The end of an Unknown outcome is left
-// open: the write may still take effect at any time.
-func (o *Op) Return(outcome Outcome) {
+// Return records the outcome of a write. A write of unknown outcome gets no end time,
+// since it may still take effect at any time.
+func (o *Operation) Return(outcome Outcome) {
 	o.history.mutex.Lock()
 	defer o.history.mutex.Unlock()
 	o.outcome = outcome
@@ -100,19 +99,19 @@
 	}
 }
 
-// ReturnValue records the answer to a read; an absent row has the value "".
-func (o *Op) ReturnValue(value string) {
+// ReturnValue records the value returned by a read, "" if the row is absent.
+func (o *Operation) ReturnValue(value string) {
 	o.history.mutex.Lock()
 	defer o.history.mutex.Unlock()
-	o.outcome, o.value, o.end = Done, value, time.Now()
+	o.outcome, o.value, o.end = Acknowledged, value, time.Now()
 }
 
-// Counts returns how many writes ended with each outcome.
+// Counts returns the number of writes by outcome.
 func (h *History) Counts() map[Outcome]int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	counts := map[Outcome]int{}
-	for _, o := range h.ops {
+	for _, o := range h.operations {
 		if o.write {
 			counts[o.outcome]++
 		}
@@ -120,20 +119,21 @@
 	return counts
 }
 
-// Check judges the history. final returns the value of a key on the final
-// primary; nil leaves that judgement out. Call it when all requests have ended.
-func (h *History) Check(final func(key string) string) []Violation {
+// Check verifies the guarantees over the history, once all requests have ended. If
+// finalValue is not nil, it returns the value of a key on the final primary, which
+// is verified as a strong read.
+func (h *History) Check(finalValue func(key string) string) []Violation {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	var out []Violation
 	for _, key := range h.keys() {
-		ops := h.of(key)
-		if final != nil {
+		ops := h.operationsOn(key)
+		if finalValue != nil {
 			now := time.Now()
-			ops = append(ops, &Op{session: -1, key: key, strong: true, value: final(key), outcome: Done, begin: now, end: now})
+			ops = append(ops, &Operation{session: -1, key: key, strong: true, value: finalValue(key), outcome: Acknowledged, begin: now, end: now})
 		}
 		out = append(out, checkReads(key, ops)...)
-		out = append(out, checkRegister(key, ops)...)
+		out = append(out, checkLinearizability(key, ops)...)
 	}
 	return out
 }
@@ -141,7 +141,7 @@
 func (h *History) keys() []string {
 	var keys []string
 	seen := map[string]bool{}
-	for _, o := range h.ops {
+	for _, o := range h.operations {
 		if !seen[o.key] {
 			seen[o.key] = true
 			keys = append(keys, o.key)
@@ -150,38 +150,38 @@
 	return keys
 }
 
-func (h *History) of(key string) []*Op {
-	var ops []*Op
-	for _, o := range h.ops {
+func (h *History) operationsOn(key string) []*Operation {
+	var operations []*Operation
+	for _, o := range h.operations {
 		if o.key == key {
-			ops = append(ops, o)
+			operations = append(operations, o)
 		}
 	}
-	return ops
+	return operations
 }
 
-// checkReads judges each read alone: it shows a value that was written, not one
-// that was refused as not run, nor one that its session has overwritten.
-func checkReads(key string, ops []*Op) []Violation {
+// checkReads verifies that each read returned a value that was written, was not
+// refused as not run, and was not overwritten before by a write it must see.
+func checkReads(key string, ops []*Operation) []Violation {
 	var out []Violation
 	for _, r := range ops {
-		if r.write || r.outcome != Done {
+		if r.write || r.outcome != Acknowledged {
 			continue
 		}
-		source := writer(ops, r.value)
+		source := findWrite(ops, r.value)
 		switch {
 		case source == nil && r.value != "":
-			out = append(out, Violation{PromiseAcknowledged, key, fmt.Sprintf("read %q, which nobody wrote", r.value)})
+			out = append(out, Violation{GuaranteeDurability, key, fmt.Sprintf("read %q, which was never written", r.value)})
 		case source != nil && source.outcome == NotRun:
-			out = append(out, Violation{PromiseNotRun, key, fmt.Sprintf("read %q, whose write was refused as not run", r.value)})
+			out = append(out, Violation{GuaranteeNotRun, key, fmt.Sprintf("read %q, whose write was refused as not run", r.value)})
 		default:
-			out = append(out, checkOwn(key, ops, r, source)...)
+			out = append(out, checkVisibility(key, ops, r, source)...)
 		}
 	}
 	return out
 }
 
-func writer(ops []*Op, value string) *Op {
+func findWrite(ops []*Operation, value string) *Operation {
 	for _, w := range ops {
 		if w.write && w.value == value {
 			return w
@@ -190,11 +190,12 @@
 	return nil
 }
 
-// checkOwn reports a read that shows a state from before an acknowledged write
-// that must be visible to it: of its own session, or of any for a strong read.
-func checkOwn(key string, ops []*Op, r, source *Op) []Violation {
+// checkVisibility verifies that a read is not older than an acknowledged write that
+// it must see: one of its own session, or any for a strong read. The source is the
+// write of the value that was read, or nil.
+func checkVisibility(key string, ops []*Operation, r, source *Operation) []Violation {
 	for _, w := range ops {
-		if !w.write || w.outcome != Done || w == source || !w.end.Before(r.begin) {
+		if !w.write || w.outcome != Acknowledged || w == source || !w.end.Before(r.begin) {
 			continue
 		}
 		older := source == nil || (!source.end.IsZero() && source.end.Before(w.begin))
@@ -202,31 +203,31 @@
 			continue
 		}
 		if w.session == r.session {
-			return []Violation{{PromiseOwnWork, key, fmt.Sprintf("session %d wrote %q and then read %q", r.session, w.value, r.value)}}
+			return []Violation{{GuaranteeReadYourWrites, key, fmt.Sprintf("session %d wrote %q and then read %q", r.session, w.value, r.value)}}
 		}
 		if r.strong {
-			return []Violation{{PromiseAcknowledged, key, fmt.Sprintf("%q was acknowledged, yet %q was read later", w.value, r.value)}}
+			return []Violation{{GuaranteeDurability, key, fmt.Sprintf("%q was acknowledged, but %q was read afterwards", w.value, r.value)}}
 		}
 	}
 	return nil
 }
 
-// registerTimeout bounds the search for one key, in real time.
-const registerTimeout = 20 * time.Second
+// linearizabilityTimeout bounds the check of one key, in real time.
+const linearizabilityTimeout = 20 * time.Second
 
-type registerInput struct {
+type operationInput struct {
 	write bool
 	value string
 }
 
-// checkRegister searches an order of the writes and strong reads of a key that
-// explains all answers. A write of unknown outcome has no end, so that the search
-// may place it anywhere later, which includes never.
-func checkRegister(key string, ops []*Op) []Violation {
+// checkLinearizability verifies that the writes and strong reads of a key are
+// linearizable. A write of unknown outcome has no end, so that it may take effect at
+// any later time or never.
+func checkLinearizability(key string, ops []*Operation) []Violation {
 	model := porcupine.Model{
 		Init: func() any { return "" },
 		Step: func(state, input, output any) (bool, any) {
-			if in := input.(registerInput); in.write {
+			if in := input.(operationInput); in.write {
 				return true, in.value
 			}
 			return output == state, state
@@ -234,7 +235,7 @@
 	}
 	var history []porcupine.Operation
 	for _, o := range ops {
-		if o.outcome == NotRun || (!o.write && (!o.strong || o.outcome != Done)) {
+		if o.outcome == NotRun || (!o.write && (!o.strong || o.outcome != Acknowledged)) {
 			continue
 		}
 		end := int64(math.MaxInt64)
@@ -243,14 +244,14 @@
 		}
 		history = append(history, porcupine.Operation{
 			ClientId: max(o.session, 0), Call: o.begin.UnixNano(), Return: end,
-			Input: registerInput{write: o.write, value: o.value}, Output: o.value,
+			Input: operationInput{write: o.write, value: o.value}, Output: o.value,
 		})
 	}
-	switch porcupine.CheckOperationsTimeout(model, history, registerTimeout) {
+	switch porcupine.CheckOperationsTimeout(model, history, linearizabilityTimeout) {
 	case porcupine.Illegal:
-		return []Violation{{PromiseRegister, key, fmt.Sprintf("no order explains %d requests", len(history))}}
+		return []Violation{{GuaranteeLinearizability, key, fmt.Sprintf("no linearization of %d operations", len(history))}}
 	case porcupine.Unknown:
-		return []Violation{{PromiseRegister, key, "not decided in time"}}
+		return []Violation{{GuaranteeLinearizability, key, "linearizability check timed out"}}
 	}
 	return nil
 }
--- a/internal/standin/failer/failer.go
+++ b/internal/standin/failer/failer.go
@@ -1,6 +1,6 @@
-// Package failer plays one failure of a primary under load on a staged fleet, and
-// tells how long writes stopped, what callers were told meanwhile, and which
-// promises did not hold. It runs inside a testing/synctest bubble.
+// Package failer injects a failure of the primary into a simulated fleet under write
+// load. It reports how long writes were unavailable, the outcomes seen by clients and
+// the violated guarantees. It must run inside a testing/synctest bubble.
 package failer
 
 import (
@@ -19,68 +19,70 @@
 )
 
 const (
-	// DefaultWarmUp is how long the load runs before the fault.
+	// DefaultWarmUp is the duration of the load before the fault.
 	DefaultWarmUp = time.Second
-	// DefaultAfter is how long it runs after it.
-	DefaultAfter = 12 * time.Second
-	// settle is how long the fleet has to converge without load. It is longer
-	// than the 15 s in which pgx goes on closing a connection that was given up.
-	settle = 20 * time.Second
-	// think is a caller's pause between two writes.
-	think = 20 * time.Millisecond
-	// patience is how long a caller waits for an answer before it leaves.
-	patience = 8 * time.Second
-	keys     = 4
-	table    = "ledger"
+	// DefaultLoadAfterFault is the duration of the load after the fault.
+	DefaultLoadAfterFault = 12 * time.Second
+	// settleTime is the time for the fleet to converge without load. It exceeds the
+	// 15 s that pgx takes to close a connection whose request was canceled.
+	settleTime = 20 * time.Second
+	// writeInterval is a client's pause between writes.
+	writeInterval = 20 * time.Millisecond
+	// requestTimeout is a client's timeout for connecting and for each write.
+	requestTimeout = 8 * time.Second
+	keyCount       = 4
+	table          = "ledger"
 )
 
 type (
-	// Scenario is one failure. Set Plan and Fault; Heal may be nil.
+	// Scenario configures a run. Only Fault is required.
 	Scenario struct {
 		Plan stager.Plan
-		// Fault strikes the primary of the default service.
+		// Fault injects a fault into the primary of the first service.
 		Fault func(f *stager.Fleet, primary *stager.Target)
-		// Heal ends the fault, after the load.
+		// Heal reverts the fault after the load has ended.
 		Heal func(f *stager.Fleet, primary *stager.Target)
-		// Before changes the fleet before the load begins.
+		// Before prepares the fleet before the load starts.
 		Before func(f *stager.Fleet)
-		// Check judges the fleet in the end; nil adds nothing.
+		// Check runs additional checks on the converged fleet.
 		Check func(f *stager.Fleet) []checker.Violation
-		// WarmUp and After replace the defaults if they are not 0.
-		WarmUp, After time.Duration
-		// Callers is how many callers each instance has; 0 means 1.
-		Callers int
+		// WarmUp and LoadAfterFault are the durations of the load before and after
+		// the fault; 0 means the default.
+		WarmUp, LoadAfterFault time.Duration
+		// ClientsPerInstance is the number of clients of each instance; 0 means 1.
+		ClientsPerInstance int
 	}
 
-	// Report is what happened.
+	// Report is the result of a run.
 	Report struct {
-		// Gap is the longest time between two acknowledged writes, of any caller,
-		// from just before the fault on.
+		// Gap is the longest time without an acknowledged write of any client, from
+		// the last one before the fault on.
 		Gap time.Duration
-		// Worst is the longest such time of one caller.
-		Worst time.Duration
+		// LongestClientGap is the longest such time of a single client.
+		LongestClientGap time.Duration
 		// Acknowledged, NotRun and Unknown count the writes by outcome.
 		Acknowledged, NotRun, Unknown int
-		// Refusals counts the answers other than success by their code.
+		// Refusals counts the failed writes by error code.
 		Refusals map[string]int
-		// Terms is by how much the group's term has risen.
+		// Terms is the increase of the group's term.
 		Terms uint64
-		// Primary is the name of the primary in the end.
-		Primary    string
-		Violations []checker.Violation
+		// FinalPrimary is the name of the primary after convergence.
+		FinalPrimary string
+		Violations   []checker.Violation
 	}
 
-	caller struct {
-		fleet   *stager.Fleet
-		entry   *stager.Entry
-		number  int
-		history *checker.History
-		acks    []time.Time
-		codes   map[string]int
+	// client repeats writes through one instance.
+	client struct {
+		fleet        *stager.Fleet
+		instance     *stager.Entry
+		number       int
+		history      *checker.History
+		acknowledged []time.Time    // times of acknowledgement
+		refusals     map[string]int // by error code
 	}
 )
 
-// Run stages the plan, loads it, lets the fault strike, heals and judges.
+// Run starts the fleet, injects the fault under load, heals it and checks the result.
 func Run(ctx context.Context, s Scenario) (*Report, error) {
 	f, err := stager.Start(ctx, s.Plan)
 	if err != nil {
@@ -94,40 +96,40 @@
 		s.Before(f)
 	}
 	h := &checker.History{}
-	if err := prepare(ctx, f); err != nil {
+	if err := insertRows(ctx, f); err != nil {
 		return nil, err
 	}
-	callers, stop := load(ctx, f, h, max(1, s.Callers))
+	clients, stop := startClients(ctx, f, h, max(1, s.ClientsPerInstance))
 	sleep(ctx, s.WarmUp, DefaultWarmUp)
-	old := Primary(f)
-	if old == nil {
+	oldPrimary := Primary(f)
+	if oldPrimary == nil {
 		stop()
 		return nil, errors.New("no primary before the fault")
 	}
-	term, struck := old.Status().Term, time.Now()
-	s.Fault(f, old)
-	sleep(ctx, s.After, DefaultAfter)
-	ended := time.Now()
+	term, faultTime := oldPrimary.Status().Term, time.Now()
+	s.Fault(f, oldPrimary)
+	sleep(ctx, s.LoadAfterFault, DefaultLoadAfterFault)
+	loadEnd := time.Now()
 	stop()
 	if s.Heal != nil {
-		s.Heal(f, old)
+		s.Heal(f, oldPrimary)
 	}
-	sleep(ctx, settle, settle)
-	r, err := judge(f, h, callers, struck, ended, term)
+	sleep(ctx, settleTime, settleTime)
+	r, err := evaluate(f, h, clients, faultTime, loadEnd, term)
 	if err != nil {
 		return nil, err
 	}
-	r.Violations = append(r.Violations, onePrimary(f)...)
-	r.Violations = append(r.Violations, recovered(ctx, f)...)
+	r.Violations = append(r.Violations, checkSinglePrimary(f)...)
+	r.Violations = append(r.Violations, checkRecovery(ctx, f)...)
 	if s.Check != nil {
 		r.Violations = append(r.Violations, s.Check(f)...)
 	}
 	return r, nil
 }
 
-func sleep(ctx context.Context, d, otherwise time.Duration) {
+func sleep(ctx context.Context, d, defaultDuration time.Duration) {
 	if d == 0 {
-		d = otherwise
+		d = defaultDuration
 	}
 	select {
 	case <-time.After(d):
@@ -135,34 +137,35 @@
 	}
 }
 
-// Primary returns the primary of the newest term of the default service, or nil.
+// Primary returns the primary in the highest term of the first service, or nil.
 func Primary(f *stager.Fleet) *stager.Target { return f.Primary(f.Document.Services[0].Name) }
 
-// PromiseRecovers is broken when no instance gets a write through in the end.
-const PromiseRecovers = "the group takes writes again"
+// GuaranteeRecovery is violated if no write succeeds after the fault was healed, or a
+// member does not follow the primary.
+const GuaranteeRecovery = "the group recovers after the fault"
 
-// PromiseSameLog is broken when a member that follows the primary keeps entries of
-// its own, as an old primary that took writes nobody confirmed.
-const PromiseSameLog = "all members hold the primary's log"
+// GuaranteeIdenticalLogs is violated if the log of a member diverges from the primary's,
+// such as by entries of an old primary that were never replicated.
+const GuaranteeIdenticalLogs = "all members have the primary's log"
 
-// PromiseOnePrimary is broken when two members took writes in the same term.
-const PromiseOnePrimary = "a term has one primary"
+// GuaranteeSinglePrimary is violated if two members commit writes in the same term.
+const GuaranteeSinglePrimary = "a term has at most one primary"
 
-// onePrimary reads the record that each member keeps of what it committed.
-func onePrimary(f *stager.Fleet) []checker.Violation {
+// checkSinglePrimary verifies GuaranteeSinglePrimary by the members' commit records.
+func checkSinglePrimary(f *stager.Fleet) []checker.Violation {
 	var out []checker.Violation
-	took := map[uint64]string{}
+	primaryOfTerm := map[uint64]string{}
 	for _, m := range f.Members {
 		for _, r := range m.Journal() {
 			term := r.Position.Term
 			if term == 0 {
 				continue
 			}
-			if took[term] == "" {
-				took[term] = m.Name
+			if primaryOfTerm[term] == "" {
+				primaryOfTerm[term] = m.Name
 			}
-			if took[term] != m.Name {
-				out = append(out, checker.Violation{Promise: PromiseOnePrimary, Detail: fmt.Sprintf("term %d: %s and %s", term, took[term], m.Name)})
+			if primaryOfTerm[term] != m.Name {
+				out = append(out, checker.Violation{Promise: GuaranteeSinglePrimary, Detail: fmt.Sprintf("term %d: %s and %s", term, primaryOfTerm[term], m.Name)})
 				break
 			}
 		}
@@ -170,30 +173,30 @@
 	return out
 }
 
-// recovered reports whether a write gets through, by any instance, and whether
-// all members follow the one primary.
-func recovered(ctx context.Context, f *stager.Fleet) []checker.Violation {
+// checkRecovery verifies that a write succeeds through at least one instance, that all
+// members follow the primary and that their logs are identical.
+func checkRecovery(ctx context.Context, f *stager.Fleet) []checker.Violation {
 	var out []checker.Violation
 	p := Primary(f)
 	for _, m := range f.Members {
 		if s := m.Status(); m != p && (s.Following != p.Address || s.Term != p.Status().Term) {
-			out = append(out, checker.Violation{Promise: PromiseRecovers, Detail: fmt.Sprintf("%s is %s of term %d", m.Name, s.Role, s.Term)})
+			out = append(out, checker.Violation{Promise: GuaranteeRecovery, Detail: fmt.Sprintf("%s is %s in term %d", m.Name, s.Role, s.Term)})
 		}
 		if !reflect.DeepEqual(m.Entries(), p.Entries()) {
-			out = append(out, checker.Violation{Promise: PromiseSameLog, Detail: m.Name + " differs from " + p.Name})
+			out = append(out, checker.Violation{Promise: GuaranteeIdenticalLogs, Detail: m.Name + " has another log than " + p.Name})
 		}
 	}
-	var last error
+	var lastErr error
 	for _, e := range f.Instances {
-		if last = once(ctx, f, e); last == nil {
+		if lastErr = writeOnce(ctx, f, e); lastErr == nil {
 			return out
 		}
 	}
-	return append(out, checker.Violation{Promise: PromiseRecovers, Detail: last.Error()})
+	return append(out, checker.Violation{Promise: GuaranteeRecovery, Detail: lastErr.Error()})
 }
 
-func once(ctx context.Context, f *stager.Fleet, e *stager.Entry) error {
-	ctx, cancel := context.WithTimeout(ctx, settle)
+func writeOnce(ctx context.Context, f *stager.Fleet, e *stager.Entry) error {
+	ctx, cancel := context.WithTimeout(ctx, settleTime)
 	defer cancel()
 	c, err := f.Connect(ctx, e, f.Document.Services[0].Name, nil)
 	if err != nil {
@@ -204,15 +207,15 @@
 	return err
 }
 
-func prepare(ctx context.Context, f *stager.Fleet) error {
+func insertRows(ctx context.Context, f *stager.Fleet) error {
 	c, err := f.Connect(ctx, f.Instances[0], f.Document.Services[0].Name, nil)
 	if err != nil {
 		return err
 	}
 	defer c.Close(ctx)
-	for k := range keys {
+	for k := range keyCount {
 		if _, err := c.Exec(ctx, "INSERT INTO ledger (key, value) VALUES ($1, $2)", key(k), ""); err != nil {
-			return errors.Wrap(err, "first rows")
+			return errors.Wrap(err, "insert initial rows")
 		}
 	}
 	return nil
@@ -220,29 +223,29 @@
 
 func key(n int) string { return fmt.Sprintf("locker-%d", n) }
 
-// load starts the callers; stop ends them and waits for them.
-func load(ctx context.Context, f *stager.Fleet, h *checker.History, each int) (callers []*caller, stop func()) {
+// startClients starts n clients on each instance; stop stops them and waits for their exit.
+func startClients(ctx context.Context, f *stager.Fleet, h *checker.History, n int) (clients []*client, stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	for _, e := range f.Instances {
-		for range each {
-			c := &caller{fleet: f, entry: e, number: len(callers), history: h, codes: map[string]int{}}
-			callers = append(callers, c)
-			go func() { c.run(ctx); ended <- struct{}{} }()
+		for range n {
+			c := &client{fleet: f, instance: e, number: len(clients), history: h, refusals: map[string]int{}}
+			clients = append(clients, c)
+			go func() { c.run(ctx); exited <- struct{}{} }()
 		}
 	}
-	return callers, func() {
+	return clients, func() {
 		cancel()
-		for range callers {
-			<-ended
+		for range clients {
+			<-exited
 		}
 	}
 }
 
-func (c *caller) run(ctx context.Context) {
+func (c *client) run(ctx context.Context) {
 	var conn *pgx.Conn
 	for n := 0; ctx.Err() == nil; n++ {
-		time.Sleep(think)
+		time.Sleep(writeInterval)
 		if conn == nil || conn.IsClosed() {
 			var err error
 			if conn, err = c.connect(ctx); err != nil {
@@ -257,33 +260,34 @@
 	}
 }
 
-func (c *caller) connect(ctx context.Context) (*pgx.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+func (c *client) connect(ctx context.Context) (*pgx.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	return c.fleet.Connect(ctx, c.entry, c.fleet.Document.Services[0].Name, nil)
+	return c.fleet.Connect(ctx, c.instance, c.fleet.Document.Services[0].Name, nil)
 }
 
-func (c *caller) write(conn *pgx.Conn, n int) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (c *client) write(conn *pgx.Conn, n int) {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	value := fmt.Sprintf("%d.%d", c.number, n)
-	k := key((c.number + n) % keys)
+	k := key((c.number + n) % keyCount)
 	o := c.history.Write(c.number, k, value)
 	_, err := conn.Exec(ctx, "UPDATE ledger SET value = $1 WHERE key = $2", value, k)
 	outcome, code := Classify(err)
 	if err != nil {
-		c.codes[code]++
+		c.refusals[code]++
 	} else {
-		c.acks = append(c.acks, time.Now())
+		c.acknowledged = append(c.acknowledged, time.Now())
 	}
 	o.Return(outcome)
 }
 
-// Classify tells what a caller may conclude from the answer to a write, and the
-// code of the answer. Only a refusal that says so means that nothing ran.
+// Classify returns the outcome that a client may infer from the error of a write, and
+// the error's code. Only a refusal whose reason has the outcome NotRun excludes that
+// the write ran.
 func Classify(err error) (checker.Outcome, string) {
 	if err == nil {
-		return checker.Done, ""
+		return checker.Acknowledged, ""
 	}
 	var e *pgconn.PgError
 	if !errors.As(err, &e) {
@@ -298,23 +302,23 @@
 	return checker.Unknown, code
 }
 
-func judge(f *stager.Fleet, h *checker.History, callers []*caller, struck, ended time.Time, term uint64) (*Report, error) {
+func evaluate(f *stager.Fleet, h *checker.History, clients []*client, faultTime, loadEnd time.Time, initialTerm uint64) (*Report, error) {
 	p := Primary(f)
 	if p == nil {
-		return nil, errors.New("no primary in the end")
+		return nil, errors.New("no primary after the fault")
 	}
-	r := &Report{Refusals: map[string]int{}, Primary: p.Name, Terms: p.Status().Term - term}
-	var all []time.Time
-	for _, c := range callers {
-		all = append(all, c.acks...)
-		r.Worst = max(r.Worst, longest(c.acks, struck, ended))
-		for code, n := range c.codes {
+	r := &Report{Refusals: map[string]int{}, FinalPrimary: p.Name, Terms: p.Status().Term - initialTerm}
+	var acknowledged []time.Time
+	for _, c := range clients {
+		acknowledged = append(acknowledged, c.acknowledged...)
+		r.LongestClientGap = max(r.LongestClientGap, longestGap(c.acknowledged, faultTime, loadEnd))
+		for code, n := range c.refusals {
 			r.Refusals[code] += n
 		}
 	}
-	r.Gap = longest(all, struck, ended)
+	r.Gap = longestGap(acknowledged, faultTime, loadEnd)
 	counts := h.Counts()
-	r.Acknowledged, r.NotRun, r.Unknown = counts[checker.Done], counts[checker.NotRun], counts[checker.Unknown]
+	r.Acknowledged, r.NotRun, r.Unknown = counts[checker.Acknowledged], counts[checker.NotRun], counts[checker.Unknown]
 	r.Violations = h.Check(func(key string) string { v, _ := p.Value(table, key); return v })
 	return r, nil
 }
--- a/internal/standin/failer/pairs_test.go
+++ b/internal/standin/failer/fault_pairs_test.go
@@ -15,84 +15,86 @@
 )
 
 var (
-	pairSeeds = flag.Int("pair-seeds", 4, "how many seeds of fault pairs to run")
-	pairFrom  = flag.Uint64("pair-from", 1, "the first seed of fault pairs")
+	pairSeedCount = flag.Int("pair-seeds", 4, "number of seeds of fault pairs to run")
+	firstPairSeed = flag.Uint64("pair-from", 1, "first seed of fault pairs")
 )
 
-// strike is one fault; undo ends it.
-type strike struct {
-	name string
-	do   func(f *stager.Fleet, r *rand.Rand) (undo func())
+// faultKind is a fault with random parameters; revert ends it.
+type faultKind struct {
+	name   string
+	inject func(f *stager.Fleet, r *rand.Rand) (revert func())
 }
 
-func anyTarget(f *stager.Fleet, r *rand.Rand) *stager.Target {
+// randomTarget returns the primary with at least even odds.
+func randomTarget(f *stager.Fleet, r *rand.Rand) *stager.Target {
 	if p := failer.Primary(f); p != nil && r.IntN(2) == 0 {
 		return p
 	}
 	return f.Members[r.IntN(len(f.Members))]
 }
 
-func anyEntry(f *stager.Fleet, r *rand.Rand) *stager.Entry {
+func randomInstance(f *stager.Fleet, r *rand.Rand) *stager.Entry {
 	return f.Instances[r.IntN(len(f.Instances))]
 }
 
-func cutAndHeal(f *stager.Fleet, a, b string) func() {
+// partition partitions two hosts or zones and returns the function that heals the partition.
+func partition(f *stager.Fleet, a, b string) func() {
 	f.Net.Cut(a, b)
 	return func() { f.Net.Heal(a, b) }
 }
 
-var strikes = []strike{
+var faultKinds = []faultKind{
 	{"kill-target", func(f *stager.Fleet, r *rand.Rand) func() {
-		t := anyTarget(f, r)
+		t := randomTarget(f, r)
 		f.KillTarget(t)
 		return func() { f.RestartTarget(t) }
 	}},
 	{"freeze-target", func(f *stager.Fleet, r *rand.Rand) func() {
-		t := anyTarget(f, r)
+		t := randomTarget(f, r)
 		t.Faults.Freeze()
 		return t.Faults.Thaw
 	}},
 	{"silence-target", func(f *stager.Fleet, r *rand.Rand) func() {
-		anyTarget(f, r).SilenceOpen()
+		randomTarget(f, r).SilenceOpen()
 		return func() {}
 	}},
 	{"lag-target", func(f *stager.Fleet, r *rand.Rand) func() {
-		t := anyTarget(f, r)
+		t := randomTarget(f, r)
 		t.Faults.SetStreamLag(time.Duration(r.IntN(300)) * time.Millisecond)
 		return func() { t.Faults.SetStreamLag(0) }
 	}},
 	{"lose-answer", func(f *stager.Fleet, r *rand.Rand) func() {
-		anyTarget(f, r).Faults.LoseNextAnswer()
+		randomTarget(f, r).Faults.LoseNextAnswer()
 		return func() {}
 	}},
 	{"kill-instance", func(f *stager.Fleet, r *rand.Rand) func() {
-		e := anyEntry(f, r)
+		e := randomInstance(f, r)
 		f.KillInstance(e)
 		return func() { f.StartInstance(e) }
 	}},
 	{"cut-targets", func(f *stager.Fleet, r *rand.Rand) func() {
 		i := r.IntN(len(f.Members))
-		return cutAndHeal(f, f.Members[i].IP, f.Members[(i+1)%len(f.Members)].IP)
+		return partition(f, f.Members[i].IP, f.Members[(i+1)%len(f.Members)].IP)
 	}},
 	{"cut-target-from-instance", func(f *stager.Fleet, r *rand.Rand) func() {
-		return cutAndHeal(f, anyTarget(f, r).IP, anyEntry(f, r).IP)
+		return partition(f, randomTarget(f, r).IP, randomInstance(f, r).IP)
 	}},
 	{"cut-one-way", func(f *stager.Fleet, r *rand.Rand) func() {
-		a, b := anyTarget(f, r).IP, anyEntry(f, r).IP
+		a, b := randomTarget(f, r).IP, randomInstance(f, r).IP
 		f.Net.CutOneWay(a, b)
 		return func() { f.Net.Heal(a, b) }
 	}},
 	{"cut-zone", func(f *stager.Fleet, r *rand.Rand) func() {
 		z := f.Plan.Zones[r.IntN(len(f.Plan.Zones))]
-		var undo []func()
+		var reverts []func()
 		for _, o := range append([]string{"platform"}, f.Plan.Zones...) {
 			if o != z {
-				undo = append(undo, cutAndHeal(f, z, o))
+				reverts = append(reverts, partition(f, z, o))
 			}
 		}
 		return func() {
-			for _, u := range undo {
-				u()
+			for _, revert := range reverts {
+				revert()
 			}
 		}
 	}},
@@ -111,45 +113,44 @@
 	}},
 	{"primary-leaves", func(f *stager.Fleet, _ *rand.Rand) func() {
 		if p := failer.Primary(f); p != nil {
-			failer.Leave(f, p)
+			failer.AnnounceLeaving(f, p)
 		}
 		return func() {}
 	}},
 }
 
-// Two faults strike a fleet under load, the second while the first lasts or just
-// after it. Callers may see refusals and unknown outcomes; no acknowledged write
-// is lost, no refusal lies, and the group has a primary again in the end.
+// TestFaultPairs verifies the guarantees and the recovery of the group after two random
+// faults, of which the second starts during the first or right after it.
 func TestFaultPairs(t *testing.T) {
-	for n := range *pairSeeds {
-		seed := *pairFrom + uint64(n)
+	for n := range *pairSeedCount {
+		seed := *firstPairSeed + uint64(n)
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 7))
 			var names []string
-			var undo []func()
+			var reverts []func()
 			fault := func(f *stager.Fleet, _ *stager.Target) {
 				for range 2 {
-					s := strikes[r.IntN(len(strikes))]
-					names = append(names, s.name)
-					u := s.do(f, r)
+					kind := faultKinds[r.IntN(len(faultKinds))]
+					names = append(names, kind.name)
+					revert := kind.inject(f, r)
 					wait := time.Duration(r.IntN(5000)) * time.Millisecond
 					if r.IntN(2) == 0 {
 						time.Sleep(wait)
-						u()
+						revert()
 						continue
 					}
-					undo = append(undo, u)
+					reverts = append(reverts, revert)
 					time.Sleep(wait)
 				}
 			}
 			heal := func(f *stager.Fleet, _ *stager.Target) {
-				for _, u := range undo {
-					u()
+				for _, revert := range reverts {
+					revert()
 				}
 			}
-			rep := play(t, failer.Scenario{Plan: stager.Plan{Seed: seed}, Fault: fault, Heal: heal, After: 6 * time.Second, Callers: 2})
+			report := runScenario(t, failer.Scenario{Plan: stager.Plan{Seed: seed}, Fault: fault, Heal: heal, LoadAfterFault: 6 * time.Second, ClientsPerInstance: 2})
 			t.Log(strings.Join(names, " + "))
-			must.Positive(t, rep.Acknowledged)
+			must.Positive(t, report.Acknowledged)
 		})
 	}
 }
--- a/internal/standin/failer/faults.go
+++ b/internal/standin/failer/faults.go
@@ -5,14 +5,14 @@
 	"github.com/oriolegw/oriolegw/internal/standin/stager"
 )
 
-// Crash ends the primary's process: connections are reset, new ones refused.
+// Crash kills the primary: its connections are reset and new ones refused.
 func Crash(f *stager.Fleet, p *stager.Target) { f.KillTarget(p) }
 
-// Freeze stops the primary; its connections stay open and silent.
+// Freeze suspends the primary: its connections stay open without responses.
 func Freeze(_ *stager.Fleet, p *stager.Target) { p.Faults.Freeze() }
 
-// CutReplicas cuts the primary from the other members only.
-func CutReplicas(f *stager.Fleet, p *stager.Target) {
+// PartitionFromReplicas partitions the primary from the other members only.
+func PartitionFromReplicas(f *stager.Fleet, p *stager.Target) {
 	for _, m := range f.Members {
 		if m != p {
 			f.Net.Cut(p.IP, m.IP)
@@ -20,16 +20,17 @@
 	}
 }
 
-// Cut cuts the primary from the other members and from every instance.
-func Cut(f *stager.Fleet, p *stager.Target) {
-	CutReplicas(f, p)
+// PartitionFromAll partitions the primary from the other members and all instances.
+func PartitionFromAll(f *stager.Fleet, p *stager.Target) {
+	PartitionFromReplicas(f, p)
 	for _, e := range f.Instances {
 		f.Net.Cut(p.IP, e.IP)
 	}
 }
 
-// Leave tells every instance that the primary is leaving: a planned change.
-func Leave(f *stager.Fleet, p *stager.Target) {
+// AnnounceLeaving announces to every instance that the primary is leaving, which starts
+// a planned switchover.
+func AnnounceLeaving(f *stager.Fleet, p *stager.Target) {
 	for _, e := range f.Instances {
 		e.Events <- drainer.TargetLeaving{Service: p.Service, Member: p.Name, Leaving: true, Source: "operator"}
 	}
--- a/internal/standin/failer/gap.go
+++ b/internal/standin/failer/gap.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// longest returns the longest time without acknowledgement that ended after the
-// fault, or lasted until the load ended: an answer that was on its way when the
-// fault struck must not make a group that never recovers look healthy.
-func longest(acks []time.Time, struck, ended time.Time) time.Duration {
-	sort.Slice(acks, func(i, j int) bool { return acks[i].Before(acks[j]) })
-	if len(acks) == 0 {
-		return ended.Sub(struck)
+// longestGap returns the longest time without an acknowledgement that ended after the
+// fault. The last one ends with the load, so that a group that never recovers isn't
+// reported with a short gap.
+func longestGap(acknowledged []time.Time, faultTime, loadEnd time.Time) time.Duration {
+	sort.Slice(acknowledged, func(i, j int) bool { return acknowledged[i].Before(acknowledged[j]) })
+	if len(acknowledged) == 0 {
+		return loadEnd.Sub(faultTime)
 	}
-	most := ended.Sub(acks[len(acks)-1])
-	for i := 1; i < len(acks); i++ {
-		if acks[i].After(struck) {
-			most = max(most, acks[i].Sub(acks[i-1]))
+	longest := loadEnd.Sub(acknowledged[len(acknowledged)-1])
+	for i := 1; i < len(acknowledged); i++ {
+		if acknowledged[i].After(faultTime) {
+			longest = max(longest, acknowledged[i].Sub(acknowledged[i-1]))
 		}
 	}
-	return most
+	return longest
 }
--- a/internal/standin/failer/gap_test.go
+++ b/internal/standin/failer/gap_test.go
@@ -15,10 +15,10 @@
 	"github.com/shoenig/test/must"
 )
 
-var gapSeeds = flag.Int("gap-seeds", 1, "how many seeds to measure the failover gap on")
+var gapSeeds = flag.Int("gap-seeds", 1, "number of seeds of the failover gap")
 
-// measure returns the reports of one kind of failure over the seeds.
-func measure(t *testing.T, p stager.Plan, fault, end func(*stager.Fleet, *stager.Target), down bool) []*failer.Report {
+// runSeeds runs one fault with each seed and returns the reports.
+func runSeeds(t *testing.T, p stager.Plan, fault, heal func(*stager.Fleet, *stager.Target), storeDown bool) []*failer.Report {
 	t.Helper()
 	var out []*failer.Report
 	for seed := range *gapSeeds {
@@ -27,11 +27,11 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 			defer cancel()
 			r, err := failer.Run(ctx, failer.Scenario{
-				Plan: p, Fault: fault, After: 5 * time.Second,
-				// The fault strikes at another moment of the observers' rhythm.
+				Plan: p, Fault: fault, LoadAfterFault: 5 * time.Second,
+				// Each seed injects the fault at a different phase of the health checks.
 				WarmUp: time.Second + time.Duration(seed*37%100)*time.Millisecond,
-				Before: store(func(s *storer.Faults) { s.Down = down }),
-				Heal:   end,
+				Before: withStoreFaults(func(s *storer.Faults) { s.Down = storeDown }),
+				Heal:   heal,
 			})
 			must.NoError(t, err)
 			must.SliceEmpty(t, r.Violations)
@@ -42,8 +42,8 @@
 	return out
 }
 
-// The time between the last acknowledged write before a failure and the next one,
-// on the latencies and connect times of both deployments. One line per figure.
+// TestFailoverGap bounds the time without acknowledged writes after a fault, with the
+// latencies and connect times of both deployments, and logs its percentiles.
 func TestFailoverGap(t *testing.T) {
 	deployments := []struct {
 		name string
@@ -54,22 +54,22 @@
 	}
 	faults := []struct {
 		name   string
-		strike func(*stager.Fleet, *stager.Target)
-		end    func(*stager.Fleet, *stager.Target)
-		most   time.Duration
+		inject func(*stager.Fleet, *stager.Target)
+		heal   func(*stager.Fleet, *stager.Target)
+		maxGap time.Duration
 	}{
 		{"crash", failer.Crash, restart, 2 * time.Second},
 		{"freeze", failer.Freeze, thaw, 4 * time.Second},
-		{"cut", failer.Cut, heal, 4 * time.Second},
-		{"planned", failer.Leave, nil, 200 * time.Millisecond},
+		{"cut", failer.PartitionFromAll, heal, 4 * time.Second},
+		{"planned", failer.AnnounceLeaving, nil, 200 * time.Millisecond},
 	}
 	for _, d := range deployments {
 		d.plan.CallerLatency, d.plan.Jitter = 3*time.Millisecond, time.Millisecond
-		for _, x := range faults {
-			for _, down := range []bool{false, true} {
-				name := fmt.Sprintf("%s/%s/store-%s", d.name, x.name, map[bool]string{false: "up", true: "down"}[down])
+		for _, fault := range faults {
+			for _, storeDown := range []bool{false, true} {
+				name := fmt.Sprintf("%s/%s/store-%s", d.name, fault.name, map[bool]string{false: "up", true: "down"}[storeDown])
 				t.Run(name, func(t *testing.T) {
-					reports := measure(t, d.plan, x.strike, x.end, down)
+					reports := runSeeds(t, d.plan, fault.inject, fault.heal, storeDown)
 					sort.Slice(reports, func(i, j int) bool { return reports[i].Gap < reports[j].Gap })
 					n := len(reports)
 					unknown, notRun := 0, 0
@@ -80,7 +80,7 @@
 					t.Logf("failover-gap %s p50 %v p99 %v max %v unknown %.1f not-run %.1f per failover, seeds %d", name,
 						reports[n/2].Gap.Round(time.Millisecond), reports[n*99/100].Gap.Round(time.Millisecond),
 						reports[n-1].Gap.Round(time.Millisecond), float64(unknown)/float64(n), float64(notRun)/float64(n), n)
-					must.LessEq(t, x.most, reports[n*99/100].Gap)
+					must.LessEq(t, fault.maxGap, reports[n*99/100].Gap)
 				})
 			}
 		}
--- a/internal/standin/failer/promoter_test.go
+++ b/internal/standin/failer/promoter_test.go
@@ -15,12 +15,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// stage is a moment of a promotion, seen from outside: it returns the owner of
-// the promotion once it is reached.
-type stage func(f *stager.Fleet) (owner string)
+// promotionStep returns the owner of the promotion in progress once the promotion has
+// completed a step, and "" before.
+type promotionStep func(f *stager.Fleet) (owner string)
 
-// fencedMembers is reached when n members obey a newer term without primary.
-func fencedMembers(n int) stage {
+// fencedMembers is the step after n members have been fenced for a new term.
+func fencedMembers(n int) promotionStep {
 	return func(f *stager.Fleet) string {
 		owner, fenced := "", 0
 		for _, m := range f.Members {
@@ -36,6 +36,7 @@
 	}
 }
 
+// promotedMember is the step after a member has become primary in a new term.
 func promotedMember(f *stager.Fleet) string {
 	for _, m := range f.Members {
 		if s := m.Status(); s.Term > 1 && s.Role == replicator.RolePrimary {
@@ -45,6 +46,7 @@
 	return ""
 }
 
+// intentRecorded is the step after the promotion's intent was written to the store.
 func intentRecorded(f *stager.Fleet) string {
 	p, err := f.Store.Get(f.Context(), promoter.Key(stager.DefaultService))
 	if err != nil || p.Revision == 0 {
@@ -55,34 +57,35 @@
 	return owner
 }
 
-// recorded reports a store whose record of the group is not the newest promotion.
-func recorded(f *stager.Fleet) []checker.Violation {
+// checkPromotionRecord verifies that the store's record of the group is the last promotion.
+func checkPromotionRecord(f *stager.Fleet) []checker.Violation {
 	p, err := f.Store.Get(f.Context(), promoter.Key(stager.DefaultService))
 	primary := failer.Primary(f)
 	want := fmt.Sprintf(`{"term":%d,"owner":%q,"primary":%q}`, primary.Status().Term, primary.Status().Owner, primary.Name)
 	if err != nil || string(p.Value) != want {
-		return []checker.Violation{{Promise: "the store holds the newest promotion", Detail: string(p.Value) + " is not " + want}}
+		return []checker.Violation{{Promise: "the store has the record of the last promotion", Detail: string(p.Value) + " is not " + want}}
 	}
 	return nil
 }
 
-// The store is down while the primary is replaced, and loses answers when it is
-// back. The record of the promotion gets there all the same.
+// TestStoreLearnsLater verifies that a promotion made while the store was down is recorded
+// once the store is back, even if the first responses of the store are lost.
 func TestStoreLearnsLater(t *testing.T) {
-	r := play(t, failer.Scenario{
-		Before: store(func(s *storer.Faults) { s.Down = true }),
+	r := runScenario(t, failer.Scenario{
+		Before: withStoreFaults(func(s *storer.Faults) { s.Down = true }),
 		Fault:  failer.Crash,
 		Heal: func(f *stager.Fleet, p *stager.Target) {
 			f.Store.SetFaults(func(s *storer.Faults) { s.Down, s.LoseResponses = false, 2 })
 			f.RestartTarget(p)
 		},
-		Check: recorded,
+		Check: checkPromotionRecord,
 	})
 	must.Eq(t, 1, r.Terms)
 }
 
-// await polls until the stage is reached and returns the promoter's instance.
-func await(f *stager.Fleet, reached stage) *stager.Entry {
+// awaitStep polls until the step is reached and returns the instance that owns the
+// promotion, or nil after a timeout.
+func awaitStep(f *stager.Fleet, reached promotionStep) *stager.Entry {
 	for range 20000 {
 		time.Sleep(500 * time.Microsecond)
 		name, _, _ := strings.Cut(reached(f), "/")
@@ -95,68 +98,67 @@
 	return nil
 }
 
-// The primary dies, and the instance that replaces it dies as well, or is cut off
-// from all members, after each of its steps. Another instance takes over with a
-// newer term. An instance that was cut off gets its orders through later, when
-// the group has long moved on: no member may obey them.
+// TestPromoterFails verifies that another instance completes a promotion in a new term if
+// its owner crashes or is partitioned from the members after any step, and that the
+// members reject the old owner's delayed requests.
 func TestPromoterFails(t *testing.T) {
-	stages := []struct {
+	steps := []struct {
 		name    string
-		reached stage
+		reached promotionStep
 	}{
 		{"intent recorded", intentRecorded},
 		{"one member fenced", fencedMembers(1)},
 		{"majority fenced", fencedMembers(2)},
 		{"member promoted", promotedMember},
 	}
-	ways := []struct {
+	failures := []struct {
 		name string
-		fail func(f *stager.Fleet, e *stager.Entry) (undo func())
+		fail func(f *stager.Fleet, e *stager.Entry) (revert func())
 	}{
-		{"dies", func(f *stager.Fleet, e *stager.Entry) func() {
+		{"crashes", func(f *stager.Fleet, e *stager.Entry) func() {
 			f.KillInstance(e)
 			return func() { f.StartInstance(e) }
 		}},
-		{"is cut off", func(f *stager.Fleet, e *stager.Entry) func() {
-			var undo []func()
+		{"is partitioned", func(f *stager.Fleet, e *stager.Entry) func() {
+			var reverts []func()
 			for _, m := range f.Members {
-				undo = append(undo, cutAndHeal(f, e.IP, m.IP))
+				reverts = append(reverts, partition(f, e.IP, m.IP))
 			}
 			return func() {
-				for _, u := range undo {
-					u()
+				for _, revert := range reverts {
+					revert()
 				}
 			}
 		}},
-		{"hears no answers", func(f *stager.Fleet, e *stager.Entry) func() {
+		{"receives no responses", func(f *stager.Fleet, e *stager.Entry) func() {
 			for _, m := range f.Members {
 				f.Net.CutOneWay(m.IP, e.IP)
 			}
 			return f.Net.HealAll
 		}},
 	}
-	for _, s := range stages {
-		for _, w := range ways {
-			for _, down := range []bool{false, true} {
-				name := s.name + ", " + w.name
-				if down {
-					if s.name == "intent recorded" {
-						continue // there is none
+	for _, step := range steps {
+		for _, failure := range failures {
+			for _, storeDown := range []bool{false, true} {
+				name := step.name + ", " + failure.name
+				if storeDown {
+					if step.name == "intent recorded" {
+						continue // no intent is written while the store is down
 					}
 					name += ", store down"
 				}
 				t.Run(name, func(t *testing.T) {
-					var undo func()
-					r := play(t, failer.Scenario{
+					var revert func()
+					r := runScenario(t, failer.Scenario{
 						Plan:   stager.Plan{ZoneLatency: 5 * time.Millisecond},
-						Before: store(func(f *storer.Faults) { f.Down = down }),
+						Before: withStoreFaults(func(f *storer.Faults) { f.Down = storeDown }),
 						Fault: func(f *stager.Fleet, p *stager.Target) {
 							f.KillTarget(p)
-							e := await(f, s.reached)
+							e := awaitStep(f, step.reached)
 							must.NotNil(t, e)
-							undo = w.fail(f, e)
+							revert = failure.fail(f, e)
 							time.Sleep(5 * time.Second)
-							undo()
+							revert()
 						},
 						Heal: restart,
 					})
--- a/internal/standin/failer/candidate_test.go
+++ b/internal/standin/failer/replay_test.go
@@ -9,13 +9,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// The primary dies. One replica has received all of its log and is far behind in
-// replaying it, which it must make up for before it takes writes; the other is up
-// to date. Callers wait for whichever is promoted. They are held up for a moment
-// before the crash, so that both replicas have received the same: of two that
-// differ the newer one must be taken, whatever it has to replay.
+// TestReplayBacklog verifies that of two replicas with the same log the one without replay
+// lag is promoted. Clients are partitioned before the crash so that both replicas
+// receive the whole log.
 func TestReplayBacklog(t *testing.T) {
-	r := play(t, failer.Scenario{
+	r := runScenario(t, failer.Scenario{
 		Plan:   stager.Plan{PerZone: 3},
 		Before: func(f *stager.Fleet) { f.Members[1].Faults.SetReplayLag(900 * time.Millisecond) },
 		Fault: func(f *stager.Fleet, p *stager.Target) {
@@ -26,8 +24,8 @@
 			f.Net.HealAll()
 			failer.Crash(f, p)
 		},
-		Heal:    restart,
-		Callers: 2,
+		Heal:               restart,
+		ClientsPerInstance: 2,
 	})
 	must.Eq(t, 1, r.Terms)
 	must.LessEq(t, 600*time.Millisecond, r.Gap)
