--- a/internal/standin/soaker/client.go
+++ b/internal/standin/soaker/client.go
@@ -12,38 +12,38 @@
 	"github.com/oriolegw/oriolegw/pkg/refuser"
 )
 
-// crew is one caller: a session that roams between instances. Every second one
-// carries its token, the others connect without.
-type crew struct {
-	soak   *Soak
-	number int
-	random *rand.Rand
-	conn   *pgx.Conn
-	token  string
-	known  []string // keys of its acknowledged writes
-	next   int
+// client sends random requests and reconnects to random instances. Clients with an even
+// number pass their session token when they reconnect, the others connect without one.
+type client struct {
+	soak             *Soak
+	number           int
+	random           *rand.Rand
+	conn             *pgx.Conn
+	token            string
+	acknowledgedKeys []string // keys of the rows whose insertion was acknowledged
+	lastKey          int
 }
 
-func (s *Soak) caller(ctx context.Context, n int) {
-	c := &crew{soak: s, number: n, random: rand.New(rand.NewPCG(s.Seed, uint64(n)+2))}
-	defer c.leave()
+func (s *Soak) runClient(ctx context.Context, n int) {
+	c := &client{soak: s, number: n, random: rand.New(rand.NewPCG(s.Seed, uint64(n)+2))}
+	defer c.disconnect()
 	for ctx.Err() == nil {
 		if c.conn == nil && c.connect(ctx) != nil {
-			time.Sleep(pause)
+			time.Sleep(requestInterval)
 			continue
 		}
-		c.step(ctx)
-		time.Sleep(pause)
+		c.randomRequest(ctx)
+		time.Sleep(requestInterval)
 	}
 }
 
-func (c *crew) connect(ctx context.Context) error {
+func (c *client) connect(ctx context.Context) error {
 	e := c.soak.fleet.Instances[c.random.IntN(len(c.soak.fleet.Instances))]
 	p := map[string]string{}
 	if c.number%2 == 0 && c.token != "" {
 		p["oriole.token"] = c.token
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	conn, err := c.soak.fleet.Connect(ctx, e, stager.DefaultService, p)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (c *crew) leave() {
+func (c *client) disconnect() {
 	if c.conn == nil {
 		return
 	}
@@ -63,7 +63,7 @@
 	c.conn = nil
 }
 
-func (c *crew) step(ctx context.Context) {
+func (c *client) randomRequest(ctx context.Context) {
 	switch c.random.IntN(8) {
 	case 0, 1:
 		c.insert(ctx)
@@ -72,21 +72,22 @@
 	case 3:
 		c.transaction(ctx)
 	case 4:
-		c.leave() // roam
+		c.disconnect() // the next request connects to a random instance
 	default:
 		c.read(ctx)
 	}
 }
 
-func (c *crew) key(kind string) string {
-	c.next++
-	return fmt.Sprintf("%s-%d-%d", kind, c.number, c.next)
+func (c *client) newKey(kind string) string {
+	c.lastKey++
+	return fmt.Sprintf("%s-%d-%d", kind, c.number, c.lastKey)
 }
 
-// end takes in how a request ended, and drops a connection that did.
-func (c *crew) end(err error) (refuser.Outcome, string) {
+// recordOutcome counts the outcome of a request, and updates the session token or
+// discards a closed connection.
+func (c *client) recordOutcome(err error) (refuser.Outcome, string) {
 	o, code := stager.OutcomeOf(err)
-	c.soak.count(o, code)
+	c.soak.countOutcome(o, code)
 	if c.conn.IsClosed() {
 		c.conn = nil
 		return o, code
@@ -97,55 +98,55 @@
 	return o, code
 }
 
-func (c *crew) insert(ctx context.Context) {
-	k := c.key("row")
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
+func (c *client) insert(ctx context.Context) {
+	k := c.newKey("row")
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
 	defer cancel()
 	_, err := c.conn.Exec(ctx, "INSERT INTO ledger (key, value) VALUES ($1, $2)", k, "x")
-	o, code := c.end(err)
-	c.record(k, "", o, code)
-	if o == stager.Done {
-		c.known = append(c.known, k)
+	o, code := c.recordOutcome(err)
+	c.recordWrite(k, "", o, code)
+	if o == stager.Acknowledged {
+		c.acknowledgedKeys = append(c.acknowledgedKeys, k)
 	}
 }
 
-func (c *crew) record(k, group string, o refuser.Outcome, code string) {
+func (c *client) recordWrite(k, transaction string, o refuser.Outcome, code string) {
 	c.soak.mutex.Lock()
 	defer c.soak.mutex.Unlock()
-	c.soak.keys[k] = &write{outcome: o, code: code, group: group}
+	c.soak.writes[k] = &writeRecord{outcome: o, code: code, transaction: transaction}
 }
 
-func (c *crew) increment(ctx context.Context) {
+func (c *client) increment(ctx context.Context) {
 	k := fmt.Sprintf("counter-%d", c.number)
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
 	defer cancel()
 	c.soak.mutex.Lock()
-	n := c.soak.counts[k]
+	totals := c.soak.counters[k]
 	c.soak.mutex.Unlock()
-	if n == nil {
+	if totals == nil {
 		_, err := c.conn.Exec(ctx, "INSERT INTO ledger (key, value) VALUES ($1, $2)", k, "0")
-		if o, code := c.end(err); o == stager.Done || (o == refuser.Failed && code == "23505") {
+		if o, code := c.recordOutcome(err); o == stager.Acknowledged || (o == refuser.Failed && code == "23505") {
 			c.soak.mutex.Lock()
-			c.soak.counts[k] = &counter{}
+			c.soak.counters[k] = &counterTotals{}
 			c.soak.mutex.Unlock()
 		}
 		return
 	}
 	_, err := c.conn.Exec(ctx, "UPDATE ledger SET value = value + 1 WHERE key = $1", k)
-	o, _ := c.end(err)
+	o, _ := c.recordOutcome(err)
 	c.soak.mutex.Lock()
 	defer c.soak.mutex.Unlock()
 	switch o {
-	case stager.Done:
-		n.done++
+	case stager.Acknowledged:
+		totals.acknowledged++
 	case refuser.Unknown:
-		n.unknown++
+		totals.unknown++
 	}
 }
 
-func (c *crew) transaction(ctx context.Context) {
-	a, b := c.key("pair"), c.key("pair")
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
+func (c *client) transaction(ctx context.Context) {
+	a, b := c.newKey("pair"), c.newKey("pair")
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
 	defer cancel()
 	err := pgx.BeginFunc(ctx, c.conn, func(tx pgx.Tx) error {
 		for _, k := range []string{a, b} {
@@ -155,29 +156,29 @@
 		}
 		return nil
 	})
-	o, code := c.end(err)
-	c.record(a, a, o, code)
-	c.record(b, a, o, code)
-	if o == stager.Done {
-		c.known = append(c.known, a, b)
+	o, code := c.recordOutcome(err)
+	c.recordWrite(a, a, o, code)
+	c.recordWrite(b, a, o, code)
+	if o == stager.Acknowledged {
+		c.acknowledgedKeys = append(c.acknowledgedKeys, a, b)
 	}
 }
 
-// read looks for one of the caller's own acknowledged rows.
-func (c *crew) read(ctx context.Context) {
-	if len(c.known) == 0 {
+// read reads one of the last rows that the client inserted with acknowledgement.
+func (c *client) read(ctx context.Context) {
+	if len(c.acknowledgedKeys) == 0 {
 		return
 	}
-	k := c.known[len(c.known)-1-c.random.IntN(min(3, len(c.known)))]
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
+	k := c.acknowledgedKeys[len(c.acknowledgedKeys)-1-c.random.IntN(min(3, len(c.acknowledgedKeys)))]
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
 	defer cancel()
 	var v string
 	err := c.conn.QueryRow(ctx, "SELECT value FROM ledger WHERE key = $1", k).Scan(&v)
 	if errors.Is(err, pgx.ErrNoRows) {
-		c.soak.violate(PromiseOwnWrites, "caller %d does not see its own %s (token carried: %v)", c.number, k, c.number%2 == 0)
+		c.soak.addViolation(GuaranteeReadYourWrites, "client %d does not see its own write of %s (with token: %v)", c.number, k, c.number%2 == 0)
 		err = nil
 	}
-	c.end(err)
+	c.recordOutcome(err)
 	c.soak.mutex.Lock()
 	c.soak.report.Reads++
 	c.soak.mutex.Unlock()
--- a/internal/standin/soaker/faults.go
+++ b/internal/standin/soaker/faults.go
@@ -10,47 +10,49 @@
 )
 
 type (
-	// Fault is one kind of failure: how it is thrown, and how it is ended. Both
-	// get the same place, a number from the seed.
+	// Fault is a kind of fault. Inject and Revert of one injection are given the same
+	// selector, a random number that selects the target, instance or parameter.
+	// Revert may be nil.
 	Fault struct {
-		// Code is stable: "F" and two digits.
-		Code  string
-		Title string
-		Throw func(s *Soak, place int)
-		End   func(s *Soak, place int)
+		// Code is a stable identifier, "F" and two digits.
+		Code   string
+		Title  string
+		Inject func(s *Soak, selector int)
+		Revert func(s *Soak, selector int)
 	}
 
-	thrown struct {
-		after time.Duration
-		lasts time.Duration
-		place int
-		fault *Fault
+	// scheduledFault is one injection of a fault, delay after the previous one.
+	scheduledFault struct {
+		delay    time.Duration
+		duration time.Duration
+		selector int
+		fault    *Fault
 	}
 )
 
-// faults are the kinds that a soak pairs. A code is never used for another kind.
+// faults are all kinds of faults. The code of a removed kind isn't reused.
 var faults = []*Fault{
 	{
 		Code: "F01", Title: "primary crashes",
-		Throw: func(s *Soak, _ int) {
+		Inject: func(s *Soak, _ int) {
 			if p := s.primary(); p != nil {
 				s.fleet.KillTarget(p)
 			}
 		},
-		End: func(s *Soak, _ int) { s.restartTargets() },
+		Revert: func(s *Soak, _ int) { s.restartTargets() },
 	},
 	{
 		Code: "F02", Title: "primary freezes",
-		Throw: func(s *Soak, _ int) {
+		Inject: func(s *Soak, _ int) {
 			if p := s.primary(); p != nil {
 				p.Faults.Freeze()
 			}
 		},
-		End: func(s *Soak, _ int) { s.thaw() },
+		Revert: func(s *Soak, _ int) { s.thawTargets() },
 	},
 	{
-		Code: "F03", Title: "primary is cut from its replicas only",
-		Throw: func(s *Soak, _ int) {
+		Code: "F03", Title: "primary is cut off from its replicas only",
+		Inject: func(s *Soak, _ int) {
 			p := s.primary()
 			if p == nil {
 				return
@@ -61,68 +63,68 @@
 				}
 			}
 		},
-		End: func(s *Soak, _ int) { s.fleet.Net.HealAll() },
+		Revert: func(s *Soak, _ int) { s.fleet.Net.HealAll() },
 	},
 	{
 		Code: "F04", Title: "an availability zone is cut off",
-		Throw: func(s *Soak, n int) {
-			z := s.fleet.Plan.Zones
-			zone := z[n%len(z)]
-			for _, o := range append([]string{"platform"}, z...) {
+		Inject: func(s *Soak, n int) {
+			zones := s.fleet.Plan.Zones
+			zone := zones[n%len(zones)]
+			for _, o := range append([]string{"platform"}, zones...) {
 				if o != zone {
 					s.fleet.Net.Cut(zone, o)
 				}
 			}
 		},
-		End: func(s *Soak, _ int) { s.fleet.Net.HealAll() },
+		Revert: func(s *Soak, _ int) { s.fleet.Net.HealAll() },
 	},
 	{
 		Code: "F05", Title: "the store is down",
-		Throw: func(s *Soak, _ int) { s.fleet.Store.SetFaults(func(f *storer.Faults) { f.Down = true }) },
-		End:   func(s *Soak, _ int) { s.fleet.Store.SetFaults(func(f *storer.Faults) { f.Down = false }) },
+		Inject: func(s *Soak, _ int) { s.fleet.Store.SetFaults(func(f *storer.Faults) { f.Down = true }) },
+		Revert: func(s *Soak, _ int) { s.fleet.Store.SetFaults(func(f *storer.Faults) { f.Down = false }) },
 	},
 	{
-		Code: "F06", Title: "store answers are lost after their effect",
-		Throw: func(s *Soak, n int) { s.fleet.Store.SetFaults(func(f *storer.Faults) { f.LoseResponses = 1 + n%3 }) },
-		End:   func(s *Soak, _ int) { s.fleet.Store.SetFaults(func(f *storer.Faults) { f.LoseResponses = 0 }) },
+		Code: "F06", Title: "store responses are lost after the operation took effect",
+		Inject: func(s *Soak, n int) { s.fleet.Store.SetFaults(func(f *storer.Faults) { f.LoseResponses = 1 + n%3 }) },
+		Revert: func(s *Soak, _ int) { s.fleet.Store.SetFaults(func(f *storer.Faults) { f.LoseResponses = 0 }) },
 	},
 	{
 		Code: "F07", Title: "an instance crashes and is replaced",
-		Throw: func(s *Soak, n int) { s.fleet.KillInstance(s.entry(n)) },
-		End:   func(s *Soak, n int) { s.startInstances() },
+		Inject: func(s *Soak, n int) { s.fleet.KillInstance(s.instance(n)) },
+		Revert: func(s *Soak, n int) { s.startInstances() },
 	},
 	{
-		Code: "F08", Title: "a replica lags",
-		Throw: func(s *Soak, n int) { s.target(n).Faults.SetReplayLag(time.Duration(1+n%5) * time.Second) },
-		End:   func(s *Soak, n int) { s.target(n).Faults.SetReplayLag(0) },
+		Code: "F08", Title: "replay on a target is delayed",
+		Inject: func(s *Soak, n int) { s.target(n).Faults.SetReplayLag(time.Duration(1+n%5) * time.Second) },
+		Revert: func(s *Soak, n int) { s.target(n).Faults.SetReplayLag(0) },
 	},
 	{
-		Code: "F09", Title: "replicas receive late",
-		Throw: func(s *Soak, n int) { s.target(n).Faults.SetStreamLag(time.Duration(1+n%9) * 50 * time.Millisecond) },
-		End:   func(s *Soak, n int) { s.target(n).Faults.SetStreamLag(0) },
+		Code: "F09", Title: "replication to a target is delayed",
+		Inject: func(s *Soak, n int) { s.target(n).Faults.SetStreamLag(time.Duration(1+n%9) * 50 * time.Millisecond) },
+		Revert: func(s *Soak, n int) { s.target(n).Faults.SetStreamLag(0) },
 	},
 	{
-		Code: "F10", Title: "a target runs a write and its answer is lost",
-		Throw: func(s *Soak, n int) { s.target(n).Faults.LoseNextAnswer() },
+		Code: "F10", Title: "a target runs a write and its response is lost",
+		Inject: func(s *Soak, n int) { s.target(n).Faults.LoseNextAnswer() },
 	},
 	{
-		Code: "F11", Title: "open connections of a target go silent",
-		Throw: func(s *Soak, n int) { s.target(n).SilenceOpen() },
+		Code: "F11", Title: "open connections of a target stop responding",
+		Inject: func(s *Soak, n int) { s.target(n).SilenceOpen() },
 	},
 	{
 		Code: "F12", Title: "a target is slow",
-		Throw: func(s *Soak, n int) { s.target(n).Faults.SetSlow(time.Duration(1+n%4) * 50 * time.Millisecond) },
-		End:   func(s *Soak, n int) { s.target(n).Faults.SetSlow(0) },
+		Inject: func(s *Soak, n int) { s.target(n).Faults.SetSlow(time.Duration(1+n%4) * 50 * time.Millisecond) },
+		Revert: func(s *Soak, n int) { s.target(n).Faults.SetSlow(0) },
 	},
 	{
-		Code: "F13", Title: "an instance is cut from everything",
-		Throw: func(s *Soak, n int) { s.isolate(s.entry(n)) },
-		End:   func(s *Soak, _ int) { s.fleet.Net.HealAll() },
+		Code: "F13", Title: "an instance is cut off from all other hosts",
+		Inject: func(s *Soak, n int) { s.isolate(s.instance(n)) },
+		Revert: func(s *Soak, _ int) { s.fleet.Net.HealAll() },
 	},
 }
 
-func (s *Soak) entry(n int) *stager.Entry   { return s.fleet.Instances[n%len(s.fleet.Instances)] }
-func (s *Soak) target(n int) *stager.Target { return s.fleet.Members[n%len(s.fleet.Members)] }
+func (s *Soak) instance(n int) *stager.Entry { return s.fleet.Instances[n%len(s.fleet.Instances)] }
+func (s *Soak) target(n int) *stager.Target  { return s.fleet.Members[n%len(s.fleet.Members)] }
 
 func (s *Soak) isolate(e *stager.Entry) {
 	for _, t := range s.fleet.Members {
@@ -136,7 +138,7 @@
 	s.fleet.Net.Cut(e.IP, "platform")
 }
 
-func (s *Soak) thaw() {
+func (s *Soak) thawTargets() {
 	for _, t := range s.fleet.Members {
 		t.Faults.Thaw()
 	}
@@ -158,48 +160,49 @@
 	}
 }
 
-// Faults returns the kinds, in the order of their codes.
+// Faults returns all kinds of faults, ordered by code.
 func Faults() []*Fault { return faults }
 
-// schedule draws the faults: any two, or the same one twice.
-func (s *Soak) schedule() []thrown {
-	var out []thrown
-	for range s.Faults {
-		out = append(out, thrown{
-			after: 500*time.Millisecond + time.Duration(s.random.Int64N(int64(s.Length/time.Duration(2*s.Faults)))),
-			lasts: 500*time.Millisecond + time.Duration(s.random.Int64N(int64(s.Length/2))),
-			place: s.random.IntN(60),
-			fault: faults[s.random.IntN(len(faults))],
+// scheduleFaults returns random faults with their times; a kind may occur repeatedly.
+func (s *Soak) scheduleFaults() []scheduledFault {
+	var schedule []scheduledFault
+	for range s.FaultCount {
+		schedule = append(schedule, scheduledFault{
+			delay:    500*time.Millisecond + time.Duration(s.random.Int64N(int64(s.LoadDuration/time.Duration(2*s.FaultCount)))),
+			duration: 500*time.Millisecond + time.Duration(s.random.Int64N(int64(s.LoadDuration/2))),
+			selector: s.random.IntN(60),
+			fault:    faults[s.random.IntN(len(faults))],
 		})
 	}
-	return out
+	return schedule
 }
 
-func (s *Soak) throw(ctx context.Context, t thrown) {
-	s.report.Faults = append(s.report.Faults, fmt.Sprintf("%s %s at place %d for %v", t.fault.Code, t.fault.Title, t.place, t.lasts))
-	t.fault.Throw(s, t.place)
-	if t.fault.End == nil {
+// inject injects a fault and reverts it after its duration, unless ctx is done before.
+func (s *Soak) inject(ctx context.Context, t scheduledFault) {
+	s.report.Faults = append(s.report.Faults, fmt.Sprintf("%s %s with selector %d for %v", t.fault.Code, t.fault.Title, t.selector, t.duration))
+	t.fault.Inject(s, t.selector)
+	if t.fault.Revert == nil {
 		return
 	}
-	s.ending.Add(1)
+	s.reverts.Add(1)
 	go func() {
-		defer s.ending.Done()
+		defer s.reverts.Done()
 		select {
-		case <-time.After(t.lasts):
-			s.endings.Lock()
-			defer s.endings.Unlock()
-			t.fault.End(s, t.place)
+		case <-time.After(t.duration):
+			s.revertMutex.Lock()
+			defer s.revertMutex.Unlock()
+			t.fault.Revert(s, t.selector)
 		case <-ctx.Done():
 		}
 	}()
 }
 
-// heal ends every fault.
-func (s *Soak) heal() {
-	s.ending.Wait()
+// revertAll reverts every fault, after the pending reverts have finished.
+func (s *Soak) revertAll() {
+	s.reverts.Wait()
 	s.fleet.Net.HealAll()
 	s.fleet.Store.SetFaults(func(f *storer.Faults) { *f = storer.Faults{} })
-	s.thaw()
+	s.thawTargets()
 	for _, t := range s.fleet.Members {
 		t.Faults.SetReplayLag(0)
 		t.Faults.SetStreamLag(0)
--- a/internal/standin/soaker/soaker.go
+++ b/internal/standin/soaker/soaker.go
@@ -1,6 +1,6 @@
-// Package soaker runs a staged fleet under load and faults chosen by a seed, and
-// checks the promises against what the targets recorded. A seed gives the same
-// faults at the same virtual times in every run.
+// Package soaker runs a simulated fleet under load with random faults, and checks the
+// consistency guarantees against the targets' logs. A seed determines the faults and
+// their virtual times.
 package soaker
 
 import (
@@ -19,45 +19,46 @@
 	"github.com/oriolegw/oriolegw/pkg/refuser"
 )
 
-// The promises that are checked.
+// The guarantees that a soak checks.
 const (
-	PromiseOwnWrites = "read-your-writes"
-	PromiseKept      = "acknowledged-write-kept"
-	PromiseNotRun    = "not-run-is-true"
-	PromiseOnce      = "at-most-once"
-	PromiseAtomic    = "transactions-never-mix"
-	PromiseBudget    = "budget-never-exceeded"
-	PromiseRecovers  = "serves-again-after-faults"
+	GuaranteeReadYourWrites   = "read-your-writes"
+	GuaranteeDurability       = "acknowledged-write-kept"
+	GuaranteeNotRun           = "not-run-is-true"
+	GuaranteeAtMostOnce       = "at-most-once"
+	GuaranteeAtomicity        = "transactions-never-mix"
+	GuaranteeConnectionBudget = "budget-never-exceeded"
+	GuaranteeRecovery         = "serves-again-after-faults"
 )
 
 type (
 	// Soak is one run. Set the exported fields, then call Run.
 	Soak struct {
 		Seed uint64
-		// Length is the virtual time under load; 0 means DefaultLength.
-		Length time.Duration
-		// Faults are how many are thrown; 0 means 2.
-		Faults int
-		// PerZone is how many instances each zone has; 0 means 1.
-		PerZone int
-		// Connections is the group's budget; 0 means 60.
-		Connections int
-		Log         log.Logger
+		// LoadDuration is the duration of the load in virtual time; 0 means
+		// DefaultLoadDuration.
+		LoadDuration time.Duration
+		// FaultCount is the number of faults to inject; 0 means 2.
+		FaultCount int
+		// InstancesPerZone is the number of instances in each zone; 0 means 1.
+		InstancesPerZone int
+		// ConnectionBudget limits the group's connections; 0 means 60.
+		ConnectionBudget int
+		Log              log.Logger
 
 		fleet  *stager.Fleet
 		random *rand.Rand
 
-		ending  sync.WaitGroup // faults that will end by themselves
-		endings sync.Mutex
+		reverts     sync.WaitGroup // pending reverts of faults
+		revertMutex sync.Mutex
 
 		mutex sync.Mutex
-		// report is guarded by the mutex while callers run.
-		report Report
-		keys   map[string]*write
-		counts map[string]*counter
+		// report is guarded by the mutex while the clients run.
+		report   Report
+		writes   map[string]*writeRecord
+		counters map[string]*counterTotals
 	}
 
-	// Report is what a run found.
+	// Report is the result of a run.
 	Report struct {
 		Seed       uint64
 		Faults     []string
@@ -67,56 +68,56 @@
 		Violations []Violation
 	}
 
-	// Violation is one broken promise.
+	// Violation is one breach of a guarantee.
 	Violation struct {
-		Promise string
-		Detail  string
+		Guarantee string
+		Detail    string
 	}
 
-	// write is one row that a caller tried to insert; all the rows of one
-	// transaction have the same group.
-	write struct {
-		outcome refuser.Outcome
-		code    string
-		group   string
+	// writeRecord is the insertion of one row. The rows of one transaction share its
+	// name; it is "" outside of transactions.
+	writeRecord struct {
+		outcome     refuser.Outcome
+		code        string
+		transaction string
 	}
 
-	// counter is what a caller did to its counter.
-	counter struct{ done, unknown int }
+	// counterTotals counts the increments of a client's counter by outcome.
+	counterTotals struct{ acknowledged, unknown int }
 )
 
 const (
-	// DefaultLength is the virtual time under load.
-	DefaultLength = 20 * time.Second
+	// DefaultLoadDuration is the default duration of the load in virtual time.
+	DefaultLoadDuration = 20 * time.Second
 
-	callers       = 6
-	pause         = 40 * time.Millisecond
-	settle        = 15 * time.Second
-	callTimeout   = 30 * time.Second
-	samplePeriod  = 5 * time.Millisecond
-	table         = "ledger"
-	maxViolations = 20
+	clientCount     = 6
+	requestInterval = 40 * time.Millisecond
+	settleTime      = 15 * time.Second
+	requestTimeout  = 30 * time.Second
+	sampleInterval  = 5 * time.Millisecond
+	table           = "ledger"
+	maxViolations   = 20
 )
 
-// Run runs the soak; the error is one of the run itself, not a violation.
+// Run runs the soak. Violations are in the report; an error means that the run failed.
 func (s *Soak) Run(ctx context.Context) (Report, error) {
-	if s.Length == 0 {
-		s.Length = DefaultLength
+	if s.LoadDuration == 0 {
+		s.LoadDuration = DefaultLoadDuration
 	}
-	if s.Faults == 0 {
-		s.Faults = 2
+	if s.FaultCount == 0 {
+		s.FaultCount = 2
 	}
-	if s.Connections == 0 {
-		s.Connections = 60
+	if s.ConnectionBudget == 0 {
+		s.ConnectionBudget = 60
 	}
 	s.random = rand.New(rand.NewPCG(s.Seed, 1))
 	s.report = Report{Seed: s.Seed, Outcomes: map[string]int{}}
-	s.keys, s.counts = map[string]*write{}, map[string]*counter{}
+	s.writes, s.counters = map[string]*writeRecord{}, map[string]*counterTotals{}
 	f, err := stager.Start(ctx, stager.Plan{
-		Seed: s.Seed, PerZone: s.PerZone, ZoneLatency: 1500 * time.Microsecond, CallerLatency: 3 * time.Millisecond,
+		Seed: s.Seed, PerZone: s.InstancesPerZone, ZoneLatency: 1500 * time.Microsecond, CallerLatency: 3 * time.Millisecond,
 		Jitter: time.Millisecond, ConnectTime: 10 * time.Millisecond, Slots: 3, Work: 2 * time.Millisecond, Log: s.Log,
 		Services: []configurer.Service{{
-			Name: stager.DefaultService, Connections: s.Connections, Slots: 3,
+			Name: stager.DefaultService, Connections: s.ConnectionBudget, Slots: 3,
 			Rules: []configurer.ReaderRule{{Kind: configurer.DefaultKind, MaxAge: 10 * time.Second}},
 		}},
 	})
@@ -128,43 +129,44 @@
 	if err := f.Ready(ctx); err != nil {
 		return s.report, err
 	}
-	s.underLoad(ctx)
-	s.check(ctx)
+	s.runLoad(ctx)
+	s.checkGuarantees(ctx)
 	return s.report, nil
 }
 
-// underLoad runs the callers and throws the faults, then heals everything.
-func (s *Soak) underLoad(ctx context.Context) {
-	load, stop := context.WithTimeout(ctx, s.Length)
+// runLoad runs the clients while it injects the faults, and then reverts all faults.
+func (s *Soak) runLoad(ctx context.Context) {
+	loadCtx, stop := context.WithTimeout(ctx, s.LoadDuration)
 	defer stop()
-	ended := make(chan struct{})
-	for n := range callers {
+	exited := make(chan struct{})
+	for n := range clientCount {
 		go func() {
-			s.caller(load, n)
-			ended <- struct{}{}
+			s.runClient(loadCtx, n)
+			exited <- struct{}{}
 		}()
 	}
 	go func() {
-		s.sample(load)
-		ended <- struct{}{}
+		s.sampleConnections(loadCtx)
+		exited <- struct{}{}
 	}()
-	for _, t := range s.schedule() {
+	for _, t := range s.scheduleFaults() {
 		select {
-		case <-time.After(t.after):
-			s.throw(load, t)
-		case <-load.Done():
+		case <-time.After(t.delay):
+			s.inject(loadCtx, t)
+		case <-loadCtx.Done():
 		}
 	}
-	<-load.Done()
-	for range callers + 1 {
-		<-ended
+	<-loadCtx.Done()
+	for range clientCount + 1 {
+		<-exited
 	}
-	s.heal()
-	time.Sleep(settle)
+	s.revertAll()
+	time.Sleep(settleTime)
 }
 
-// sample watches the number of connections that a group's targets count.
-func (s *Soak) sample(ctx context.Context) {
+// sampleConnections checks repeatedly that no group's targets have more connections
+// than the group's budget.
+func (s *Soak) sampleConnections(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, v := range s.fleet.Document.Services {
 			sum := 0
@@ -174,22 +176,22 @@
 				}
 			}
 			if sum > v.Connections {
-				s.violate(PromiseBudget, "%s: %d connections, budget %d", v.Name, sum, v.Connections)
+				s.addViolation(GuaranteeConnectionBudget, "%s: %d connections, budget %d", v.Name, sum, v.Connections)
 			}
 		}
-		time.Sleep(samplePeriod)
+		time.Sleep(sampleInterval)
 	}
 }
 
-func (s *Soak) violate(promise, format string, a ...any) {
+func (s *Soak) addViolation(guarantee, format string, a ...any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.report.Violations) < maxViolations {
-		s.report.Violations = append(s.report.Violations, Violation{Promise: promise, Detail: fmt.Sprintf(format, a...)})
+		s.report.Violations = append(s.report.Violations, Violation{Guarantee: guarantee, Detail: fmt.Sprintf(format, a...)})
 	}
 }
 
-func (s *Soak) count(o refuser.Outcome, code string) {
+func (s *Soak) countOutcome(o refuser.Outcome, code string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	k := string(o)
@@ -199,81 +201,84 @@
 	s.report.Outcomes[k]++
 }
 
-// check compares what callers were told with what the targets hold and ran.
-func (s *Soak) check(ctx context.Context) {
+// checkGuarantees compares the outcomes reported to the clients with the rows and logs
+// of the targets.
+func (s *Soak) checkGuarantees(ctx context.Context) {
 	p := s.primary()
 	if p == nil {
-		s.violate(PromiseRecovers, "no primary %v after the faults were healed", settle)
+		s.addViolation(GuaranteeRecovery, "no primary %v after the faults were reverted", settleTime)
 		return
 	}
-	if err := s.serves(ctx); err != nil {
-		s.violate(PromiseRecovers, "a write after the faults were healed: %v", err)
+	if err := s.checkWritable(ctx); err != nil {
+		s.addViolation(GuaranteeRecovery, "a write after the faults were reverted failed: %v", err)
 	}
-	ran := s.committed()
-	groups := map[string][2]int{}
-	names := make([]string, 0, len(s.keys))
-	for k := range s.keys {
-		names = append(names, k)
+	committed := s.commitCounts()
+	rowCounts := map[string][2]int{} // rows written and rows present, by transaction
+	keys := make([]string, 0, len(s.writes))
+	for k := range s.writes {
+		keys = append(keys, k)
 	}
-	slices.Sort(names)
-	for _, k := range names {
-		w := s.keys[k]
-		_, kept := p.Value(table, k)
-		if w.outcome == stager.Done && !kept {
-			s.violate(PromiseKept, "%s was acknowledged and is not on %s", k, p.Name)
+	slices.Sort(keys)
+	for _, k := range keys {
+		w := s.writes[k]
+		_, present := p.Value(table, k)
+		if w.outcome == stager.Acknowledged && !present {
+			s.addViolation(GuaranteeDurability, "%s was acknowledged but is missing on %s", k, p.Name)
 		}
-		if w.outcome == refuser.NotRun && ran[k] > 0 {
-			s.violate(PromiseNotRun, "%s was refused (%s) as not run, and a target committed it", k, w.code)
+		if w.outcome == refuser.NotRun && committed[k] > 0 {
+			s.addViolation(GuaranteeNotRun, "%s was refused (%s) as not run, but a target committed it", k, w.code)
 		}
-		if w.group != "" {
-			n := groups[w.group]
+		if w.transaction != "" {
+			n := rowCounts[w.transaction]
 			n[0]++
-			if kept {
+			if present {
 				n[1]++
 			}
-			groups[w.group] = n
+			rowCounts[w.transaction] = n
 		}
 	}
-	for g, n := range groups {
+	for g, n := range rowCounts {
 		if n[1] != 0 && n[1] != n[0] {
-			s.violate(PromiseAtomic, "transaction %s: %d of %d rows", g, n[1], n[0])
+			s.addViolation(GuaranteeAtomicity, "transaction %s: %d of %d rows present", g, n[1], n[0])
 		}
 	}
 	s.checkCounters(p)
 }
 
 func (s *Soak) checkCounters(p *stager.Target) {
-	for k, c := range s.counts {
+	for k, c := range s.counters {
 		v, _ := p.Value(table, k)
 		n := 0
 		_, _ = fmt.Sscan(v, &n)
-		if n < c.done {
-			s.violate(PromiseKept, "counter %s is %d, acknowledged %d", k, n, c.done)
+		if n < c.acknowledged {
+			s.addViolation(GuaranteeDurability, "counter %s is %d, acknowledged %d", k, n, c.acknowledged)
 		}
-		if n > c.done+c.unknown {
-			s.violate(PromiseOnce, "counter %s is %d, acknowledged %d, unknown %d", k, n, c.done, c.unknown)
+		if n > c.acknowledged+c.unknown {
+			s.addViolation(GuaranteeAtMostOnce, "counter %s is %d, acknowledged %d, unknown %d", k, n, c.acknowledged, c.unknown)
 		}
 	}
 }
 
-// primary returns the primary of the newest term.
+// primary returns the primary in the highest term, or nil.
 func (s *Soak) primary() *stager.Target { return s.fleet.Primary(stager.DefaultService) }
 
-// committed counts, over the logs of all members, the entries that set a key.
-func (s *Soak) committed() map[string]int {
-	out := map[string]int{}
+// commitCounts returns the number of operations on each key in the commit records of all
+// members.
+func (s *Soak) commitCounts() map[string]int {
+	counts := map[string]int{}
 	for _, t := range s.fleet.Members {
 		for _, r := range t.Journal() {
 			for _, o := range r.Ops {
-				out[o.Key]++
+				counts[o.Key]++
 			}
 		}
 	}
-	return out
+	return counts
 }
 
-func (s *Soak) serves(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+// checkWritable writes one row through every instance.
+func (s *Soak) checkWritable(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	for _, e := range s.fleet.Instances {
 		c, err := s.fleet.Connect(ctx, e, stager.DefaultService, nil)
@@ -289,7 +294,7 @@
 	return nil
 }
 
-// String is one line for the log of a run.
+// String returns a summary of one line.
 func (r Report) String() string {
 	keys := make([]string, 0, len(r.Outcomes))
 	for k := range r.Outcomes {
--- a/internal/standin/stager/deployments.go
+++ b/internal/standin/stager/deployments.go
@@ -6,14 +6,14 @@
 	"github.com/oriolegw/oriolegw/internal/configurer"
 )
 
-// Keyhold is the deployment of the locker service: short latencies, three groups,
-// few slots and a budget of 20 connections each, nine instances.
+// Keyhold returns the plan of the locker service's deployment: nine instances and
+// three groups with low latency, few execution slots and small connection budgets.
 func Keyhold() Plan {
 	return Plan{
 		Zones: []string{"hobart", "launceston", "burnie"}, PerZone: 3,
 		ZoneLatency: 1500 * time.Microsecond, CallerLatency: 3 * time.Millisecond, Jitter: 200 * time.Microsecond,
 		ConnectTime: 10 * time.Millisecond, Slots: 3, Work: time.Millisecond,
-		Services: groups([]string{"lockers", "bookings", "custody"}, 20, 3, []configurer.ReaderRule{
+		Services: newServices([]string{"lockers", "bookings", "custody"}, 20, 3, []configurer.ReaderRule{
 			{Kind: configurer.DefaultKind, MaxAge: 5 * time.Second},
 			{Kind: "drop-status", MaxAge: 2 * time.Second},
 			{Kind: "release", MaxAge: 0},
@@ -21,14 +21,14 @@
 	}
 }
 
-// Kellerman is the deployment of the job sheets: three groups with a budget of 60
-// connections each, slow new connections, nine instances.
+// Kellerman returns the plan of the job sheet deployment: nine instances and three
+// groups with large connection budgets and slow connection establishment.
 func Kellerman() Plan {
 	return Plan{
 		Zones: []string{"perth", "pilbara", "south-west"}, PerZone: 3,
 		ZoneLatency: time.Millisecond, CallerLatency: 3 * time.Millisecond, Jitter: 200 * time.Microsecond,
 		ConnectTime: 30 * time.Millisecond, Slots: 5, Work: time.Millisecond,
-		Services: groups([]string{"sheets", "results", "hours"}, 60, 5, []configurer.ReaderRule{
+		Services: newServices([]string{"sheets", "results", "hours"}, 60, 5, []configurer.ReaderRule{
 			{Kind: configurer.DefaultKind, MaxAge: 30 * time.Second},
 			{Kind: "past-sheets", MaxAge: time.Minute},
 			{Kind: "own-sheets", MaxAge: 5 * time.Second},
@@ -37,10 +37,10 @@
 	}
 }
 
-func groups(names []string, connections, slots int, rules []configurer.ReaderRule) []configurer.Service {
-	var out []configurer.Service
-	for _, n := range names {
-		out = append(out, configurer.Service{Name: n, Connections: connections, Slots: slots, Rules: rules})
+func newServices(names []string, connections, slots int, rules []configurer.ReaderRule) []configurer.Service {
+	var services []configurer.Service
+	for _, name := range names {
+		services = append(services, configurer.Service{Name: name, Connections: connections, Slots: slots, Rules: rules})
 	}
-	return out
+	return services
 }
--- a/internal/standin/stager/outcome.go
+++ b/internal/standin/stager/outcome.go
@@ -6,15 +6,15 @@
 	"github.com/oriolegw/oriolegw/pkg/refuser"
 )
 
-// Done is the outcome of a request that was answered.
-const Done refuser.Outcome = "done"
+// Acknowledged is the outcome of a request that succeeded.
+const Acknowledged refuser.Outcome = "done"
 
-// OutcomeOf tells what a caller knows of its request from the error it got. An
-// error without a refusal's hint is the target's own (failed), and a connection
-// that broke without an answer leaves the outcome unknown.
+// OutcomeOf returns the outcome that a client can infer from the error of a request,
+// and the error's code. An error without a refusal's hint was raised by the target
+// (failed); a connection lost before the response leaves the outcome unknown.
 func OutcomeOf(err error) (outcome refuser.Outcome, code string) {
 	if err == nil {
-		return Done, ""
+		return Acknowledged, ""
 	}
 	var e *pgconn.PgError
 	if !errors.As(err, &e) {
--- a/internal/standin/stager/stager.go
+++ b/internal/standin/stager/stager.go
@@ -1,6 +1,6 @@
-// Package stager puts a whole fleet into one process for tests: the platform,
-// groups of targets and entry instances, each a host of a network in memory. The
-// code is that of the programs; inside testing/synctest it runs on virtual time.
+// Package stager runs a complete fleet in one process for tests: the platform, groups
+// of targets and entry instances, each a host on an in-memory network. It runs the
+// production code of the instances, on virtual time inside testing/synctest.
 package stager
 
 import (
@@ -28,31 +28,34 @@
 )
 
 type (
-	// Plan says what to stage. The zero values of its fields are usable.
+	// Plan configures a fleet. The zero value of every field is usable.
 	Plan struct {
 		Seed uint64
-		// Zones are the availability zones; default "a", "b", "c".
+		// Zones are the availability zones; the default is "a", "b", "c".
 		Zones []string
-		// Services are the groups; members are placed one in each zone, in
-		// order. Default: one service "lockers" with three members.
+		// Services are the groups; the first member of each starts as primary. A
+		// group without members gets one in each zone. The default is one group.
 		Services []configurer.Service
-		// PerZone is how many instances each zone has; default 1.
+		// PerZone is the number of instances in each zone; 0 means 1, a negative
+		// number none.
 		PerZone int
 		// ZoneLatency is the one-way delay between zones, CallerLatency that
-		// between callers and instances.
+		// between clients and instances.
 		ZoneLatency, CallerLatency time.Duration
-		// Jitter is the largest random addition to each delay.
+		// Jitter is the maximum random addition to each delay.
 		Jitter time.Duration
-		// ConnectTime, Slots and Work are those of the targets.
+		// ConnectTime, Work and Slots are the targets' time to accept a connection,
+		// execution time of a statement and number of concurrent statements.
 		ConnectTime, Work time.Duration
 		Slots             int
 		Log               log.Logger
-		// Users go into the document; Settings changes those of each instance.
+		// Users are added to the configuration document; Settings modifies the
+		// settings of each instance.
 		Users    []configurer.User
 		Settings func(*loader.Settings)
 	}
 
-	// Fleet is what has been staged.
+	// Fleet is a running fleet.
 	Fleet struct {
 		Plan      Plan
 		Net       *wirer.Net
@@ -62,14 +65,14 @@
 		Members   []*Target
 		Instances []*Entry
 
-		ctx    context.Context
-		cancel context.CancelFunc
-		ended  chan error
-		open   int
-		starts uint64 // instances started so far
+		ctx       context.Context
+		cancel    context.CancelFunc
+		ended     chan error
+		processes int
+		starts    uint64 // instance starts so far; part of each instance's seed
 	}
 
-	// Target is one member of a group, as a process.
+	// Target is the process of one member of a group.
 	Target struct {
 		*replicator.Member
 		Service string
@@ -80,13 +83,13 @@
 		ended  chan error
 	}
 
-	// Entry is one entry instance, as a process.
+	// Entry is the process of one entry instance.
 	Entry struct {
 		Name    string
 		IP      string
 		Zone    string
 		Metrics tally.TestScope
-		// Events reach the control loop of the instance.
+		// Events are delivered to the instance's control loop.
 		Events chan controller.Event
 
 		cancel context.CancelFunc
@@ -95,19 +98,19 @@
 )
 
 const (
-	platformIP = "10.0.0.1"
-	eventQueue = 16
-	callerIP   = "10.0.9.1"
-	tokenKey   = "0123456789abcdef0123456789abcdef"
-	// DefaultService is the service of an empty plan.
+	platformIP     = "10.0.0.1"
+	eventQueueSize = 16
+	clientIP       = "10.0.9.1"
+	tokenKey       = "0123456789abcdef0123456789abcdef"
+	// DefaultService is the service of a plan without services.
 	DefaultService = "lockers"
 )
 
-func (p *Plan) defaults() {
+func (p *Plan) setDefaults() {
 	if len(p.Zones) == 0 {
 		p.Zones = []string{"a", "b", "c"}
 	}
-	if p.PerZone == 0 { // a negative number means none
+	if p.PerZone == 0 {
 		p.PerZone = 1
 	}
 	if len(p.Services) == 0 {
@@ -121,14 +124,14 @@
 	}
 }
 
-// Start stages a plan. Close ends what it started.
+// Start starts the fleet of a plan. The caller must Close it.
 func Start(ctx context.Context, p Plan) (*Fleet, error) {
-	p.defaults()
+	p.setDefaults()
 	f := &Fleet{Plan: p, Net: wirer.New(p.Seed), Store: storer.NewMemory(), Document: &configurer.Document{Users: p.Users}, ended: make(chan error)}
 	f.ctx, f.cancel = context.WithCancel(ctx)
 	f.Net.Latency = f.latency
 	f.Platform = &keeper.Keeper{Address: platformIP + ":7000", Network: f.Net.Host(platformIP, "platform"), Store: f.Store, Log: p.Log}
-	f.run(f.Platform.Run)
+	f.startProcess(f.Platform.Run)
 	for i, s := range p.Services {
 		f.addGroup(i, s)
 	}
@@ -136,8 +139,8 @@
 		return nil, errors.Errorf("publish document: %v", err)
 	}
 	for z, zone := range p.Zones {
-		for k := range p.PerZone {
-			e := &Entry{Name: fmt.Sprintf("entry-%s-%d", zone, k+1), IP: fmt.Sprintf("10.1.%d.%d", z+1, k+1), Zone: zone}
+		for n := range p.PerZone {
+			e := &Entry{Name: fmt.Sprintf("entry-%s-%d", zone, n+1), IP: fmt.Sprintf("10.1.%d.%d", z+1, n+1), Zone: zone}
 			f.Instances = append(f.Instances, e)
 			f.StartInstance(e)
 		}
@@ -145,15 +148,15 @@
 	return f, nil
 }
 
-func (f *Fleet) run(run func(context.Context) error) {
-	f.open++
+func (f *Fleet) startProcess(run func(context.Context) error) {
+	f.processes++
 	go func() { f.ended <- run(f.ctx) }()
 }
 
-// Context ends when the fleet is closed.
+// Context returns a context that is canceled when the fleet is closed.
 func (f *Fleet) Context() context.Context { return f.ctx }
 
-// Close stops every process and waits for its end.
+// Close stops every process and waits until all have exited.
 func (f *Fleet) Close() {
 	for _, e := range f.Instances {
 		f.StopInstance(e)
@@ -162,7 +165,7 @@
 		f.StopTarget(t)
 	}
 	f.cancel()
-	for ; f.open > 0; f.open-- {
+	for ; f.processes > 0; f.processes-- {
 		<-f.ended
 	}
 }
@@ -172,7 +175,7 @@
 	switch {
 	case from == to:
 		return 0
-	case from.IP == callerIP || to.IP == callerIP:
+	case from.IP == clientIP || to.IP == clientIP:
 		d = f.Plan.CallerLatency
 	case from.Zone != to.Zone:
 		d = f.Plan.ZoneLatency
@@ -221,7 +224,7 @@
 // Running reports whether the instance's process runs.
 func (e *Entry) Running() bool { return e.cancel != nil }
 
-// StopTarget ends a target's process.
+// StopTarget stops a target's process and waits for its exit.
 func (f *Fleet) StopTarget(t *Target) {
 	if t.cancel == nil {
 		return
@@ -231,25 +234,25 @@
 	t.cancel = nil
 }
 
-// KillTarget ends a target as a crash does: its connections are reset and new
-// ones refused. Its log stays, as on a disk.
+// KillTarget simulates a crash of a target: its connections are reset and new ones
+// are refused. Its log persists.
 func (f *Fleet) KillTarget(t *Target) {
 	f.Net.Kill(t.IP)
 	f.StopTarget(t)
 }
 
-// RestartTarget starts a killed target again with the log it had.
+// RestartTarget restarts a killed target with its persisted log.
 func (f *Fleet) RestartTarget(t *Target) {
 	f.Net.Revive(t.IP)
 	f.startTarget(t)
 }
 
-// StartInstance starts an entry instance with an empty memory.
+// StartInstance starts an entry instance, which keeps no state of an earlier run.
 func (f *Fleet) StartInstance(e *Entry) {
 	h := f.Net.Host(e.IP, e.Zone)
 	f.Net.Revive(e.IP)
 	f.starts++
-	e.Events = make(chan controller.Event, eventQueue)
+	e.Events = make(chan controller.Event, eventQueueSize)
 	e.Metrics = tally.NewTestScope("", nil)
 	store := (&storer.Client{Address: f.Platform.Address, Network: h}).Open()
 	list := (&lister.Client{Address: f.Platform.Address, Network: h}).Open()
@@ -274,7 +277,7 @@
 	}()
 }
 
-// seeds are the addresses of all instances of the plan.
+// seeds returns the peer addresses of all instances.
 func (f *Fleet) seeds() []string {
 	var out []string
 	for _, e := range f.Instances {
@@ -283,7 +286,7 @@
 	return out
 }
 
-// StopInstance ends an instance's process at once.
+// StopInstance stops an instance's process without draining it.
 func (f *Fleet) StopInstance(e *Entry) {
 	if e.cancel == nil {
 		return
@@ -293,32 +296,32 @@
 	e.cancel = nil
 }
 
-// AwaitInstance waits until an instance has ended of itself.
+// AwaitInstance waits until an instance has exited by itself.
 func (f *Fleet) AwaitInstance(e *Entry) {
 	<-e.ended
 	e.cancel()
 	e.cancel = nil
 }
 
-// KillInstance ends an instance as a crash does.
+// KillInstance simulates a crash of an instance.
 func (f *Fleet) KillInstance(e *Entry) {
 	f.Net.Kill(e.IP)
 	f.StopInstance(e)
 }
 
-// Connect opens a caller's connection to an instance, with pgx. Parameters are
-// those of the start-up message.
+// Connect opens a client connection to an instance. The parameters are sent in the
+// startup message.
 func (f *Fleet) Connect(ctx context.Context, e *Entry, service string, parameters map[string]string) (*pgx.Conn, error) {
 	return f.ConnectAs(ctx, e, "crew", service, parameters)
 }
 
-// ConnectAs is Connect for a user, who belongs to a customer.
+// ConnectAs is Connect with the name of a user.
 func (f *Fleet) ConnectAs(ctx context.Context, e *Entry, user, service string, parameters map[string]string) (*pgx.Conn, error) {
 	c, err := pgx.ParseConfig("postgres://" + user + "@" + e.IP + ":5432/" + service + "?sslmode=disable")
 	if err != nil {
-		return nil, errors.Wrap(err, "caller's address")
+		return nil, errors.Wrap(err, "client address")
 	}
-	h := f.Net.Host(callerIP, "callers")
+	h := f.Net.Host(clientIP, "callers")
 	c.DialFunc = func(ctx context.Context, _, address string) (net.Conn, error) { return h.Dial(ctx, address) }
 	c.LookupFunc = func(_ context.Context, host string) ([]string, error) { return []string{host}, nil }
 	for k, v := range parameters {
@@ -327,11 +330,11 @@
 	return pgx.ConnectConfig(ctx, c)
 }
 
-// Ready waits until every instance takes callers of every service.
+// Ready waits until every instance accepts clients of every service.
 func (f *Fleet) Ready(ctx context.Context) error {
 	for _, e := range f.Instances {
 		for _, s := range f.Document.Services {
-			if err := f.ready(ctx, e, s.Name); err != nil {
+			if err := f.awaitReady(ctx, e, s.Name); err != nil {
 				return err
 			}
 		}
@@ -339,36 +342,36 @@
 	return nil
 }
 
-func (f *Fleet) ready(ctx context.Context, e *Entry, service string) error {
+func (f *Fleet) awaitReady(ctx context.Context, e *Entry, service string) error {
 	for {
 		c, err := f.Connect(ctx, e, service, nil)
 		if err == nil {
 			return c.Close(ctx)
 		}
 		if ctx.Err() != nil {
-			return errors.Wrapf(err, "%s never became ready", e.Name)
+			return errors.Wrapf(err, "instance %s did not become ready", e.Name)
 		}
-		time.Sleep(readyPause)
+		time.Sleep(readyPollInterval)
 	}
 }
 
-// Primary returns the member that believes to be the primary of the newest such
-// term, or nil.
+// Primary returns the member of a service that has the primary role in the highest
+// term, or nil if no member has it.
 func (f *Fleet) Primary(service string) *Target {
-	var best *Target
+	var primary *Target
 	term := uint64(0)
 	for _, t := range f.Members {
 		if st := t.Status(); t.Service == service && st.Role == replicator.RolePrimary && st.Term > term {
-			best, term = t, st.Term
+			primary, term = t, st.Term
 		}
 	}
-	return best
+	return primary
 }
 
-// Cancel sends the cancel request of a caller's connection to an instance, which
-// may be another than the one that it is connected to.
+// Cancel sends the cancel request of a client connection to an instance, which need
+// not be the one that holds the connection.
 func (f *Fleet) Cancel(ctx context.Context, e *Entry, c *pgconn.PgConn) error {
-	conn, err := f.Net.Host(callerIP, "callers").Dial(ctx, e.IP+":5432")
+	conn, err := f.Net.Host(clientIP, "callers").Dial(ctx, e.IP+":5432")
 	if err != nil {
 		return errors.Wrap(err, "cancel")
 	}
@@ -380,13 +383,14 @@
 	if _, err := conn.Write(b); err != nil {
 		return errors.Wrap(err, "cancel")
 	}
-	_, _ = conn.Read(make([]byte, 1)) // the instance closes when it has acted
+	_, _ = conn.Read(make([]byte, 1)) // the instance closes the connection when the request is handled
 	return nil
 }
 
-const readyPause = 20 * time.Millisecond
+const readyPollInterval = 20 * time.Millisecond
 
-// Target returns the member with the name, which may lack the service's prefix.
+// Target returns the member with a name, given with or without the service's prefix,
+// or nil.
 func (f *Fleet) Target(name string) *Target {
 	for _, t := range f.Members {
 		if t.Name == name || strings.TrimPrefix(t.Name, t.Service+"-") == name {
--- a/internal/standin/stager/stager_test.go
+++ b/internal/standin/stager/stager_test.go
@@ -10,10 +10,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// The caller writes on one instance and reads through another with its token.
-// The write reaches a majority before it is acknowledged; the read may go to a
-// replica, which must hold the write.
-func TestWriteThenReadElsewhere(t *testing.T) {
+// TestReadYourWritesAcrossInstances reads a write through another instance, with the
+// session token of the write, which a replica may serve only if it has replayed it.
+func TestReadYourWritesAcrossInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
