--- a/cmd/oriolegw-target/main.go
+++ b/cmd/oriolegw-target/main.go
@@ -24,7 +24,7 @@
 	flag.IntVar(&m.GroupSize, "group-size", 3, "number of members in the group")
 	flag.DurationVar(&m.ConnectTime, "connect-time", 0, "simulated time to open a connection")
 	flag.IntVar(&m.Slots, "slots", 0, "maximum number of concurrent statements; 0 is no limit")
-	flag.DurationVar(&m.Work, "work", 0, "simulated time to run a statement")
+	flag.DurationVar(&m.ExecutionTime, "work", 0, "simulated time to run a statement")
 	primary := flag.String("primary", "", "`address` of the initial primary of a new group; if empty, the member starts fenced")
 	faults := flag.String("faults", "", "listen address of the fault injection interface, `ip:port`")
 	flag.Usage = func() {
--- a/internal/acceptor/drivers_test.go
+++ b/internal/acceptor/drivers_test.go
@@ -67,7 +67,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		simulated, err := stager.Start(ctx, stager.Plan{
-			ZoneLatency: time.Millisecond, CallerLatency: 3 * time.Millisecond,
+			ZoneLatency: time.Millisecond, ClientLatency: 3 * time.Millisecond,
 			Users:    []configurer.User{{Name: "crew", Verifier: v.String()}},
 			Settings: func(s *loader.Settings) { s.Authentication, s.Encryption = loader.AuthenticationPassword, e },
 		})
@@ -105,7 +105,7 @@
 }
 
 func (f *fleet) dial(ctx context.Context, _, address string) (net.Conn, error) {
-	return f.Net.Host("10.0.9.1", "callers").Dial(ctx, address)
+	return f.Network.Host("10.0.9.1", "callers").Dial(ctx, address)
 }
 
 func (f *fleet) pgx(instance int, user, secret, mode string) (*pgx.Conn, error) {
--- a/internal/acceptor/stream_test.go
+++ b/internal/acceptor/stream_test.go
@@ -51,7 +51,7 @@
 				fleet.Close()
 				time.Sleep(20 * time.Second) // pgx closes cancelled connections in the background
 			}()
-			must.NoError(t, fleet.Ready(ctx))
+			must.NoError(t, fleet.AwaitReady(ctx))
 			sendRaw(t, ctx, fleet, stream)
 			c, err := fleet.Connect(ctx, fleet.Instances[0], stager.DefaultService, nil)
 			must.NoError(t, err)
@@ -68,7 +68,7 @@
 // sendRaw starts a session and sends the unmodified stream.
 func sendRaw(t *testing.T, ctx context.Context, fleet *stager.Fleet, stream []byte) {
 	t.Helper()
-	conn, err := fleet.Net.Host("10.0.9.1", "callers").Dial(ctx, fleet.Instances[0].IP+":5432")
+	conn, err := fleet.Network.Host("10.0.9.1", "callers").Dial(ctx, fleet.Instances[0].IP+":5432")
 	must.NoError(t, err)
 	defer conn.Close()
 	_, err = conn.Write(startUp(pgproto3.ProtocolVersion30, map[string]string{"user": "crew", "database": stager.DefaultService}))
--- a/internal/allocator/budget_test.go
+++ b/internal/allocator/budget_test.go
@@ -35,8 +35,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		s, err := stager.Start(ctx, stager.Plan{
-			Seed: seed, PerZone: 3, ZoneLatency: 1500 * time.Microsecond, CallerLatency: 3 * time.Millisecond,
-			ConnectTime: 10 * time.Millisecond, Slots: 3, Work: time.Millisecond,
+			Seed: seed, InstancesPerZone: 3, ZoneLatency: 1500 * time.Microsecond, ClientLatency: 3 * time.Millisecond,
+			ConnectTime: 10 * time.Millisecond, Slots: 3, ExecutionTime: time.Millisecond,
 			Services: []configurer.Service{{
 				Name: stager.DefaultService, Connections: budget, Slots: 3,
 				Rules: []configurer.ReaderRule{{Kind: configurer.DefaultKind, MaxAge: 10 * time.Second}},
@@ -91,7 +91,7 @@
 	}
 }
 
-func (f *fleet) runClientSession(e *stager.Entry, k int) {
+func (f *fleet) runClientSession(e *stager.Instance, k int) {
 	ctx, cancel := context.WithTimeout(f.ctx, 20*time.Second)
 	defer cancel()
 	c, err := f.Connect(ctx, e, stager.DefaultService, nil)
@@ -171,15 +171,15 @@
 			f.pauseInstance(e)
 		}
 		time.Sleep(80 * time.Second)
-		f.Net.HealAll()
+		f.Network.HealAll()
 		time.Sleep(5 * time.Second)
 		f.mustServeAll(t, time.Minute)
 	})
 }
 
-func (f *fleet) pauseInstance(e *stager.Entry) {
+func (f *fleet) pauseInstance(e *stager.Instance) {
 	for _, zone := range append([]string{"platform", "callers"}, f.Plan.Zones...) {
-		f.Net.Cut(e.IP, zone)
+		f.Network.Cut(e.IP, zone)
 	}
 }
 
@@ -190,10 +190,10 @@
 		f.startClients(1)
 		time.Sleep(5 * time.Second)
 		for _, z := range []string{"b", "c", "platform"} {
-			f.Net.Cut("a", z)
+			f.Network.Cut("a", z)
 		}
 		time.Sleep(80 * time.Second)
-		f.Net.HealAll()
+		f.Network.HealAll()
 		time.Sleep(5 * time.Second)
 		f.mustServeAll(t, time.Minute)
 	})
@@ -243,13 +243,13 @@
 		case 2:
 			f.pauseInstance(e)
 		case 3:
-			f.Net.Cut(f.Plan.Zones[random.IntN(3)], "platform")
+			f.Network.Cut(f.Plan.Zones[random.IntN(3)], "platform")
 		case 4:
-			f.Net.Cut("a", []string{"b", "c"}[random.IntN(2)])
+			f.Network.Cut("a", []string{"b", "c"}[random.IntN(2)])
 		case 5:
 			m.Faults.Freeze()
 		case 6:
-			m.SilenceOpen()
+			m.BlackholeConnections()
 		case 7:
 			down, slow, lose := random.IntN(2) == 0, time.Duration(random.IntN(4))*time.Second, random.IntN(4)
 			f.Store.SetFaults(func(x *storer.Faults) { x.Down, x.Latency, x.LoseResponses = down, slow, lose })
@@ -258,16 +258,16 @@
 		}
 		time.Sleep(time.Duration(random.IntN(15)) * time.Second)
 		if random.IntN(3) == 0 {
-			f.Net.HealAll()
+			f.Network.HealAll()
 			f.Store.SetFaults(func(x *storer.Faults) { *x = storer.Faults{} })
 			for _, m := range f.Members {
-				m.Faults.Thaw()
+				m.Faults.Unfreeze()
 			}
 		}
 	}
-	f.Net.HealAll()
+	f.Network.HealAll()
 	for _, m := range f.Members {
-		m.Faults.Thaw()
+		m.Faults.Unfreeze()
 	}
 	time.Sleep(10 * time.Second)
 }
--- a/internal/launcher/launcher_test.go
+++ b/internal/launcher/launcher_test.go
@@ -129,7 +129,7 @@
 			if f.memberAddress != nil {
 				m.Address = f.memberAddress(m)
 			}
-			value := platformer.Entry(m)
+			value := platformer.EncodeMember(m)
 			key := platform.MemberPrefix + m.ID
 			seen[key] = true
 			if string(entries[key].Value) == string(value) {
@@ -178,7 +178,7 @@
 	}
 	old, err := f.store.Get(f.ctx, platform.ConfigurationKey)
 	must.NoError(f.t, err)
-	old.Value = platformer.Configuration(c, f.customers...)
+	old.Value = platformer.EncodeConfiguration(c, f.customers...)
 	_, ok, err := f.store.Swap(f.ctx, old, 0)
 	must.NoError(f.t, err)
 	must.True(f.t, ok)
--- a/internal/launcher/soak_test.go
+++ b/internal/launcher/soak_test.go
@@ -236,7 +236,7 @@
 	if err != nil {
 		return
 	}
-	old.Value = platformer.Configuration(c)
+	old.Value = platformer.EncodeConfiguration(c)
 	if _, ok, err := s.store.Swap(s.ctx, old, 0); ok || err != nil {
 		s.version += 7
 	}
--- a/internal/loadtester/loadtester_test.go
+++ b/internal/loadtester/loadtester_test.go
@@ -19,14 +19,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		f, err := stager.Start(ctx, stager.Plan{ZoneLatency: time.Millisecond, CallerLatency: 3 * time.Millisecond})
+		f, err := stager.Start(ctx, stager.Plan{ZoneLatency: time.Millisecond, ClientLatency: 3 * time.Millisecond})
 		must.NoError(t, err)
 		defer func() {
 			f.Close()
 			time.Sleep(20 * time.Second) // pgx closes abandoned connections in the background
 		}()
-		must.NoError(t, f.Ready(ctx))
-		entries := map[string]*stager.Entry{}
+		must.NoError(t, f.AwaitReady(ctx))
+		entries := map[string]*stager.Instance{}
 		for _, i := range f.Instances {
 			e.Addresses = append(e.Addresses, i.Name)
 			entries[i.Name] = i
--- a/internal/pooler/pooler_test.go
+++ b/internal/pooler/pooler_test.go
@@ -116,7 +116,7 @@
 		}
 		b.pool.Return(b.borrow(t, replica))
 		must.LessEq(t, 3, b.pool.Usage().Held)
-		b.primary.Faults.Thaw()
+		b.primary.Faults.Unfreeze()
 		time.Sleep(2 * time.Second)
 		must.Eq(t, 0, b.primary.Status().Sessions)
 		must.Eq(t, 3, b.pool.Capacity())
@@ -133,7 +133,7 @@
 		b.pool.Return(c)
 		b.pool.Return(b.borrow(t, pooler.Endpoint{Address: primary.Address}))
 		b.pool.Return(b.borrow(t, primary))
-		b.replica.Faults.Thaw()
+		b.replica.Faults.Unfreeze()
 	})
 }
 
@@ -167,7 +167,7 @@
 func TestSilentConnectionIsTerminatedByPID(t *testing.T) {
 	withFixture(t, 2, func(t *testing.T, b *fixture) {
 		c := b.borrow(t, primary)
-		b.primary.SilenceOpen()
+		b.primary.BlackholeConnections()
 		c.Broken = true
 		b.pool.Return(c)
 		time.Sleep(5 * time.Second)
--- a/internal/relayer/cancel_test.go
+++ b/internal/relayer/cancel_test.go
@@ -48,7 +48,7 @@
 		c := s.open(0, nil)
 		time.Sleep(2 * time.Second) // until the instances know each other
 		done := s.execAsync(c, "SELECT pg_sleep(60)")
-		conn, err := s.Net.Host("10.0.9.1", "callers").Dial(s.ctx, s.Instances[1].IP+":5432")
+		conn, err := s.Network.Host("10.0.9.1", "callers").Dial(s.ctx, s.Instances[1].IP+":5432")
 		must.NoError(t, err)
 		m, err := (&pgproto3.CancelRequest{ProcessID: c.PgConn().PID(), SecretKey: c.PgConn().SecretKey()}).Encode(nil)
 		must.NoError(t, err)
@@ -84,7 +84,7 @@
 		done := s.execAsync(a, "/* kind=strict */ SELECT pg_sleep(1)")
 		time.Sleep(890 * time.Millisecond) // just before the statement ends
 		// Delays the delivery of the cancel request.
-		s.Target("1").Faults.SetAcceptLag(30 * time.Millisecond)
+		s.Target("1").Faults.SetAcceptDelay(30 * time.Millisecond)
 		cancelled := make(chan error, 1)
 		go func() { cancelled <- a.PgConn().CancelRequest(s.ctx) }()
 		<-done
--- a/internal/relayer/consistency_test.go
+++ b/internal/relayer/consistency_test.go
@@ -17,7 +17,7 @@
 // instances have done so.
 func (s *fleet) promote(ip, zone string) {
 	s.Helper()
-	client := &commander.Postgres{Network: s.Net.Host(ip, zone), Application: "promoter"}
+	client := &commander.Postgres{Network: s.Network.Host(ip, zone), Application: "promoter"}
 	defer client.Close()
 	before := s.currentTerm()
 	for range 100 {
@@ -92,8 +92,8 @@
 			s.promote("10.0.9.9", "b")
 		}},
 		"first instance's zone cut": {before: lag, between: func(s *fleet) {
-			s.Net.Cut("a", "b")
-			s.Net.Cut("a", "c")
+			s.Network.Cut("a", "b")
+			s.Network.Cut("a", "c")
 			s.promote("10.0.9.9", "b")
 		}},
 	}
@@ -164,8 +164,8 @@
 	runFleet(t, defaultPlan(), func(s *fleet) {
 		early := s.open(0, nil)
 		s.exec(early, "INSERT INTO ledger VALUES ('a', '1')")
-		s.Net.Cut("a", "b")
-		s.Net.Cut("a", "c")
+		s.Network.Cut("a", "b")
+		s.Network.Cut("a", "c")
 		s.promote("10.0.9.9", "b")
 		other := s.open(1, nil)
 		s.exec(other, "UPDATE ledger SET value = value + 1 WHERE key = 'a'")
@@ -186,7 +186,7 @@
 		_, err = early.Exec(s.ctx, "SELECT value FROM ledger WHERE key = 'a'")
 		s.assertRefused(err, refuser.NoTarget)
 
-		s.Net.HealAll()
+		s.Network.HealAll()
 		time.Sleep(2 * time.Second)
 		must.Eq(t, "2", s.get(s.open(0, nil), "SELECT value FROM ledger WHERE key = 'a'"))
 	})
@@ -201,8 +201,8 @@
 		s.exec(c, "INSERT INTO ledger VALUES ('a', '1')")
 		must.Eq(t, "1", s.get(c, "SELECT value FROM ledger WHERE key = 'a'"))
 		// Member 1 and instance 1 share zone a.
-		s.Net.Cut("a", "b")
-		s.Net.Cut("a", "c")
+		s.Network.Cut("a", "b")
+		s.Network.Cut("a", "c")
 		s.promote("10.0.9.9", "b")
 		_, err := c.Exec(s.ctx, "/* kind=strict */ SELECT value FROM ledger WHERE key = 'a'")
 		s.assertRefused(err, refuser.NoTarget)
--- a/internal/relayer/exchange_test.go
+++ b/internal/relayer/exchange_test.go
@@ -25,7 +25,7 @@
 					s.exec(a, "INSERT INTO ledger VALUES ('a', '1')")
 					time.Sleep(time.Second)
 					for _, m := range s.Members {
-						m.Faults.StrayNext(later)
+						m.Faults.SendExtraResponse(later)
 					}
 					const sql = "SELECT value FROM ledger WHERE key = 'a'"
 					for range 6 {
@@ -45,7 +45,7 @@
 		s.exec(c, "INSERT INTO ledger VALUES ('a', '1')")
 		time.Sleep(time.Second)
 		for _, m := range s.Members {
-			m.Faults.StrayNext(10 * time.Millisecond)
+			m.Faults.SendExtraResponse(10 * time.Millisecond)
 		}
 		for range 6 {
 			must.Eq(t, "1", s.get(c, "SELECT value FROM ledger WHERE key = 'a'"))
@@ -64,7 +64,7 @@
 			runFleet(t, defaultPlan(), func(s *fleet) {
 				c := s.open(0, nil)
 				for _, m := range s.Members[1:] {
-					m.Faults.CutNext(rows)
+					m.Faults.TruncateNextResult(rows)
 				}
 				tag, err := c.Exec(s.ctx, sql, pgx.QueryExecModeSimpleProtocol)
 				if answered {
--- a/internal/relayer/fleet_test.go
+++ b/internal/relayer/fleet_test.go
@@ -34,11 +34,11 @@
 		must.NoError(t, err)
 		defer func() {
 			// Wait for pgx to close failed connections in the background.
-			f.Net.HealAll()
+			f.Network.HealAll()
 			f.Close()
 			time.Sleep(16 * time.Second)
 		}()
-		must.NoError(t, f.Ready(ctx))
+		must.NoError(t, f.AwaitReady(ctx))
 		// Reads go to the primary until each instance has polled all members and has its share
 		// of the connections.
 		time.Sleep(settleTime)
@@ -51,7 +51,7 @@
 
 func defaultPlan() stager.Plan {
 	return stager.Plan{
-		ZoneLatency: 1500 * time.Microsecond, CallerLatency: 3 * time.Millisecond,
+		ZoneLatency: 1500 * time.Microsecond, ClientLatency: 3 * time.Millisecond,
 		Services: []configurer.Service{{
 			Name: service, Connections: 60, Slots: 4,
 			Rules: []configurer.ReaderRule{{Kind: configurer.DefaultKind, MaxAge: 10 * time.Second}, {Kind: "strict"}},
--- a/internal/relayer/outcome_test.go
+++ b/internal/relayer/outcome_test.go
@@ -39,7 +39,7 @@
 					s.exec(a, "BEGIN")
 				}
 				for _, m := range s.Members {
-					m.SilenceOpen()
+					m.BlackholeConnections()
 				}
 				started := time.Now()
 				_, err := a.Exec(s.ctx, c.sql, pgx.QueryExecModeSimpleProtocol)
@@ -78,7 +78,7 @@
 		for _, m := range s.Members {
 			m.Faults.SetReplayLag(time.Minute)
 		}
-		s.Target("1").Faults.LoseNextAnswer()
+		s.Target("1").Faults.DropNextResponse()
 		_, err := a.Exec(s.ctx, increment)
 		s.assertRefused(err, refuser.ConnectionLost)
 		must.Eq(t, 1, s.executions(increment))
@@ -93,7 +93,7 @@
 	runFleet(t, defaultPlan(), func(s *fleet) {
 		a := s.open(0, map[string]string{"oriole.kind": "strict"})
 		s.exec(a, "INSERT INTO ledger VALUES ('a', '0')")
-		s.Target("1").Faults.LoseNextAnswer()
+		s.Target("1").Faults.DropNextResponse()
 		_, err := a.Exec(s.ctx, "SELECT release_locker('a')", pgx.QueryExecModeSimpleProtocol)
 		s.assertRefused(err, refuser.ConnectionLost)
 		must.Eq(t, 1, s.executions("SELECT release_locker('a')"))
@@ -130,7 +130,7 @@
 	for seed := range uint64(12) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			p := defaultPlan()
-			p.Seed, p.Work, p.Jitter = seed, time.Millisecond, 2*time.Millisecond
+			p.Seed, p.ExecutionTime, p.Jitter = seed, time.Millisecond, 2*time.Millisecond
 			runFleet(t, p, func(s *fleet) { atMostOnce(s, seed) })
 		})
 	}
@@ -250,30 +250,30 @@
 	}
 	switch r.IntN(6) {
 	case 0:
-		primary.Faults.LoseNextAnswer()
+		primary.Faults.DropNextResponse()
 	case 1:
 		s.KillTarget(primary)
 		time.Sleep(50 * time.Millisecond)
 		s.RestartTarget(primary)
 	case 2:
-		primary.SilenceOpen()
+		primary.BlackholeConnections()
 	case 3:
 		primary.Faults.Freeze()
 		time.Sleep(700 * time.Millisecond)
-		primary.Faults.Thaw()
+		primary.Faults.Unfreeze()
 	case 4:
 		s.promote("10.0.9.9", "b")
 	case 5: // the primary still serves callers of its own zone
 		other := ""
 		for _, zone := range []string{"a", "b", "c"} {
 			if zone != primary.Zone {
-				s.Net.Cut(primary.Zone, zone)
+				s.Network.Cut(primary.Zone, zone)
 				other = zone
 			}
 		}
 		time.Sleep(100 * time.Millisecond)
 		s.promote("10.0.8."+strconv.Itoa(int(other[0])), other)
 		time.Sleep(300 * time.Millisecond)
-		s.Net.HealAll()
+		s.Network.HealAll()
 	}
 }
--- a/internal/relayer/replicas_test.go
+++ b/internal/relayer/replicas_test.go
@@ -32,7 +32,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := stager.Plan{
-				Seed: 1, ZoneLatency: time.Millisecond, CallerLatency: 3 * time.Millisecond, Work: time.Millisecond,
+				Seed: 1, ZoneLatency: time.Millisecond, ClientLatency: 3 * time.Millisecond, ExecutionTime: time.Millisecond,
 				Services: []configurer.Service{{
 					Name: service, Connections: 60, Slots: 5,
 					Rules: []configurer.ReaderRule{{Kind: configurer.DefaultKind, MaxAge: time.Minute}, {Kind: "own", MaxAge: 5 * time.Second}},
--- a/internal/runner/configuration_test.go
+++ b/internal/runner/configuration_test.go
@@ -38,7 +38,7 @@
 
 // mustServe fails if an instance doesn't accept clients of the service within five seconds,
 // the limit for applying a configuration.
-func mustServe(t *testing.T, ctx context.Context, s *stager.Fleet, e *stager.Entry, service string) {
+func mustServe(t *testing.T, ctx context.Context, s *stager.Fleet, e *stager.Instance, service string) {
 	t.Helper()
 	for start := time.Now(); ; time.Sleep(50 * time.Millisecond) {
 		c, err := s.Connect(ctx, e, service, nil)
@@ -65,7 +65,7 @@
 			time.Sleep(time.Second)
 			s.Store.SetFaults(func(f *storer.Faults) { f.Down = true })
 		}},
-		"zone partitioned from the platform": {func(s *stager.Fleet) { s.Net.Cut("a", "platform") }, noFault},
+		"zone partitioned from the platform": {func(s *stager.Fleet) { s.Network.Cut("a", "platform") }, noFault},
 	} {
 		t.Run(name, func(t *testing.T) {
 			withFleet(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
--- a/internal/runner/drain_test.go
+++ b/internal/runner/drain_test.go
@@ -30,12 +30,12 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 		defer cancel()
 		s, err := stager.Start(ctx, stager.Plan{
-			ZoneLatency: time.Millisecond, CallerLatency: 3 * time.Millisecond,
+			ZoneLatency: time.Millisecond, ClientLatency: 3 * time.Millisecond,
 			Settings: func(l *loader.Settings) { l.Limits.DrainTimeout = drainTimeout },
 		})
 		must.NoError(t, err)
 		defer s.Close()
-		must.NoError(t, s.Ready(ctx))
+		must.NoError(t, s.AwaitReady(ctx))
 		f(t, ctx, s)
 	})
 }
@@ -53,7 +53,7 @@
 	start := time.Now()
 	s.Instances[0].Events <- drainer.InstanceLeaving{}
 	during()
-	s.AwaitInstance(s.Instances[0])
+	s.AwaitInstanceExit(s.Instances[0])
 	return time.Since(start)
 }
 
--- a/internal/runner/peers_test.go
+++ b/internal/runner/peers_test.go
@@ -40,9 +40,9 @@
 	})
 }
 
-func sendCancel(t *testing.T, ctx context.Context, s *stager.Fleet, instance *stager.Entry, target *pgconn.PgConn) {
+func sendCancel(t *testing.T, ctx context.Context, s *stager.Fleet, instance *stager.Instance, target *pgconn.PgConn) {
 	t.Helper()
-	conn, err := s.Net.Host("10.0.9.2", "callers").Dial(ctx, net.JoinHostPort(instance.IP, "5432"))
+	conn, err := s.Network.Host("10.0.9.2", "callers").Dial(ctx, net.JoinHostPort(instance.IP, "5432"))
 	must.NoError(t, err)
 	defer conn.Close()
 	request, err := (&pgproto3.CancelRequest{ProcessID: target.PID(), SecretKey: target.SecretKey()}).Encode(nil)
@@ -78,7 +78,7 @@
 			s.Platform.Register(instance)
 		},
 		"target": func(_ *testing.T, _ context.Context, _ *stager.Fleet, target *stager.Target, draining bool) {
-			target.Faults.SetLeaving(draining)
+			target.Faults.SetShuttingDown(draining)
 		},
 		"operator": func(t *testing.T, ctx context.Context, s *stager.Fleet, target *stager.Target, draining bool) {
 			previous, err := s.Store.Get(ctx, configurer.Key)
--- a/internal/runner/status_test.go
+++ b/internal/runner/status_test.go
@@ -25,9 +25,9 @@
 		})
 		must.NoError(t, err)
 		defer s.Close()
-		must.NoError(t, s.Ready(ctx))
+		must.NoError(t, s.AwaitReady(ctx))
 		time.Sleep(2 * time.Second)
-		operator := s.Net.Host("10.0.9.2", "callers")
+		operator := s.Network.Host("10.0.9.2", "callers")
 		c := &http.Client{Transport: &http.Transport{
 			DisableKeepAlives: true,
 			DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
--- a/internal/standin/measurer/baseline.go
+++ b/internal/standin/measurer/baseline.go
@@ -38,13 +38,13 @@
 // baselineGap returns the longest time between two acknowledged writes after the
 // failure; with the store down it is the rest of the run.
 func baselineGap(ctx context.Context, p stager.Plan, w Failure, storeDown bool) (time.Duration, error) {
-	p.PerZone = -1 // no instances: nothing else promotes
+	p.InstancesPerZone = -1 // no instances: nothing else promotes
 	f, err := stager.Start(ctx, p)
 	if err != nil {
 		return 0, err
 	}
 	defer f.Close()
-	b := &baseline{fleet: f, host: f.Net.Host("10.9.9.9", agentsZone), targets: f.Members}
+	b := &baseline{fleet: f, host: f.Network.Host("10.9.9.9", agentsZone), targets: f.Members}
 	b.orders = &commander.Postgres{Network: b.host, Application: "baseline", Timeout: agentTimeout}
 	defer b.orders.Close()
 	ctx, cancel := context.WithTimeout(ctx, baselineRun)
--- a/internal/standin/measurer/customers.go
+++ b/internal/standin/measurer/customers.go
@@ -66,7 +66,7 @@
 		return nil, errors.Wrap(err, "stage")
 	}
 	defer f.Close()
-	if err := f.Ready(ctx); err != nil {
+	if err := f.AwaitReady(ctx); err != nil {
 		return nil, err
 	}
 	r := &customerRun{
@@ -85,7 +85,7 @@
 	defer cancel()
 	done := make(chan struct{})
 	open := 0
-	start := func(e *stager.Entry, user string, pause time.Duration) {
+	start := func(e *stager.Instance, user string, pause time.Duration) {
 		open++
 		number := open
 		go func() {
@@ -105,7 +105,7 @@
 }
 
 // call is one caller. A refused one comes back after what it was told.
-func (r *customerRun) call(ctx context.Context, e *stager.Entry, user string, pause time.Duration, number int) {
+func (r *customerRun) call(ctx context.Context, e *stager.Instance, user string, pause time.Duration, number int) {
 	c, err := r.fleet.ConnectAs(ctx, e, user, r.service, nil)
 	if err != nil {
 		return
--- a/internal/standin/measurer/gaps.go
+++ b/internal/standin/measurer/gaps.go
@@ -42,16 +42,16 @@
 		{
 			Name:  "freeze",
 			Throw: func(_ *stager.Fleet, p *stager.Target) { p.Faults.Freeze() },
-			Heal:  func(_ *stager.Fleet, p *stager.Target) { p.Faults.Thaw() },
+			Heal:  func(_ *stager.Fleet, p *stager.Target) { p.Faults.Unfreeze() },
 		},
 		{
 			Name: "cut",
 			Throw: func(f *stager.Fleet, p *stager.Target) {
 				for _, z := range append([]string{"platform", "callers", agentsZone}, f.Plan.Zones...) {
-					f.Net.Cut(p.IP, z)
+					f.Network.Cut(p.IP, z)
 				}
 			},
-			Heal: func(f *stager.Fleet, _ *stager.Target) { f.Net.HealAll() },
+			Heal: func(f *stager.Fleet, _ *stager.Target) { f.Network.HealAll() },
 		},
 		{Name: "planned", Throw: leave},
 	}
@@ -69,24 +69,24 @@
 func (g *Gaps) Add(ctx context.Context, p stager.Plan, w Failure, storeDown bool) error {
 	p.Services = p.Services[:1]
 	before := func(f *stager.Fleet) { f.Store.SetFaults(func(s *storer.Faults) { s.Down = storeDown }) }
-	r, err := failer.Run(ctx, failer.Scenario{Plan: p, Before: before, Fault: w.Throw, Heal: w.Heal})
+	r, err := failer.Run(ctx, failer.Scenario{Plan: p, Prepare: before, Inject: w.Throw, Heal: w.Heal})
 	if err != nil {
 		return err
 	}
 	if g.RefusalCounts == nil {
 		g.RefusalCounts = map[string]int{}
 	}
-	g.Gaps = append(g.Gaps, r.Gap)
+	g.Gaps = append(g.Gaps, r.WriteGap)
 	g.NotRun += r.NotRun
 	g.Unknown += r.Unknown
 	for c, n := range r.Refusals {
 		g.RefusalCounts[c] += n
 	}
-	if r.Terms > 1 {
+	if r.TermIncrease > 1 {
 		g.MoreTerms++
 	}
 	for _, v := range r.Violations {
-		g.Violations = append(g.Violations, fmt.Sprintf("seed %d: %s: %s", p.Seed, v.Promise, v.Detail))
+		g.Violations = append(g.Violations, fmt.Sprintf("seed %d: %s: %s", p.Seed, v.Guarantee, v.Detail))
 	}
 	b, err := baselineGap(ctx, p, w, storeDown)
 	if err != nil {
--- a/internal/standin/measurer/measurer_test.go
+++ b/internal/standin/measurer/measurer_test.go
@@ -27,8 +27,8 @@
 
 var (
 	deployments = []deployment{
-		{"keyhold", stager.Keyhold, measurer.KeyholdMix()},
-		{"kellerman", stager.Kellerman, measurer.KellermanMix()},
+		{"keyhold", stager.KeyholdPlan, measurer.KeyholdMix()},
+		{"kellerman", stager.KellermanPlan, measurer.KellermanMix()},
 	}
 
 	printing sync.Mutex
--- a/internal/standin/measurer/shares.go
+++ b/internal/standin/measurer/shares.go
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	if err := f.Ready(ctx); err != nil {
+	if err := f.AwaitReady(ctx); err != nil {
 		return nil, err
 	}
 	stop, ended := make(chan struct{}), make(chan struct{})
--- a/internal/standin/player/callers.go
+++ b/internal/standin/player/callers.go
@@ -94,13 +94,13 @@
 
 func runStage(p *Player, a []string) (string, error) {
 	_, named := options(a)
-	plan := stager.Plan{Log: p.Log, ZoneLatency: time.Millisecond, CallerLatency: 3 * time.Millisecond}
+	plan := stager.Plan{Log: p.Log, ZoneLatency: time.Millisecond, ClientLatency: 3 * time.Millisecond}
 	for k, v := range named {
 		n, _ := strconv.Atoi(v)
 		d, _ := time.ParseDuration(v)
 		switch k {
 		case "per-zone":
-			plan.PerZone = n
+			plan.InstancesPerZone = n
 		case "seed":
 			plan.Seed = uint64(n)
 		case "latency":
@@ -108,7 +108,7 @@
 		case "jitter":
 			plan.Jitter = d
 		case "work":
-			plan.Work = d
+			plan.ExecutionTime = d
 		default:
 			return "", errors.Errorf("no option %q", k)
 		}
@@ -118,7 +118,7 @@
 		return "", err
 	}
 	p.fleet = f
-	return "", f.Ready(p.ctx)
+	return "", f.AwaitReady(p.ctx)
 }
 
 func runConnect(p *Player, a []string) (string, error) {
--- a/internal/standin/player/faults.go
+++ b/internal/standin/player/faults.go
@@ -45,7 +45,7 @@
 	{
 		Name: "cut", Usage: "A B", Min: 2, Text: "Stalls all traffic between two places: zones, platform, targets or instances.",
 		Run: func(p *Player, a []string) (string, error) {
-			p.fleet.Net.Cut(p.place(a[0]), p.place(a[1]))
+			p.fleet.Network.Cut(p.place(a[0]), p.place(a[1]))
 			return "", nil
 		},
 	},
@@ -53,10 +53,10 @@
 		Name: "heal", Usage: "[A B]", Text: "Ends one cut, or all; what was stalled is delivered.",
 		Run: func(p *Player, a []string) (string, error) {
 			if len(a) < 2 {
-				p.fleet.Net.HealAll()
+				p.fleet.Network.HealAll()
 				return "", nil
 			}
-			p.fleet.Net.Heal(p.place(a[0]), p.place(a[1]))
+			p.fleet.Network.Heal(p.place(a[0]), p.place(a[1]))
 			return "", nil
 		},
 	},
@@ -65,20 +65,20 @@
 		return nil
 	}),
 	targetFault("thaw", "", "Lets a frozen target go on.", func(t *stager.Target, _ string) error {
-		t.Faults.Thaw()
+		t.Faults.Unfreeze()
 		return nil
 	}),
 	targetFault("silence", "", "Makes the target's open connections go silent for good.", func(t *stager.Target, _ string) error {
-		t.SilenceOpen()
+		t.BlackholeConnections()
 		return nil
 	}),
 	targetFault("lose-answer", "", "Loses the answer to the target's next write, after its effect.", func(t *stager.Target, _ string) error {
-		t.Faults.LoseNextAnswer()
+		t.Faults.DropNextResponse()
 		return nil
 	}),
 	targetFault("lag", "D", "Delays when a replica shows what it has received.", delay((*replicator.Faults).SetReplayLag)),
 	targetFault("stream-lag", "D", "Delays what a replica receives.", delay((*replicator.Faults).SetStreamLag)),
-	targetFault("slow", "D", "Adds to the time of each statement.", delay((*replicator.Faults).SetSlow)),
+	targetFault("slow", "D", "Adds to the time of each statement.", delay((*replicator.Faults).SetStatementDelay)),
 	{
 		Name: "store", Usage: "down|up|slow D|lose-answers N|lapse", Min: 1, Text: "Throws the faults of the platform's store.",
 		Run: runStore,
--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -38,7 +38,7 @@
 	// caller is one session, by the name that the scenario gave it.
 	caller struct {
 		service string
-		entry   *stager.Entry
+		entry   *stager.Instance
 		conn    *pgx.Conn
 		token   string
 		done    chan string // what a statement in the background printed
@@ -116,7 +116,7 @@
 	return c, nil
 }
 
-func (p *Player) entry(name string) (*stager.Entry, error) {
+func (p *Player) entry(name string) (*stager.Instance, error) {
 	for _, e := range p.fleet.Instances {
 		if e.Name == name || e.Name == "entry-"+name {
 			return e, nil
--- a/internal/standin/replicator/counter.go
+++ b/internal/standin/replicator/counter.go
@@ -2,32 +2,32 @@
 
 import "sync"
 
-// Counter counts sessions over the members of a group.
-type Counter struct {
-	mutex     sync.Mutex
-	now, peak int
+// Counter counts the open sessions of several members.
+type SessionCounter struct {
+	mutex      sync.Mutex
+	open, peak int
 }
 
-// Now returns how many sessions there are.
-func (c *Counter) Now() int {
+// Open returns the number of open sessions.
+func (c *SessionCounter) Open() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.now
+	return c.open
 }
 
-// Peak returns the most sessions that there ever were at once.
-func (c *Counter) Peak() int {
+// Peak returns the highest number of sessions open at the same time.
+func (c *SessionCounter) Peak() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.peak
 }
 
-func (c *Counter) add(n int) {
+func (c *SessionCounter) add(n int) {
 	if c == nil {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.now += n
-	c.peak = max(c.peak, c.now)
+	c.open += n
+	c.peak = max(c.peak, c.open)
 }
