--- a/internal/standin/liner/group.go
+++ b/internal/standin/liner/group.go
@@ -1,6 +1,6 @@
-// Package liner is the stand-in for a database group that speaks the platform's line
-// protocol: a log with terms, replication with lag, acknowledgement by a replica, and
-// the orders that promote, pause and step down. Its faults are switches.
+// Package liner simulates a database group that speaks the platform's line protocol: a
+// replicated log with terms, replication lag, commits acknowledged by a replica, and the
+// commands that promote, pause and step down. Methods of Group inject faults.
 package liner
 
 import (
@@ -17,10 +17,10 @@
 )
 
 const (
-	// step is how often replicas receive.
-	step = time.Millisecond
-	// never stands for a paused term of a member that receives.
-	never = 0
+	// replicationInterval is the time between two rounds of replication.
+	replicationInterval = time.Millisecond
+	// notPaused is the pauseTerm of a member that replicates.
+	notPaused = 0
 )
 
 type (
@@ -28,79 +28,78 @@
 	Group struct {
 		Name string
 		Net  *wirer.Net
-		// Travel is how long a commit takes to a replica, Lag how much later it is
-		// applied there, Promotion how long an order to promote takes.
+		// Travel is the replication delay, Lag the delay before a replica applies what it
+		// received, Promotion the time a promotion takes.
 		Travel, Lag, Promotion time.Duration
-		// Connections is how many a member takes; Work how long a statement takes.
+		// Connections is the connection limit of a member, Work the time a statement takes.
 		Connections int
 		Work        time.Duration
-		// Slots is how many statements a member runs at a time and Queue how many may
-		// wait; a member with no Slots runs everything at once. Handshake is how long a
-		// new connection holds a slot.
+		// Slots limits the statements that a member runs at a time (0: no limit) and Queue
+		// those that wait. Handshake is how long a new connection occupies a slot.
 		Slots, Queue int
 		Handshake    time.Duration
 
-		mutex   sync.Mutex
-		members map[string]*Member
-		sender  *Member
-		// acknowledged are the commits that callers were told of, for Violations.
+		mutex             sync.Mutex
+		members           map[string]*Member
+		replicationSource *Member
+		// acknowledged holds the commits confirmed to clients.
 		acknowledged []Entry
 		violations   []string
-		running      sync.WaitGroup
+		goroutines   sync.WaitGroup
 		ctx          context.Context
 	}
 
-	// Entry is one commit.
+	// Entry is one committed write in the log.
 	Entry struct {
 		Term, Number uint64
 		Key, Value   string
-		at           time.Time
+		committedAt  time.Time
 	}
 
-	// Member is one member. Its fields are the group's, under its mutex.
+	// Member is one server of a group; the group's mutex guards its fields.
 	Member struct {
 		ID, Zone, IP string
 
-		group   *Group
-		log     []Entry
-		primary bool
-		term    uint64
-		paused  uint64
-		leaving bool
-		gone    bool
-		// born is the Unix millisecond of its start.
-		born int64
-		// travel, when set, goes before the group's.
-		travel time.Duration
-		// lag, when set, goes before the group's.
-		lag time.Duration
-		// cut names the members that it doesn't hear.
-		cut map[string]bool
-		// loseAnswers is how many of the next writes run without an answer.
-		loseAnswers int
-		// loseReads is how many of the next reads run without an answer, on connections
-		// that stay open.
-		loseReads int
-		conns     int
-		opened    int
-		room      *room
-		// busy members have no slot for a question about their status.
-		busy bool
-		// Ran lists the ids and texts of what was run, for tests.
-		ran []string
-		// ranFor lists for whom, and the texts.
-		ranFor []string
+		group      *Group
+		log        []Entry
+		primary    bool
+		term       uint64
+		pauseTerm  uint64
+		leaving    bool
+		terminated bool
+		// startedMillis is the start time in Unix milliseconds.
+		startedMillis int64
+		// replicationDelay overrides the group's Travel when set.
+		replicationDelay time.Duration
+		// applyLag overrides the group's Lag when set.
+		applyLag time.Duration
+		// unreachableSources holds the IDs of members it can't replicate from.
+		unreachableSources map[string]bool
+		// writeResponsesToDrop is the number of coming writes that run without a response.
+		writeResponsesToDrop int
+		// readResponsesToDrop is the number of coming reads that run without a response, on
+		// connections that stay open.
+		readResponsesToDrop int
+		openConns           int
+		acceptedConns       int
+		slots               *slotPool
+		// rejectStatus makes the member answer STATUS with BUSY.
+		rejectStatus bool
+		// executed lists "ID TEXT" of every statement run.
+		executed []string
+		// executedByCustomer lists "CUSTOMER TEXT" of every statement run.
+		executedByCustomer []string
 	}
 )
 
-// errNoMember is returned for an order that names nobody.
+// errNoMember is returned when no running member has the ID.
 var errNoMember = errors.New("no such server is running")
 
-// Port is where members listen.
+// Port is the port members listen on.
 const Port = ":8000"
 
-// Start adds the first members, the first of them the primary of term 1, and runs
-// the group until the context ends.
+// Start adds one member per zone, the first as the primary of term 1, and runs the group
+// until the context ends.
 func (g *Group) Start(ctx context.Context, zones ...string) {
 	g.ctx, g.members = ctx, map[string]*Member{}
 	for i, z := range zones {
@@ -110,18 +109,18 @@
 		m.term = 1
 		g.mutex.Unlock()
 	}
-	g.running.Go(g.replicate)
+	g.goroutines.Go(g.runReplication)
 }
 
-// Wait returns when the group has ended.
-func (g *Group) Wait() { g.running.Wait() }
+// Wait blocks until all goroutines of the group have ended.
+func (g *Group) Wait() { g.goroutines.Wait() }
 
-// Join adds a member with a copy of the primary's log. It receives from now on.
+// Join starts a member with a copy of the primary's log and adds it to replication.
 func (g *Group) Join(id, zone, ip string) *Member {
 	h := g.Net.Host(ip, zone)
 	g.mutex.Lock()
-	m := &Member{ID: id, Zone: zone, IP: ip, group: g, cut: map[string]bool{}, room: newRoom(g.Slots, g.Queue), born: time.Now().UnixMilli()}
-	if p := g.leader(); p != nil {
+	m := &Member{ID: id, Zone: zone, IP: ip, group: g, unreachableSources: map[string]bool{}, slots: newSlotPool(g.Slots, g.Queue), startedMillis: time.Now().UnixMilli()}
+	if p := g.currentPrimary(); p != nil {
 		m.log, m.term = slices.Clone(p.log), p.term
 	}
 	g.members[id] = m
@@ -131,141 +130,147 @@
 		panic("liner: " + err.Error())
 	}
 	stop := context.AfterFunc(g.ctx, func() { _ = l.Close() })
-	g.running.Go(func() {
+	g.goroutines.Go(func() {
 		defer stop()
 		m.serve(l)
 	})
 	return m
 }
 
-// Leave has a member say that it leaves; Gone ends it.
-func (g *Group) Leave(id string) { g.set(id, func(m *Member) { m.leaving = true }) }
+// Leave marks a member as leaving; Gone terminates it.
+func (g *Group) Leave(id string) { g.updateMember(id, func(m *Member) { m.leaving = true }) }
 
-// Gone ends a member; its log goes with it.
+// Gone terminates a member and discards its log.
 func (g *Group) Gone(id string) {
-	g.set(id, func(m *Member) { m.gone, m.primary = true, false })
+	g.updateMember(id, func(m *Member) { m.terminated, m.primary = true, false })
 	g.Net.Kill(g.members[id].IP)
 }
 
-// Back has a member that is gone start again under its ID, with nothing of before.
+// Back starts a terminated member again under its ID with an empty log.
 func (g *Group) Back(id string) {
-	g.set(id, func(m *Member) { m.gone, m.leaving = false, false })
+	g.updateMember(id, func(m *Member) { m.terminated, m.leaving = false, false })
 	g.Restart(id)
 }
 
-// Crash stops a member with its log.
+// Crash stops a member; its log survives.
 func (g *Group) Crash(id string) { g.Net.Kill(g.members[id].IP) }
 
-// Return brings a crashed member back with its log.
+// Return restarts a crashed member with its log.
 func (g *Group) Return(id string) { g.Net.Revive(g.members[id].IP) }
 
-// Restart has a member start again under its ID: its connections are cut, and it holds
-// and knows nothing of before.
+// Restart resets a member's connections and starts it again under its ID with an empty
+// log and no term.
 func (g *Group) Restart(id string) {
 	ip := g.members[id].IP
 	g.Net.Kill(ip)
-	g.set(id, func(m *Member) {
-		m.log, m.term, m.paused, m.primary = nil, 0, never, false
-		m.born = time.Now().UnixMilli()
+	g.updateMember(id, func(m *Member) {
+		m.log, m.term, m.pauseTerm, m.primary = nil, 0, notPaused, false
+		m.startedMillis = time.Now().UnixMilli()
 	})
 	g.Net.Revive(ip)
 }
 
-// Isolate keeps a replica from receiving from whoever leads.
+// Isolate stops a member from replicating from the others.
 func (g *Group) Isolate(id string, others ...string) {
-	g.set(id, func(m *Member) {
+	g.updateMember(id, func(m *Member) {
 		for _, o := range others {
-			m.cut[o] = true
+			m.unreachableSources[o] = true
 		}
 	})
 }
 
-// Near has a member receive sooner than the others.
+// Near sets a member's own replication delay.
 func (g *Group) Near(id string, travel time.Duration) {
-	g.set(id, func(m *Member) { m.travel = travel })
+	g.updateMember(id, func(m *Member) { m.replicationDelay = travel })
 }
 
 // Rejoin ends Isolate.
-func (g *Group) Rejoin(id string) { g.set(id, func(m *Member) { m.cut = map[string]bool{} }) }
+func (g *Group) Rejoin(id string) {
+	g.updateMember(id, func(m *Member) { m.unreachableSources = map[string]bool{} })
+}
 
-// LoseAnswers has the next writes at a member run without an answer.
-func (g *Group) LoseAnswers(id string, n int) { g.set(id, func(m *Member) { m.loseAnswers = n }) }
+// LoseAnswers drops the responses to a member's next n writes.
+func (g *Group) LoseAnswers(id string, n int) {
+	g.updateMember(id, func(m *Member) { m.writeResponsesToDrop = n })
+}
 
-// LoseReads has the next reads at a member run without an answer; their connections stay
-// open.
-func (g *Group) LoseReads(id string, n int) { g.set(id, func(m *Member) { m.loseReads = n }) }
+// LoseReads drops the responses to a member's next n reads; their connections stay open.
+func (g *Group) LoseReads(id string, n int) {
+	g.updateMember(id, func(m *Member) { m.readResponsesToDrop = n })
+}
 
-// Connected returns how many connections a member has.
+// Connected returns the number of a member's open connections.
 func (g *Group) Connected(id string) int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.members[id].conns
+	return g.members[id].openConns
 }
 
-// Busy has a member answer questions about its status with BUSY, or no more.
-func (g *Group) Busy(id string, busy bool) { g.set(id, func(m *Member) { m.busy = busy }) }
+// Busy sets whether a member answers STATUS with BUSY.
+func (g *Group) Busy(id string, busy bool) {
+	g.updateMember(id, func(m *Member) { m.rejectStatus = busy })
+}
 
-func (g *Group) set(id string, change func(*Member)) {
+func (g *Group) updateMember(id string, update func(*Member)) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	change(g.members[id])
+	update(g.members[id])
 }
 
-// Registered lists the members as they register themselves.
+// Registered returns the registrations of the members.
 func (g *Group) Registered() []tracker.Member {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	var list []tracker.Member
 	for _, m := range g.members {
-		if !m.gone {
-			list = append(list, tracker.Member{ID: m.ID, Group: g.Name, Address: m.IP + Port, Zone: m.Zone, Slots: 3, Leaving: m.leaving, Primary: m.primary, Revision: 1, StartTime: m.born})
+		if !m.terminated {
+			list = append(list, tracker.Member{ID: m.ID, Group: g.Name, Address: m.IP + Port, Zone: m.Zone, Slots: 3, Leaving: m.leaving, Primary: m.primary, Revision: 1, StartTime: m.startedMillis})
 		}
 	}
 	return list
 }
 
-// Leader returns who leads, "" if nobody does, and the term.
+// Leader returns the ID of the primary, or "", and its term.
 func (g *Group) Leader() (string, uint64) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if p := g.leader(); p != nil {
+	if p := g.currentPrimary(); p != nil {
 		return p.ID, p.term
 	}
 	return "", 0
 }
 
-func (g *Group) leader() *Member {
-	var best *Member
+func (g *Group) currentPrimary() *Member {
+	var newest *Member
 	for _, m := range g.members {
-		if m.primary && !m.gone && (best == nil || m.term > best.term) {
-			best = m
+		if m.primary && !m.terminated && (newest == nil || m.term > newest.term) {
+			newest = m
 		}
 	}
-	return best
+	return newest
 }
 
-// RanFor returns for whom a member's connections were opened that ran something, each with
-// the text of what it ran.
+// RanFor returns "CUSTOMER TEXT" of every statement that a member has run.
 func (g *Group) RanFor(id string) []string {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return slices.Clone(g.members[id].ranFor)
+	return slices.Clone(g.members[id].executedByCustomer)
 }
 
-// Ran returns what a member has run: ids and texts.
+// Ran returns "ID TEXT" of every statement that a member has run.
 func (g *Group) Ran(id string) []string {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return slices.Clone(g.members[id].ran)
+	return slices.Clone(g.members[id].executed)
 }
 
-// Paused returns the members that are paused, in order.
+// Paused returns the sorted IDs of the members whose replication is paused.
 func (g *Group) Paused() []string {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	var ids []string
 	for id, m := range g.members {
-		if m.paused > m.term {
+		if m.pauseTerm > m.term {
 			ids = append(ids, id)
 		}
 	}
@@ -273,18 +278,18 @@
 	return ids
 }
 
-// Acknowledged returns how many commits callers were told of.
+// Acknowledged returns the number of commits confirmed to clients.
 func (g *Group) Acknowledged() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return len(g.acknowledged)
 }
 
-// Log returns the commits that the leader has, oldest first.
+// Log returns the primary's log, oldest entry first.
 func (g *Group) Log() []Entry {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if p := g.leader(); p != nil {
+	if p := g.currentPrimary(); p != nil {
 		return slices.Clone(p.log)
 	}
 	return nil
@@ -297,34 +302,32 @@
 	return slices.Clone(g.violations)
 }
 
-// Promote orders that a member leads the next term. It does so after Promotion, with
-// what it has received until then; for the member that leads at that time nothing
-// changes.
+// Promote makes a member the primary of the next term after the Promotion delay, with the
+// log it has received by then. It has no effect on a member that is primary already.
 func (g *Group) Promote(id string) error {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	m, ok := g.members[id]
-	if !ok || m.gone || g.Net.Dead(m.IP) {
+	if !ok || m.terminated || g.Net.Dead(m.IP) {
 		return errNoMember
 	}
-	born := m.born
-	time.AfterFunc(g.Promotion, func() { g.lead(m, born) })
+	started := m.startedMillis
+	time.AfterFunc(g.Promotion, func() { g.completePromotion(m, started) })
 	return nil
 }
 
-// lead has a member lead, in the life in which it was ordered to: one that starts again
-// meanwhile has lost the order with all else. Nobody could keep it from leading without a
-// log otherwise, since an order can't be taken back.
-func (g *Group) lead(m *Member, born int64) {
+// completePromotion makes a member primary unless it has restarted since the command: a
+// promotion can't be revoked, and a restarted member's log is empty.
+func (g *Group) completePromotion(m *Member, started int64) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if m.primary || m.gone || m.born != born || g.ctx.Err() != nil {
+	if m.primary || m.terminated || m.startedMillis != started || g.ctx.Err() != nil {
 		return
 	}
 	var term uint64
 	for _, o := range g.members {
 		term = max(term, o.term)
-		o.primary, o.paused = false, never
+		o.primary, o.pauseTerm = false, notPaused
 	}
 	m.primary, m.term = true, term+1
 	for _, e := range g.acknowledged {
@@ -334,33 +337,33 @@
 	}
 }
 
-// replicate has replicas receive what was committed a travel's time ago.
-func (g *Group) replicate() {
-	t := time.NewTicker(step)
+// runReplication replicates the primary's log until the context ends.
+func (g *Group) runReplication() {
+	t := time.NewTicker(replicationInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-g.ctx.Done():
 			return
 		case <-t.C:
-			g.receive(time.Now())
+			g.replicateOnce(time.Now())
 		}
 	}
 }
 
-func (g *Group) receive(now time.Time) {
+func (g *Group) replicateOnce(now time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	// A primary that has stepped down still sends what it had committed.
-	if p := g.leader(); p != nil {
-		g.sender = p
+	// A primary that has stepped down still replicates what it had committed.
+	if p := g.currentPrimary(); p != nil {
+		g.replicationSource = p
 	}
-	p := g.sender
-	if p == nil || p.gone || g.Net.Dead(p.IP) {
+	p := g.replicationSource
+	if p == nil || p.terminated || g.Net.Dead(p.IP) {
 		return
 	}
 	for _, m := range g.members {
-		if m == p || m.gone || m.paused > m.term || m.cut[p.ID] || g.Net.Dead(m.IP) {
+		if m == p || m.terminated || m.pauseTerm > m.term || m.unreachableSources[p.ID] || g.Net.Dead(m.IP) {
 			continue
 		}
 		n := 0
@@ -368,14 +371,14 @@
 			n++
 		}
 		m.log, m.term = m.log[:n], p.term
-		for ; n < len(p.log) && now.Sub(p.log[n].at) >= cmp.Or(m.travel, g.Travel); n++ {
+		for ; n < len(p.log) && now.Sub(p.log[n].committedAt) >= cmp.Or(m.replicationDelay, g.Travel); n++ {
 			m.log = append(m.log, p.log[n])
 		}
 	}
 }
 
-// commit appends to the primary's log and waits until a replica has the entry. It is
-// false when the member does not lead, or leads no more.
+// commit appends to the primary's log and waits until a replica has received the entry.
+// It returns false if the member is not, or is no longer, the primary.
 func (m *Member) commit(key, value string) (Entry, bool) {
 	g := m.group
 	g.mutex.Lock()
@@ -383,23 +386,23 @@
 		g.mutex.Unlock()
 		return Entry{}, false
 	}
-	e := Entry{Term: m.term, Number: uint64(len(m.log)) + 1, Key: key, Value: value, at: time.Now()}
+	e := Entry{Term: m.term, Number: uint64(len(m.log)) + 1, Key: key, Value: value, committedAt: time.Now()}
 	m.log = append(m.log, e)
 	g.mutex.Unlock()
 	for g.ctx.Err() == nil {
-		time.Sleep(step)
+		time.Sleep(replicationInterval)
 		g.mutex.Lock()
-		held := false
+		replicated := false
 		for _, o := range g.members {
-			held = held || o != m && !o.gone && !g.Net.Dead(o.IP) && slices.ContainsFunc(o.log, func(x Entry) bool { return x.Term == e.Term && x.Number == e.Number })
+			replicated = replicated || o != m && !o.terminated && !g.Net.Dead(o.IP) && slices.ContainsFunc(o.log, func(x Entry) bool { return x.Term == e.Term && x.Number == e.Number })
 		}
-		leads := m.primary && m.term == e.Term
-		if held && leads && !g.Net.Dead(m.IP) {
+		isPrimary := m.primary && m.term == e.Term
+		if replicated && isPrimary && !g.Net.Dead(m.IP) {
 			g.acknowledged = append(g.acknowledged, e)
 		}
 		g.mutex.Unlock()
-		if held || !leads {
-			return e, held && leads
+		if replicated || !isPrimary {
+			return e, replicated && isPrimary
 		}
 	}
 	return Entry{}, false
--- a/internal/standin/liner/member.go
+++ b/internal/standin/liner/member.go
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// session is one connection to a member.
+// session is one client connection to a member.
 type session struct {
 	member *Member
-	// who is for whom the connection was opened.
-	who      string
-	state    string
-	readOnly bool
-	values   map[string]string
-	prepared map[string]string
-	writes   [][2]string
-	out      *bufio.Writer
+	// customer is the client account named in STARTUP.
+	customer           string
+	transactionState   string
+	readOnly           bool
+	variables          map[string]string
+	preparedStatements map[string]string
+	pendingWrites      [][2]string
+	out                *bufio.Writer
 }
 
 func (m *Member) serve(l net.Listener) {
@@ -31,51 +31,51 @@
 		if err != nil {
 			return
 		}
-		m.group.running.Go(func() { m.talk(c) })
+		m.group.goroutines.Go(func() { m.serveConn(c) })
 	}
 }
 
-// talk serves one connection.
-func (m *Member) talk(c net.Conn) {
+// serveConn runs the line protocol on one connection.
+func (m *Member) serveConn(c net.Conn) {
 	defer c.Close()
 	stop := context.AfterFunc(m.group.ctx, func() { _ = c.Close() })
 	defer stop()
 	in := bufio.NewReader(c)
-	s := &session{member: m, state: "I", values: map[string]string{}, prepared: map[string]string{}, out: bufio.NewWriter(c)}
+	s := &session{member: m, transactionState: "I", variables: map[string]string{}, preparedStatements: map[string]string{}, out: bufio.NewWriter(c)}
 	line, err := in.ReadString('\n')
 	if err != nil {
 		return
 	}
 	f := strings.Fields(line)
-	refusal := ""
+	errorCode := ""
 	g := m.group
 	g.mutex.Lock()
-	m.conns++
-	m.opened++
+	m.openConns++
+	m.acceptedConns++
 	switch {
 	case len(f) < 3 || f[0] != "STARTUP" || f[1] != g.Name || len(f) > 3 && f[3] != m.ID:
-		refusal = "MISROUTED"
-	case m.conns > g.Connections:
-		refusal = "MAXCONN"
+		errorCode = "MISROUTED"
+	case m.openConns > g.Connections:
+		errorCode = "MAXCONN"
 	}
 	g.mutex.Unlock()
 	defer func() {
 		g.mutex.Lock()
-		m.conns--
+		m.openConns--
 		g.mutex.Unlock()
 	}()
 	if len(f) > 2 {
-		s.who = f[2]
+		s.customer = f[2]
 	}
-	if refusal != "" {
-		fmt.Fprintf(s.out, "ERROR %s %s\r\n", refusal, m.ID)
+	if errorCode != "" {
+		fmt.Fprintf(s.out, "ERROR %s %s\r\n", errorCode, m.ID)
 		_ = s.out.Flush()
 		return
 	}
 	if g.Handshake > 0 {
-		m.room.hold(g.Handshake)
+		m.slots.occupy(g.Handshake)
 	}
-	s.ready()
+	s.writeReady()
 	for s.out.Flush() == nil {
 		line, err := in.ReadString('\n')
 		if err != nil {
@@ -86,22 +86,25 @@
 			return
 		}
 		id, text, _ := strings.Cut(rest, " ")
-		if !s.query(id, text) {
+		if !s.execute(id, text) {
 			return
 		}
 	}
 }
 
-func (s *session) ready() { fmt.Fprintf(s.out, "READY %s %s\r\n", s.state, s.member.position()) }
+func (s *session) writeReady() {
+	fmt.Fprintf(s.out, "READY %s %s\r\n", s.transactionState, s.member.lastPosition())
+}
 
-func (m *Member) position() string {
+func (m *Member) lastPosition() string {
 	m.group.mutex.Lock()
 	defer m.group.mutex.Unlock()
-	return m.end()
+	return m.lastPositionLocked()
 }
 
-// end is the place of the log's end; the group's mutex is held.
-func (m *Member) end() string {
+// lastPositionLocked returns the position of the last log entry; the caller holds the
+// group's mutex.
+func (m *Member) lastPositionLocked() string {
 	if len(m.log) == 0 {
 		return "1.0"
 	}
@@ -109,116 +112,117 @@
 	return fmt.Sprintf("%d.%d", e.Term, e.Number)
 }
 
-func (s *session) done(signature string, rows ...string) bool {
+func (s *session) complete(tag string, rows ...string) bool {
 	for _, r := range rows {
 		fmt.Fprintf(s.out, "DATAROW %s\r\n", r)
 	}
-	fmt.Fprintf(s.out, "COMPLETE %s\r\n", signature)
-	s.ready()
+	fmt.Fprintf(s.out, "COMPLETE %s\r\n", tag)
+	s.writeReady()
 	return true
 }
 
-func (s *session) fail(code string) bool {
-	if s.state == "T" {
-		s.state = "E"
+func (s *session) failStatement(code string) bool {
+	if s.transactionState == "T" {
+		s.transactionState = "E"
 	}
 	fmt.Fprintf(s.out, "ERROR %s %s\r\n", code, s.member.ID)
-	s.ready()
+	s.writeReady()
 	return true
 }
 
-// refuse answers that a statement was not run; an open transaction stays as it was.
-func (s *session) refuse(code string) bool {
+// rejectStatement reports that a statement was not run; an open transaction is unaffected.
+func (s *session) rejectStatement(code string) bool {
 	fmt.Fprintf(s.out, "ERROR %s %s\r\n", code, s.member.ID)
-	s.ready()
+	s.writeReady()
 	return true
 }
 
-// query runs one statement; it is false when the connection ends without an answer.
-func (s *session) query(id, text string) bool {
+// execute runs one statement. It returns false if the connection is to be closed without a
+// response.
+func (s *session) execute(id, text string) bool {
 	m, g := s.member, s.member.group
 	if rest, ok := strings.CutPrefix(text, "AFTER "); ok {
-		need, after, _ := strings.Cut(rest, " ")
-		if !m.holds(need) {
-			return s.fail("LAGGING")
+		position, statement, _ := strings.Cut(rest, " ")
+		if !m.hasApplied(position) {
+			return s.failStatement("LAGGING")
 		}
-		text = after
+		text = statement
 	}
 	word, rest, _ := strings.Cut(text, " ")
-	if s.state == "E" && word != "ROLLBACK" && word != "COMMIT" {
-		return s.fail("MALFORMED")
+	if s.transactionState == "E" && word != "ROLLBACK" && word != "COMMIT" {
+		return s.failStatement("MALFORMED")
 	}
 	g.mutex.Lock()
-	m.ran = append(m.ran, id+" "+text)
-	m.ranFor = append(m.ranFor, s.who+" "+text)
-	leads, term, busy := m.primary, m.term, m.busy
+	m.executed = append(m.executed, id+" "+text)
+	m.executedByCustomer = append(m.executedByCustomer, s.customer+" "+text)
+	isPrimary, term, rejectStatus := m.primary, m.term, m.rejectStatus
 	g.mutex.Unlock()
-	if busy && word == "STATUS" {
-		return s.fail("BUSY")
+	if rejectStatus && word == "STATUS" {
+		return s.failStatement("BUSY")
 	}
 	switch word {
 	case "STATUS", "PAUSE", "RESUME", "STEPDOWN":
-		return s.order(word, rest)
+		return s.control(word, rest)
 	case "BEGIN":
 		s.readOnly = rest == "FETCH"
-		if !s.readOnly && !leads {
-			return s.fail("READONLY")
+		if !s.readOnly && !isPrimary {
+			return s.failStatement("READONLY")
 		}
-		s.state, s.writes = "T", nil
-		return s.done("-")
+		s.transactionState, s.pendingWrites = "T", nil
+		return s.complete("-")
 	case "ROLLBACK":
-		s.state, s.writes = "I", nil
-		return s.done("-")
+		s.transactionState, s.pendingWrites = "I", nil
+		return s.complete("-")
 	case "SET":
 		name, value, _ := strings.Cut(rest, " ")
-		s.values[name] = value
-		return s.done("-")
+		s.variables[name] = value
+		return s.complete("-")
 	case "PARSE":
-		name, shape, _ := strings.Cut(rest, " ")
-		s.prepared[name] = shape
-		return s.done("-")
+		name, template, _ := strings.Cut(rest, " ")
+		s.preparedStatements[name] = template
+		return s.complete("-")
 	case "DISCARD":
-		s.values, s.prepared = map[string]string{}, map[string]string{}
-		return s.done("-")
+		s.variables, s.preparedStatements = map[string]string{}, map[string]string{}
+		return s.complete("-")
 	case "EXECUTE":
 		name, arguments, _ := strings.Cut(rest, " ")
-		shape, ok := s.prepared[name]
+		template, ok := s.preparedStatements[name]
 		if !ok {
-			return s.fail("NOSTMT")
+			return s.failStatement("NOSTMT")
 		}
-		word, _, _ = strings.Cut(shape, " ")
+		word, _, _ = strings.Cut(template, " ")
 		rest = arguments
 	}
-	if s.state == "T" && !s.readOnly && !leads && (word != "COMMIT" || len(s.writes) > 0) {
-		return s.fail("READONLY")
+	if s.transactionState == "T" && !s.readOnly && !isPrimary && (word != "COMMIT" || len(s.pendingWrites) > 0) {
+		return s.failStatement("READONLY")
 	}
-	if !m.room.hold(g.Work) {
-		return s.refuse("BUSY")
+	if !m.slots.occupy(g.Work) {
+		return s.rejectStatement("BUSY")
 	}
-	signature := fmt.Sprintf("%s.%d.%s", m.ID, term, id)
+	tag := fmt.Sprintf("%s.%d.%s", m.ID, term, id)
 	switch word {
 	case "FETCH":
-		if m.losesRead() {
+		if m.dropReadResponse() {
 			return true
 		}
-		return s.done(signature, m.read(rest)+s.show())
+		return s.complete(tag, m.read(rest)+s.formatVariables())
 	case "PUT":
 		key, value, _ := strings.Cut(rest, " ")
-		s.writes = append(s.writes, [2]string{key, value})
-		if s.state == "T" {
-			return s.done(signature)
+		s.pendingWrites = append(s.pendingWrites, [2]string{key, value})
+		if s.transactionState == "T" {
+			return s.complete(tag)
 		}
 	case "COMMIT":
 	default:
-		return s.fail("MALFORMED")
+		return s.failStatement("MALFORMED")
 	}
-	return s.commit(signature)
+	return s.commit(tag)
 }
 
-// show tells the session's values, so that a test sees whose they are.
-func (s *session) show() string {
+// formatVariables returns the session's variables in sorted order, for tests to check.
+func (s *session) formatVariables() string {
 	var all []string
-	for n, v := range s.values {
+	for n, v := range s.variables {
 		all = append(all, n+"="+v)
 	}
 	slices.Sort(all)
@@ -228,52 +232,52 @@
 	return " with " + strings.Join(all, ",")
 }
 
-// commit makes the transaction's writes take effect and answers, unless the member
-// loses the lead meanwhile or the answer is to be lost.
-func (s *session) commit(signature string) bool {
-	m, writes := s.member, s.writes
-	s.state, s.writes = "I", nil
+// commit applies the transaction's writes and responds, unless the member is demoted
+// meanwhile or the response is to be dropped.
+func (s *session) commit(tag string) bool {
+	m, writes := s.member, s.pendingWrites
+	s.transactionState, s.pendingWrites = "I", nil
 	for _, w := range writes {
 		if _, ok := m.commit(w[0], w[1]); !ok {
 			return false
 		}
 	}
-	return !s.loses(len(writes) > 0) && s.done(signature)
+	return !s.dropWriteResponse(len(writes) > 0) && s.complete(tag)
 }
 
-// loses reports whether the answer to a commit is to be lost.
-func (s *session) loses(wrote bool) bool {
+// dropWriteResponse reports whether the response to a commit is to be dropped.
+func (s *session) dropWriteResponse(hasWrites bool) bool {
 	g := s.member.group
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if !wrote || s.member.loseAnswers == 0 {
+	if !hasWrites || s.member.writeResponsesToDrop == 0 {
 		return false
 	}
-	s.member.loseAnswers--
+	s.member.writeResponsesToDrop--
 	return true
 }
 
-// losesRead reports whether the answer to a read is to be lost.
-func (m *Member) losesRead() bool {
+// dropReadResponse reports whether the response to a read is to be dropped.
+func (m *Member) dropReadResponse() bool {
 	m.group.mutex.Lock()
 	defer m.group.mutex.Unlock()
-	if m.loseReads == 0 {
+	if m.readResponsesToDrop == 0 {
 		return false
 	}
-	m.loseReads--
+	m.readResponsesToDrop--
 	return true
 }
 
-// order answers the questions and orders of a group's keeper.
-func (s *session) order(word, rest string) bool {
+// control handles the STATUS, PAUSE, RESUME and STEPDOWN commands.
+func (s *session) control(word, rest string) bool {
 	m, g := s.member, s.member.group
 	term, _ := strconv.ParseUint(rest, 10, 64)
 	g.mutex.Lock()
 	switch {
 	case word == "PAUSE" && term > m.term && !m.primary:
-		m.paused = term
+		m.pauseTerm = term
 	case word == "RESUME":
-		m.paused = never
+		m.pauseTerm = notPaused
 	case word == "STEPDOWN" && m.primary && m.term < term:
 		m.primary = false
 	}
@@ -281,14 +285,14 @@
 	if m.primary {
 		role = "primary"
 	}
-	row := fmt.Sprintf("%s %d %s %d %d %d %d", role, m.term, m.end(), m.paused, cmp.Or(m.lag, g.Lag).Milliseconds(), m.room.waiting(), m.conns)
+	row := fmt.Sprintf("%s %d %s %d %d %d %d", role, m.term, m.lastPositionLocked(), m.pauseTerm, cmp.Or(m.applyLag, g.Lag).Milliseconds(), m.slots.pending(), m.openConns)
 	g.mutex.Unlock()
-	return s.done("-", row)
+	return s.complete("-", row)
 }
 
-// holds reports whether the member has applied a position.
-func (m *Member) holds(need string) bool {
-	term, number, _ := strings.Cut(need, ".")
+// hasApplied reports whether the member has applied the log up to a position.
+func (m *Member) hasApplied(position string) bool {
+	term, number, _ := strings.Cut(position, ".")
 	t, _ := strconv.ParseUint(term, 10, 64)
 	n, _ := strconv.ParseUint(number, 10, 64)
 	g := m.group
@@ -297,7 +301,7 @@
 	if t <= 1 && n == 0 {
 		return true
 	}
-	for _, e := range m.applied() {
+	for _, e := range m.appliedLocked() {
 		if e.Term > t || e.Term == t && e.Number >= n {
 			return true
 		}
@@ -305,13 +309,14 @@
 	return false
 }
 
-// applied is what reads see; the group's mutex is held.
-func (m *Member) applied() []Entry {
+// appliedLocked returns the log entries visible to reads; the caller holds the group's
+// mutex.
+func (m *Member) appliedLocked() []Entry {
 	if m.primary {
 		return m.log
 	}
 	n := len(m.log)
-	for n > 0 && time.Since(m.log[n-1].at) < m.group.Travel+cmp.Or(m.lag, m.group.Lag) {
+	for n > 0 && time.Since(m.log[n-1].committedAt) < m.group.Travel+cmp.Or(m.applyLag, m.group.Lag) {
 		n--
 	}
 	return m.log[:n]
@@ -321,7 +326,7 @@
 	m.group.mutex.Lock()
 	defer m.group.mutex.Unlock()
 	value := "none"
-	for _, e := range m.applied() {
+	for _, e := range m.appliedLocked() {
 		if e.Key == key {
 			value = e.Value
 		}
