--- a/internal/standin/liner/group.go
+++ b/internal/standin/liner/group.go
@@ -83,7 +83,7 @@
 		openConns           int
 		acceptedConns       int
 		slots               *slotPool
-		// rejectStatus makes the member answer STATUS with BUSY.
+		// rejectStatus makes the member respond to STATUS with BUSY.
 		rejectStatus bool
 		// executed lists "ID TEXT" of every statement run.
 		executed []string
@@ -180,8 +180,8 @@
 }
 
 // Near sets a member's own replication delay.
-func (g *Group) Near(id string, travel time.Duration) {
-	g.updateMember(id, func(m *Member) { m.replicationDelay = travel })
+func (g *Group) Near(id string, delay time.Duration) {
+	g.updateMember(id, func(m *Member) { m.replicationDelay = delay })
 }
 
 // Rejoin ends Isolate.
@@ -206,9 +206,9 @@
 	return g.members[id].openConns
 }
 
-// Busy sets whether a member answers STATUS with BUSY.
-func (g *Group) Busy(id string, busy bool) {
-	g.updateMember(id, func(m *Member) { m.rejectStatus = busy })
+// Busy sets whether a member responds to STATUS with BUSY.
+func (g *Group) Busy(id string, reject bool) {
+	g.updateMember(id, func(m *Member) { m.rejectStatus = reject })
 }
 
 func (g *Group) updateMember(id string, update func(*Member)) {
--- a/internal/standin/liner/slot_pool.go
+++ b/internal/standin/liner/slot_pool.go
@@ -43,8 +43,8 @@
 	return len(r.admitted)
 }
 
-// Waiting returns the number of a member's running and queued statements.
-func (g *Group) Waiting(id string) int {
+// PendingStatements returns the number of a member's running and queued statements.
+func (g *Group) PendingStatements(id string) int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.members[id].slots.pending()
--- a/internal/standin/player/callers.go
+++ b/internal/standin/player/callers.go
@@ -20,12 +20,12 @@
 		Run:  runStage,
 	},
 	{
-		Name: "connect", Usage: "CALLER INSTANCE [token=CALLER|TEXT] [kind=KIND]", Min: 2,
+		Name: "connect", Usage: "CALLER INSTANCE [token=CALLER|TEXT] [kind=KIND]", MinArgs: 2,
 		Text: "Opens a session; token is that of another caller or a literal. Prints the outcome.",
 		Run:  runConnect,
 	},
 	{
-		Name: "leave", Usage: "CALLER", Min: 1, Text: "Closes a session.",
+		Name: "leave", Usage: "CALLER", MinArgs: 1, Text: "Closes a session.",
 		Run: func(p *Player, a []string) (string, error) {
 			c, err := p.findCaller(a[0])
 			if err != nil {
@@ -37,7 +37,7 @@
 		},
 	},
 	{
-		Name: "do", Usage: "CALLER SQL", Min: 2,
+		Name: "do", Usage: "CALLER SQL", MinArgs: 2,
 		Text: "Runs a statement and prints its rows, or its outcome: done, not-run CODE, unknown CODE, failed CODE.",
 		Run: func(p *Player, a []string) (string, error) {
 			c, err := p.findCaller(a[0])
@@ -48,11 +48,11 @@
 		},
 	},
 	{
-		Name: "start", Usage: "CALLER SQL", Min: 2, Text: "Runs a statement in the background; end waits for it.",
+		Name: "start", Usage: "CALLER SQL", MinArgs: 2, Text: "Runs a statement in the background; end waits for it.",
 		Run: runStart,
 	},
 	{
-		Name: "end", Usage: "CALLER", Min: 1, Text: "Waits for the caller's background statement and prints as do does.",
+		Name: "end", Usage: "CALLER", MinArgs: 1, Text: "Waits for the caller's background statement and prints as do does.",
 		Run: func(p *Player, a []string) (string, error) {
 			c, err := p.findCaller(a[0])
 			if err != nil {
@@ -67,11 +67,11 @@
 		},
 	},
 	{
-		Name: "cancel", Usage: "CALLER INSTANCE", Min: 2, Text: "Sends the caller's cancel request to an instance.",
+		Name: "cancel", Usage: "CALLER INSTANCE", MinArgs: 2, Text: "Sends the caller's cancel request to an instance.",
 		Run: runCancel,
 	},
 	{
-		Name: "sleep", Usage: "D", Min: 1, Text: "Advances virtual time.",
+		Name: "sleep", Usage: "D", MinArgs: 1, Text: "Advances virtual time.",
 		Run: func(_ *Player, a []string) (string, error) {
 			d, err := parseDuration(a[0])
 			if err == nil {
@@ -81,12 +81,12 @@
 		},
 	},
 	{
-		Name: "committed", Usage: "KEY", Min: 1,
+		Name: "committed", Usage: "KEY", MinArgs: 1,
 		Text: "Prints how many times targets committed the key, by their journals, and the primary's value.",
 		Run:  runCommitted,
 	},
 	{
-		Name: "recovered", Usage: "CALLER D", Min: 2,
+		Name: "recovered", Usage: "CALLER D", MinArgs: 2,
 		Text: "Retries writes until one succeeds, for at most D of virtual time, and prints the time taken.",
 		Run:  runRecovered,
 	},
--- a/internal/standin/player/faults.go
+++ b/internal/standin/player/faults.go
@@ -13,7 +13,7 @@
 
 var faultCommands = []Command{
 	{
-		Name: "crash", Usage: "TARGET|INSTANCE|primary", Min: 1, Text: "Crashes a process.",
+		Name: "crash", Usage: "TARGET|INSTANCE|primary", MinArgs: 1, Text: "Crashes a process.",
 		Run: func(p *Player, a []string) (string, error) {
 			if e, err := p.findInstance(a[0]); err == nil {
 				p.fleet.KillInstance(e)
@@ -28,7 +28,7 @@
 		},
 	},
 	{
-		Name: "restart", Usage: "TARGET|INSTANCE", Min: 1,
+		Name: "restart", Usage: "TARGET|INSTANCE", MinArgs: 1,
 		Text: "Restarts a crashed process: a target with its log, an instance without state.",
 		Run: func(p *Player, a []string) (string, error) {
 			if e, err := p.findInstance(a[0]); err == nil {
@@ -43,7 +43,7 @@
 		},
 	},
 	{
-		Name: "cut", Usage: "A B", Min: 2, Text: "Stalls all traffic between two endpoints: zones, platform, targets or instances.",
+		Name: "cut", Usage: "A B", MinArgs: 2, Text: "Stalls all traffic between two endpoints: zones, platform, targets or instances.",
 		Run: func(p *Player, a []string) (string, error) {
 			p.fleet.Net.Cut(p.resolveEndpoint(a[0]), p.resolveEndpoint(a[1]))
 			return "", nil
@@ -80,7 +80,7 @@
 	newTargetFault("stream-lag", "D", "Sets the replication delay of a replica.", delayFault((*replicator.Faults).SetStreamLag)),
 	newTargetFault("slow", "D", "Adds D to the duration of each statement.", delayFault((*replicator.Faults).SetSlow)),
 	{
-		Name: "store", Usage: "down|up|slow D|lose-answers N|lapse", Min: 1, Text: "Injects faults into the platform's store.",
+		Name: "store", Usage: "down|up|slow D|lose-answers N|lapse", MinArgs: 1, Text: "Injects faults into the platform's store.",
 		Run: runStore,
 	},
 	{
@@ -97,7 +97,7 @@
 
 func newTargetFault(name, usage, text string, inject func(t *stager.Target, argument string) error) Command {
 	return Command{
-		Name: name, Usage: strings.TrimSpace("TARGET|primary " + usage), Text: text, Min: 1 + len(strings.Fields(usage)),
+		Name: name, Usage: strings.TrimSpace("TARGET|primary " + usage), Text: text, MinArgs: 1 + len(strings.Fields(usage)),
 		Run: func(p *Player, a []string) (string, error) {
 			t, err := p.findTarget(a[0])
 			if err != nil {
--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -29,9 +29,9 @@
 	// Command is one command of the scenario language with its documentation.
 	Command struct {
 		Name, Usage, Text string
-		// Min is the minimum number of arguments.
-		Min int
-		Run func(p *Player, a []string) (string, error)
+		// MinArgs is the minimum number of arguments.
+		MinArgs int
+		Run     func(p *Player, a []string) (string, error)
 	}
 
 	// caller is a named client session of the scenario.
@@ -75,7 +75,7 @@
 			continue
 		}
 		a := line[1:]
-		if len(a) < c.Min {
+		if len(a) < c.MinArgs {
 			return "", errors.Errorf("usage: %s %s", c.Name, c.Usage)
 		}
 		if p.fleet == nil && c.Name != "stage" {
