--- a/internal/accountant/accountant.go
+++ b/internal/accountant/accountant.go
@@ -136,11 +136,11 @@
 func (a *Accountant) report(ctx context.Context) {
 	sent := a.Clock()
 	r := a.Meter.NextReport(sent)
-	x, ok := a.send(ctx, r)
+	reply, ok := a.send(ctx, r)
 	if !ok {
 		return
 	}
-	a.Meter.HandleReply(sent, x)
+	a.Meter.HandleReply(sent, reply)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	close(a.replied)
@@ -186,8 +186,8 @@
 			attempt = limiter.LastAttempt
 		}
 		next := a.nextReply()
-		v, retryAfter := a.Meter.Decide(a.Clock(), customer, limit, attempt)
-		switch v {
+		decision, retryAfter := a.Meter.Decide(a.Clock(), customer, limit, attempt)
+		switch decision {
 		case limiter.Admit:
 			return nil
 		case limiter.Refuse:
--- a/internal/detector/evidence.go
+++ b/internal/detector/evidence.go
@@ -177,9 +177,9 @@
 }
 
 // sorted returns the views by service name, so that results do not depend on map order.
-func (w Views) sorted() []*View {
-	out := make([]*View, 0, len(w))
-	for _, v := range w {
+func (vs Views) sorted() []*View {
+	out := make([]*View, 0, len(vs))
+	for _, v := range vs {
 		out = append(out, v)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Service.Name < out[j].Service.Name })
--- a/internal/detector/view.go
+++ b/internal/detector/view.go
@@ -33,12 +33,12 @@
 )
 
 // Apply returns the views of a newer configuration, and keeps the state of unchanged members.
-func (w Views) Apply(d *configurer.Document) Views {
+func (vs Views) Apply(d *configurer.Document) Views {
 	next := Views{}
 	for i := range d.Services {
 		s := &d.Services[i]
 		v := &View{Service: s, Members: make([]MemberState, len(s.Members))}
-		if old := w[s.Name]; old != nil {
+		if old := vs[s.Name]; old != nil {
 			for j, m := range s.Members {
 				if k := old.Index(m.Name); k >= 0 && old.Service.Members[k].Address == m.Address {
 					v.Members[j] = old.Members[k]
@@ -53,8 +53,8 @@
 // Observe processes the result of a status request. It returns nil for unknown groups and
 // members, and for observations of other instances, which neither show that this instance
 // reaches the member nor include its replication state.
-func (w Views) Observe(e observer.Observed) *View {
-	v := w[e.Service]
+func (vs Views) Observe(e observer.Observed) *View {
+	v := vs[e.Service]
 	if v == nil || e.From != "" {
 		return nil
 	}
--- a/internal/discoverer/discoverer.go
+++ b/internal/discoverer/discoverer.go
@@ -254,8 +254,8 @@
 func (d *Discoverer) OwnZone(now tracker.Timestamp) []Peer { return d.peersWithin(now, zoneDistance) }
 
 // OwnRegion returns this instance and the available peers of its region, unordered.
-func (i *Discoverer) OwnRegion(now tracker.Timestamp) []Peer {
-	return i.peersWithin(now, regionDistance)
+func (d *Discoverer) OwnRegion(now tracker.Timestamp) []Peer {
+	return d.peersWithin(now, regionDistance)
 }
 
 // InZone returns the available instances of a zone, which may include this one, unordered.
@@ -292,12 +292,12 @@
 }
 
 // peersWithin returns this instance and the available peers up to a distance.
-func (i *Discoverer) peersWithin(now tracker.Timestamp, distance int) []Peer {
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
-	list := []Peer{i.Self}
-	for _, k := range i.peers {
-		if k.available(now) && i.distance(k.Peer) <= distance {
+func (d *Discoverer) peersWithin(now tracker.Timestamp, distance int) []Peer {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	list := []Peer{d.Self}
+	for _, k := range d.peers {
+		if k.available(now) && d.distance(k.Peer) <= distance {
 			list = append(list, k.Peer)
 		}
 	}
@@ -305,8 +305,8 @@
 }
 
 // available reports whether a peer is presumed to be reachable.
-func (k *peerState) available(now tracker.Timestamp) bool {
-	return k.failures < maxFailures || now-k.failedAt > unavailablePeriod
+func (s *peerState) available(now tracker.Timestamp) bool {
+	return s.failures < maxFailures || now-s.failedAt > unavailablePeriod
 }
 
 // evict removes the least recently seen peers of a zone that exceeds its limit.
--- a/internal/dispatcher/execution.go
+++ b/internal/dispatcher/execution.go
@@ -57,9 +57,9 @@
 
 // wait sleeps for the next delay, half of it random, so that statements refused together
 // are not retried together.
-func (p *busyBackoff) wait() {
-	p.delay = min(max(2*p.delay, minBusyBackoff), maxBusyBackoff)
-	time.Sleep(p.delay/2 + rand.N(p.delay/2))
+func (b *busyBackoff) wait() {
+	b.delay = min(max(2*b.delay, minBusyBackoff), maxBusyBackoff)
+	time.Sleep(b.delay/2 + rand.N(b.delay/2))
 }
 
 func (x *execution) deadline() time.Time { return x.start.Add(x.route.Timeout) }
--- a/internal/dispatcher/read.go
+++ b/internal/dispatcher/read.go
@@ -106,7 +106,7 @@
 }
 
 // retryOrRefuse refuses an unanswered read unless it is retried. A read has no effect, so the
-// caller may be told to retry.
+// caller may retry it.
 func (x *execution) retryOrRefuse(retry bool) (messenger.Reply, bool) {
 	if retry {
 		return messenger.Reply{}, true
--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -117,12 +117,12 @@
 	record struct {
 		Owner string `json:"holder"`
 		// Lease is the lease that the record is bound to.
-		Lease      int64             `json:"lease"`
-		Members    map[string]string `json:"members"`
-		Open       bool              `json:"order-open"`
-		Leader     string            `json:"leader"`
-		LeaderBorn int64             `json:"leader-born"`
-		Term       uint64            `json:"term"`
+		Lease            int64             `json:"lease"`
+		Members          map[string]string `json:"members"`
+		PromotionPending bool              `json:"order-open"`
+		Leader           string            `json:"leader"`
+		LeaderStartTime  int64             `json:"leader-born"`
+		Term             uint64            `json:"term"`
 	}
 )
 
--- a/internal/elector/supervisor.go
+++ b/internal/elector/supervisor.go
@@ -207,14 +207,14 @@
 	sv.refreshMembers()
 	// Collected first, because the primary's response changes which members are due.
 	var due []*memberState
-	for _, l := range sv.members {
-		if sv.shouldPoll(l) {
-			due = append(due, l)
+	for _, m := range sv.members {
+		if sv.shouldPoll(m) {
+			due = append(due, m)
 		}
 	}
 	var polls sync.WaitGroup
-	for _, l := range due {
-		polls.Go(func() { sv.poll(ctx, l) })
+	for _, m := range due {
+		polls.Go(func() { sv.poll(ctx, m) })
 	}
 	polls.Wait()
 	v := sv.buildView()
@@ -261,16 +261,16 @@
 
 // shouldPoll reports whether a member is due. Replicas are polled less often while the primary
 // is healthy.
-func (sv *Supervisor) shouldPoll(l *memberState) bool {
-	if isFormerIncarnation(l.ID) {
+func (sv *Supervisor) shouldPoll(m *memberState) bool {
+	if isFormerIncarnation(m.ID) {
 		return false
 	}
-	if l.ID == sv.primary || !l.Answered || l.PausedSince != 0 {
+	if m.ID == sv.primary || !m.Answered || m.PausedSince != 0 {
 		return true
 	}
 	p := sv.members[sv.primary]
-	healthy := p != nil && p.Answered && p.Status.Primary && !p.Leaving && p.OverloadedSince == 0 && l.StalledSince == 0
-	return !healthy || sv.Clock()-l.polledAt >= healthyReplicaInterval
+	healthy := p != nil && p.Answered && p.Status.Primary && !p.Leaving && p.OverloadedSince == 0 && m.StalledSince == 0
+	return !healthy || sv.Clock()-m.polledAt >= healthyReplicaInterval
 }
 
 // pruneMembers drops members that are no longer listed.
@@ -292,22 +292,22 @@
 	}
 	previous := sv.primary
 	var term uint64
-	for _, l := range sv.members {
-		if l.Answered && l.Status.Primary && l.Status.Term > term {
-			term, sv.primary = l.Status.Term, l.ID
-			sv.recordLeader(Leadership{ID: l.ID, StartTime: l.StartTime, Term: l.Status.Term})
+	for _, m := range sv.members {
+		if m.Answered && m.Status.Primary && m.Status.Term > term {
+			term, sv.primary = m.Status.Term, m.ID
+			sv.recordLeader(Leadership{ID: m.ID, StartTime: m.StartTime, Term: m.Status.Term})
 		}
 	}
 	p := sv.members[sv.primary]
-	for _, l := range sv.members {
+	for _, m := range sv.members {
 		if sv.primary != previous {
 			// Stalls were relative to the previous primary.
-			l.StalledSince = 0
+			m.StalledSince = 0
 		} else if p != nil {
-			l.updateStall(p.Status.Received)
-			l.updateCoverage(p)
+			m.updateStall(p.Status.Received)
+			m.updateCoverage(p)
 		}
-		v.Members = append(v.Members, l.Observation)
+		v.Members = append(v.Members, m.Observation)
 	}
 	switch {
 	case p != nil && (!p.Answered || p.Status.Primary):
--- a/internal/exchanger/exchanger_test.go
+++ b/internal/exchanger/exchanger_test.go
@@ -87,8 +87,8 @@
 	})
 }
 
-// FuzzTell guards against malformed requests of peers.
-func FuzzTell(f *testing.F) {
+// FuzzHandleRequest guards against malformed requests of peers.
+func FuzzHandleRequest(f *testing.F) {
 	good, err := proto.Marshal(&wire.TellRequest{Sender: &wire.Peer{Name: "y", Address: "y:1", Zone: "b"}, Revision: 4})
 	must.NoError(f, err)
 	f.Add(good)
--- a/internal/forwarder/holders.go
+++ b/internal/forwarder/holders.go
@@ -37,7 +37,7 @@
 		// peersAdded is the discoverer's count of added peers at updatedAt.
 		peersAdded int
 		// zoneHolders hold this zone's connections to all members; empty unless the placement
-		// is concentrator.PlaceZone.
+		// is concentrator.PerZone.
 		zoneHolders holders
 		// memberHolders are the holders per member, computed on demand.
 		memberHolders map[string]holders
--- a/internal/lender/evict_test.go
+++ b/internal/lender/evict_test.go
@@ -130,11 +130,11 @@
 }
 
 // Guards against a customer with a large backlog delaying the others' requests.
-func TestHotCustomerDelaysNoOther(t *testing.T) {
+func TestHotCustomerDoesNotDelayOthers(t *testing.T) {
 	calm, _ := calmP99(t, 0)
-	beside, hot := calmP99(t, 40)
+	loaded, hot := calmP99(t, 40)
 	must.Positive(t, hot)
-	must.LessEq(t, calm+calm/10+20*time.Millisecond, beside)
+	must.LessEq(t, calm+calm/10+20*time.Millisecond, loaded)
 }
 
 // calmP99 returns the p99 of the calm customers' waits for a connection while hotCallers send
@@ -147,7 +147,7 @@
 		var mutex sync.Mutex
 		var waits []time.Duration
 		var running sync.WaitGroup
-		warm, until := time.Now().Add(2*time.Second), time.Now().Add(10*time.Second)
+		warmUpEnd, until := time.Now().Add(2*time.Second), time.Now().Add(10*time.Second)
 		for range hotCallers {
 			running.Go(func() {
 				for time.Now().Before(until) {
@@ -167,11 +167,11 @@
 					begin := time.Now()
 					c, err := p.Borrow(t.Context(), lender.Request{EligibleMembers: primary, Customer: name(n + 1), Deadline: begin.Add(5 * time.Second)})
 					must.NoError(t, err)
-					took := time.Since(begin)
+					wait := time.Since(begin)
 					p.Return(c)
 					mutex.Lock()
-					if begin.After(warm) {
-						waits = append(waits, took)
+					if begin.After(warmUpEnd) {
+						waits = append(waits, wait)
 					}
 					mutex.Unlock()
 				}
--- a/internal/lender/lender_test.go
+++ b/internal/lender/lender_test.go
@@ -39,7 +39,7 @@
 
 // runSharedPools is runPoolsWith with the number of instances that share a member's connections, 0
 // if unknown.
-func runSharedPools(t *testing.T, group *liner.Group, n, sharers int, test func(t *testing.T, s *testGroup)) {
+func runSharedPools(t *testing.T, group *liner.Group, n, holders int, test func(t *testing.T, s *testGroup)) {
 	t.Helper()
 	connections := group.Connections
 	synctest.Test(t, func(t *testing.T) {
@@ -58,8 +58,8 @@
 				Group: g, Network: s.net.Host(fmt.Sprintf("10.8.0.%d", i+1), "a"), Codec: platform.LineCodec{},
 				ClientName: "test", Clock: func() tracker.Timestamp { return time.Since(begin) + time.Hour },
 			}
-			if sharers > 0 {
-				p.HolderCount = func(string, string) int { return sharers }
+			if holders > 0 {
+				p.HolderCount = func(string, string) int { return holders }
 			}
 			p.Configure(connections, nil)
 			s.pools = append(s.pools, p)
@@ -335,8 +335,8 @@
 // Guards against closing and reopening spare connections between overlapping statements, and
 // against keeping them where the instance's share is small.
 func TestSpareConnectionsOutliveOverlap(t *testing.T) {
-	overlap := func(t *testing.T, connections, sharers int) (opened, idle int) {
-		runSharedPools(t, &liner.Group{Connections: connections}, 1, sharers, func(t *testing.T, s *testGroup) {
+	overlap := func(t *testing.T, connections, holders int) (opened, idle int) {
+		runSharedPools(t, &liner.Group{Connections: connections}, 1, holders, func(t *testing.T, s *testGroup) {
 			p := s.pools[0]
 			time.Sleep(time.Second)
 			_, _, _, before := p.Stats()
--- a/internal/lender/pool.go
+++ b/internal/lender/pool.go
@@ -84,7 +84,7 @@
 		// BorrowRemote, when set, borrows a connection through another instance.
 		BorrowRemote func(ctx context.Context, group string, members []string, r Request) (*Conn, error)
 		// BorrowFromHolder, when set, borrows from the instance that holds the connections to the group's
-		// members for others. Elsewhere reports whether another instance holds those to a member.
+		// members for others. HeldElsewhere reports whether another instance holds those to a member.
 		BorrowFromHolder func(ctx context.Context, group string, r Request) (*Conn, error)
 		HeldElsewhere    func(group, member string) bool
 		// Admit, when set, decides whether a new operation of a customer may run on one of this
@@ -127,11 +127,11 @@
 	// memberPool holds the connections to one member.
 	memberPool struct {
 		id string
-		// born identifies the incarnation of the member that the other fields are about.
-		born    int64
-		idle    []*Conn
-		open    int
-		opening int
+		// startTime identifies the incarnation of the member that the other fields are about.
+		startTime int64
+		idle      []*Conn
+		open      int
+		opening   int
 		// lentByCustomer and openingByCustomer count a customer's lent connections and those being
 		// opened.
 		lentByCustomer, openingByCustomer map[string]int
@@ -216,7 +216,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for id, m := range p.members {
-		if x, ok := p.Group.Member(id); ok && x.StartTime > m.born {
+		if x, ok := p.Group.Member(id); ok && x.StartTime > m.startTime {
 			p.resetMember(m, x.StartTime)
 		}
 	}
@@ -343,7 +343,7 @@
 		}
 		m = &memberPool{id: id}
 		if x, ok := p.Group.Member(id); ok {
-			m.born = x.StartTime
+			m.startTime = x.StartTime
 		}
 		p.members[id] = m
 	}
--- a/internal/lender/remote.go
+++ b/internal/lender/remote.go
@@ -42,9 +42,9 @@
 
 // NewRemoteConn wraps a connection that another instance lends. giveBack is called once, when it is
 // returned.
-func NewRemoteConn(n net.Conn, codec messenger.MemberCodec, member string, born int64, s SessionState, giveBack func(LoanEnd)) *Conn {
+func NewRemoteConn(n net.Conn, codec messenger.MemberCodec, member string, startTime int64, s SessionState, giveBack func(LoanEnd)) *Conn {
 	return &Conn{
-		Member: member, MemberStartTime: born, net: n, codec: codec, replies: codec.Replies(n),
+		Member: member, MemberStartTime: startTime, net: n, codec: codec, replies: codec.Replies(n),
 		values: s.Values, prepared: s.Prepared, giveBack: giveBack,
 	}
 }
--- a/internal/limiter/ledger.go
+++ b/internal/limiter/ledger.go
@@ -136,10 +136,10 @@
 	}
 	from.hasLeft = r.Final
 	fleet := l.fleetStatus(now)
-	answer := Reply{Incarnation: l.Incarnation}
+	reply := Reply{Incarnation: l.Incarnation}
 	if !from.synced && !r.NewAccountant {
 		// The instance will resend with its past usage once it sees the new incarnation.
-		return answer
+		return reply
 	}
 	firstSync := !from.synced
 	if firstSync {
@@ -165,13 +165,13 @@
 			a.addPastUsage(now, s.PastUsed, sinceLast)
 		}
 		a.consumeReported(now, s.Used, sinceLast-silenceTimeout)
-		answer.Grants = append(answer.Grants, a.grant(now, r.Instance, from, s, l.Tolerance, fleet, len(l.reporters)))
+		reply.Grants = append(reply.Grants, a.grant(now, r.Instance, from, s, l.Tolerance, fleet, len(l.reporters)))
 	}
 	from.synced = from.synced || r.NewAccountant
 	if r.Final {
 		l.instanceLeft(r.Instance)
 	}
-	return answer
+	return reply
 }
 
 // instanceRestarted counts the leases of an instance's previous incarnation as used.
@@ -207,14 +207,14 @@
 
 // advance refills the token bucket and expires leases and instances.
 func (a *account) advance(now Timestamp, t Tolerance, fleet fleetStatus) {
-	for name, p := range a.shares {
-		if p.leased > 0 && now > p.leasedUntil {
-			// The holder has been isolated or removed: it may have used them.
-			a.consume(now, p.leased)
-			p.assumedUsed, p.assumedAt = p.assumedUsed+p.leased, now
-			p.leased = 0
+	for name, s := range a.shares {
+		if s.leased > 0 && now > s.leasedUntil {
+			// The instance has been isolated or removed: it may have used them.
+			a.consume(now, s.leased)
+			s.assumedUsed, s.assumedAt = s.assumedUsed+s.leased, now
+			s.leased = 0
 		}
-		if now-p.lastReport > reporterExpiry && !slices.Contains(fleet.silent, name) {
+		if now-s.lastReport > reporterExpiry && !slices.Contains(fleet.silent, name) {
 			delete(a.shares, name)
 		}
 	}
@@ -263,11 +263,11 @@
 }
 
 // currentDemand returns the instance's demand. That of an unreachable instance doesn't decay.
-func (p *instanceShare) currentDemand(now Timestamp) float64 {
-	if p.unreachable(now) {
-		return p.demand
+func (s *instanceShare) currentDemand(now Timestamp) float64 {
+	if s.unreachable(now) {
+		return s.demand
 	}
-	return decayed(p.demand, now-p.demandAt, demandHalfLife)
+	return decayed(s.demand, now-s.demandAt, demandHalfLife)
 }
 
 // totalDemand returns the requested operations per second on all instances.
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -65,7 +65,7 @@
 		incarnation uint64
 		sent        limiter.Timestamp
 		report      *limiter.Report
-		answer      limiter.Reply
+		reply       limiter.Reply
 	}
 )
 
@@ -186,11 +186,11 @@
 			f.inFlight = append(f.inFlight, m)
 		case m.incarnation != x.incarnation || f.accountsFor(x) == nil:
 		case m.report != nil && (x.isolated || !f.nodes[f.accountant].paused):
-			answer := f.accountsFor(x).HandleReport(f.now, *m.report, func(string) identifier.Limit { return f.limit })
-			f.send(message{node: m.node, incarnation: m.incarnation, sent: m.sent, answer: answer})
+			reply := f.accountsFor(x).HandleReport(f.now, *m.report, func(string) identifier.Limit { return f.limit })
+			f.send(message{node: m.node, incarnation: m.incarnation, sent: m.sent, reply: reply})
 		case m.report == nil && !x.paused && x.waiting && m.sent == x.sentAt:
 			x.waiting = false
-			x.meter.HandleReply(m.sent, m.answer)
+			x.meter.HandleReply(m.sent, m.reply)
 		}
 	}
 }
--- a/internal/limiter/meter.go
+++ b/internal/limiter/meter.go
@@ -8,7 +8,7 @@
 	"github.com/oriolegw/oriolegw/internal/identifier"
 )
 
-// Verdicts on an operation.
+// The decisions on an operation.
 const (
 	// Admit allows the operation.
 	Admit Decision = iota
@@ -18,7 +18,7 @@
 	RequestLease
 )
 
-// Attempts of an operation.
+// The attempts of an operation.
 const (
 	// FirstAttempt is the decision when the operation is requested.
 	FirstAttempt Attempt = iota
--- a/internal/lister/lister_test.go
+++ b/internal/lister/lister_test.go
@@ -47,7 +47,7 @@
 
 // The list returned over HTTP includes registrations after the lag. Reading it fails while the
 // service is down.
-func TestPage(t *testing.T) {
+func TestClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, m := wirer.New(1), storer.NewMemory()
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/lister/slice.go
+++ b/internal/lister/slice.go
@@ -176,9 +176,9 @@
 	if i.Name == s.Self.Name || i.Address == "" {
 		return nil
 	}
-	before := s.contacted[i.Name]
+	previous := s.contacted[i.Name]
 	s.contacted[i.Name] = contacted{instance: i, at: now}
-	if before.instance == i && s.unresponsive[i.Name] == nil {
+	if previous.instance == i && s.unresponsive[i.Name] == nil {
 		return nil
 	}
 	// A peer that calls is alive, even if calls to it have failed.
--- a/internal/storer/contract_test.go
+++ b/internal/storer/contract_test.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestGateway runs the contract over the HTTP protocol against the simulated platform.
-func TestGateway(t *testing.T) {
+// TestClient runs the contract over the HTTP protocol against the simulated platform.
+func TestClient(t *testing.T) {
 	for _, c := range contract {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/tracker/model.go
+++ b/internal/tracker/model.go
@@ -24,7 +24,7 @@
 
 type (
 	// Timestamp is a time on a clock that includes suspended time, relative to an arbitrary
-	// origin. Stamps of different machines are not comparable.
+	// origin. Timestamps of different machines are not comparable.
 	Timestamp = time.Duration
 
 	// Route maps a database name to a group.
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -66,7 +66,7 @@
 		// FirstStart is set when the whole fleet starts for the first time.
 		FirstStart bool
 		// ConfigurationKey is the key of the configuration; the others are the key prefixes
-		// of members, duties and instances.
+		// of members, ownership records and instances.
 		ConfigurationKey, MemberPrefix, OwnershipPrefix, InstancePrefix string
 
 		DecodeConfiguration func(value []byte) (*tracker.Configuration, error)
@@ -108,7 +108,7 @@
 		peerUpdateAt tracker.Timestamp
 		version      int64
 		entries      map[string]*entry
-		duties       map[string]bool
+		owned        map[string]bool
 		outage       bool
 		restoredAt   tracker.Timestamp
 		// storeSeenAt is when the store last answered. changedSince is the earliest time at
@@ -168,7 +168,7 @@
 
 // Run watches the store until the context ends.
 func (w *Watcher) Run(ctx context.Context) error {
-	w.entries, w.duties, w.pairs = map[string]*entry{}, map[string]bool{}, map[string]storer.Pair{}
+	w.entries, w.owned, w.pairs = map[string]*entry{}, map[string]bool{}, map[string]storer.Pair{}
 	w.storeDown.Store(true)
 	updates := make(chan update)
 	ended := make(chan error, 2)
@@ -193,7 +193,7 @@
 func (w *Watcher) poll(ctx context.Context, updates chan<- update) error {
 	var revision int64
 	snapshot := true
-	pause := minRetryDelay
+	delay := minRetryDelay
 	startedAt := w.Clock()
 	for {
 		if w.followsReader() {
@@ -230,15 +230,15 @@
 			// changes.
 			snapshot = true
 			if w.followsPeer() {
-				pause = max(pause, time.Duration(followerRetryFraction*float64(w.MaxPropagationDelay)))
+				delay = max(delay, time.Duration(followerRetryFraction*float64(w.MaxPropagationDelay)))
 			}
-			if err := sleeper.Sleep(ctx, pause/2+rand.N(pause/2)); err != nil {
+			if err := sleeper.Sleep(ctx, delay/2+rand.N(delay/2)); err != nil {
 				return err
 			}
-			pause = min(2*pause, maxRetryDelay)
+			delay = min(2*delay, maxRetryDelay)
 			continue
 		}
-		pause = minRetryDelay
+		delay = minRetryDelay
 		if snapshot || len(u.pairs) > 0 {
 			revision = next
 			if err := sleeper.Sleep(ctx, w.batchDelay(startedAt)); err != nil {
@@ -306,7 +306,7 @@
 	case p.Key == w.ConfigurationKey:
 		w.applyConfiguration(p)
 	case strings.HasPrefix(p.Key, w.OwnershipPrefix):
-		w.duties[p.Key] = p.Revision > 0
+		w.owned[p.Key] = p.Revision > 0
 		w.OnOwnership(p)
 	case strings.HasPrefix(p.Key, w.MemberPrefix):
 		return w.applyMember(p)
