--- a/internal/dispatcher/access.go
+++ b/internal/dispatcher/access.go
@@ -59,11 +59,11 @@
 	case !s.hasKey:
 		return "", false
 	}
-	holder, ok := c.Customers.ByKey(s.key)
+	account, ok := c.Customers.ByKey(s.key)
 	if !ok {
 		return "", false
 	}
-	return holder.Name, true
+	return account.Name, true
 }
 
 // checkKey reports whether the open transaction may continue: the caller's key is valid or
--- a/internal/dispatcher/execution.go
+++ b/internal/dispatcher/execution.go
@@ -198,13 +198,13 @@
 	g, sentAt := x.backend.Group, time.Now()
 	g.RecordSend(c.Member)
 	replies, sent, err := c.Exchange(commands, deadline)
-	stamp := x.session.server.Clock()
+	now := x.session.server.Clock()
 	if err != nil {
-		g.RecordFailure(stamp, c.Member, true)
+		g.RecordFailure(now, c.Member, true)
 		x.backend.Pool.NoteTimeout(c)
 		return replies, sent, err
 	}
-	g.RecordResponse(stamp, c.Member, time.Since(sentAt), replies[len(replies)-1].Position)
+	g.RecordResponse(now, c.Member, time.Since(sentAt), replies[len(replies)-1].Position)
 	x.checkSessionState(c, commands, replies)
 	x.reportBusy(c, replies)
 	return replies, sent, nil
--- a/internal/dispatcher/session.go
+++ b/internal/dispatcher/session.go
@@ -26,7 +26,7 @@
 		hasKey      bool
 		values      lender.Values
 		prepared    map[string]lender.Prepared
-		floor       tracker.LastCommit
+		lastCommit  tracker.LastCommit
 		state       messenger.State
 		tx          *transaction
 		writeBuffer []byte
--- a/internal/elector/elector_test.go
+++ b/internal/elector/elector_test.go
@@ -64,9 +64,9 @@
 		time.Sleep(3 * time.Second)
 		defer func() {
 			cancel()
-			for _, h := range []*testInstance{a, b} {
-				<-h.done
-				<-h.done
+			for _, i := range []*testInstance{a, b} {
+				<-i.done
+				<-i.done
 			}
 		}()
 		scenario(t, m, a, b)
@@ -197,11 +197,11 @@
 	for _, value := range []string{"nonsense", "{}", `{"holder": 7}`} {
 		t.Run(value, func(t *testing.T) {
 			runTwoInstances(t, func(t *testing.T, m *storer.Memory, a, b *testInstance) {
-				h, other := a, b
+				owner, other := a, b
 				if b.owns() {
-					h, other = b, a
+					owner, other = b, a
 				}
-				_, err := h.ownership.Load().NextFencingToken(t.Context(), elector.State{Members: map[string]string{"g-1": "10.0.0.1:1"}})
+				_, err := owner.ownership.Load().NextFencingToken(t.Context(), elector.State{Members: map[string]string{"g-1": "10.0.0.1:1"}})
 				must.NoError(t, err)
 				now, err := m.Get(t.Context(), elector.OwnershipPrefix+"g")
 				must.NoError(t, err)
@@ -210,9 +210,9 @@
 				must.NoError(t, err)
 				must.True(t, ok)
 				time.Sleep(time.Second)
-				must.True(t, h.owns())
+				must.True(t, owner.owns())
 				must.Eq(t, []string{"g-1"}, other.elector.RecordedMembers("g"))
-				h.cancel()
+				owner.cancel()
 				time.Sleep(4 * time.Second)
 				must.True(t, other.owns())
 				must.Eq(t, map[string]string{"g-1": "10.0.0.1:1"}, other.ownership.Load().State().Members)
--- a/internal/elector/member_state.go
+++ b/internal/elector/member_state.go
@@ -74,7 +74,7 @@
 // applyStatus stores a member's status.
 func (m *memberState) applyStatus(now tracker.Timestamp, s messenger.Status) {
 	switch {
-	case m.maxConnections == 0 || float64(s.Connections) < crowdedRatio*float64(m.maxConnections):
+	case m.maxConnections == 0 || float64(s.Connections) < nearlyFullRatio*float64(m.maxConnections):
 		m.CrowdedSince = 0
 	case m.CrowdedSince == 0:
 		m.CrowdedSince = now
--- a/internal/elector/primary_change.go
+++ b/internal/elector/primary_change.go
@@ -201,10 +201,10 @@
 	var list []*memberState
 	for _, m := range v.Members {
 		term = max(term, m.Status.Term, m.Status.Received.Term)
-		l := sv.members[m.ID]
+		state := sv.members[m.ID]
 		// A demoted primary is a replica like the others.
 		if (m.ID != v.Primary || m.Answered && !m.Status.Primary) && !sv.excluded[m.ID] {
-			list = append(list, l)
+			list = append(list, state)
 		}
 	}
 	slices.SortFunc(list, func(a, b *memberState) int {
--- a/internal/elector/primary_change_test.go
+++ b/internal/elector/primary_change_test.go
@@ -313,7 +313,7 @@
 }
 
 // A lagging replica replaces a primary whose connections are held by idle transactions.
-func TestLaggingReplicaReplacesCrowdedPrimary(t *testing.T) {
+func TestLaggingReplicaReplacesNearlyFullPrimary(t *testing.T) {
 	runScenario(t, func(t *testing.T, s *harness) {
 		time.Sleep(time.Second)
 		s.group.Late("g-2", 10*time.Millisecond)
--- a/internal/elector/supervisor.go
+++ b/internal/elector/supervisor.go
@@ -52,7 +52,7 @@
 		// MarkPromotionUnanswered notes that an order sent with the newest fencing token is unanswered.
 		MarkPromotionUnanswered func()
 		// Promote orders a promotion.
-		Promote func(ctx context.Context, group, member string, fence int64) error
+		Promote func(ctx context.Context, group, member string, fencingToken int64) error
 		// Refused reports whether an error of Promote is a refusal.
 		Refused func(error) bool
 		// SynchronousReplicas returns how many replicas hold a commit before it is acknowledged.
@@ -240,18 +240,18 @@
 	sv.pruneMembers(members)
 	var joined []*memberState
 	for _, m := range members {
-		l := sv.members[m.ID]
-		if l != nil && m.StartTime > l.StartTime && l.StartTime != 0 {
-			sv.handleRestart(l)
-			l = nil
+		state := sv.members[m.ID]
+		if state != nil && m.StartTime > state.StartTime && state.StartTime != 0 {
+			sv.handleRestart(state)
+			state = nil
 		}
-		if l == nil {
-			l = &memberState{}
-			sv.members[m.ID] = l
+		if state == nil {
+			state = &memberState{}
+			sv.members[m.ID] = state
 			sv.include(m.ID)
-			joined = append(joined, l)
+			joined = append(joined, state)
 		}
-		l.Member, l.maxConnections = m, sv.ConnectionLimit()
+		state.Member, state.maxConnections = m, sv.ConnectionLimit()
 		if m.Leaving && !m.Missing {
 			sv.announcedLeave[m.ID] = true
 		}
@@ -275,9 +275,9 @@
 
 // pruneMembers drops members that are no longer listed.
 func (sv *Supervisor) pruneMembers(members []tracker.Member) {
-	for id, l := range sv.members {
+	for id, state := range sv.members {
 		if !slices.ContainsFunc(members, func(m tracker.Member) bool { return m.ID == id }) {
-			l.close()
+			state.close()
 			delete(sv.members, id)
 		}
 	}
--- a/internal/exchanger/exchanger_test.go
+++ b/internal/exchanger/exchanger_test.go
@@ -106,7 +106,7 @@
 }
 
 // Valid instance records add peers; invalid ones are ignored.
-func TestRecords(t *testing.T) {
+func TestHandleRecord(t *testing.T) {
 	x := newExchanger("x", nil)
 	x.HandleRecord(storer.Pair{Key: exchanger.InstancePrefix + "y", Value: []byte(`{"address": "y:1", "availability-zone": "a"}`), Revision: 1})
 	x.HandleRecord(storer.Pair{Key: exchanger.InstancePrefix + "z", Value: []byte("nonsense"), Revision: 2})
--- a/internal/lender/evict_test.go
+++ b/internal/lender/evict_test.go
@@ -131,15 +131,15 @@
 
 // Guards against a customer with a large backlog delaying the others' requests.
 func TestHotCustomerDoesNotDelayOthers(t *testing.T) {
-	calm, _ := calmP99(t, 0)
-	loaded, hot := calmP99(t, 40)
+	unloaded, _ := otherP99(t, 0)
+	loaded, hot := otherP99(t, 40)
 	must.Positive(t, hot)
-	must.LessEq(t, calm+calm/10+20*time.Millisecond, loaded)
+	must.LessEq(t, unloaded+unloaded/10+20*time.Millisecond, loaded)
 }
 
-// calmP99 returns the p99 of the calm customers' waits for a connection while hotCallers send
+// otherP99 returns the p99 of the other customers' waits for a connection while hotCallers send
 // statements of another customer without a pause, and how many of these were served.
-func calmP99(t *testing.T, hotCallers int) (p99 time.Duration, hotServed int) {
+func otherP99(t *testing.T, hotCallers int) (p99 time.Duration, hotServed int) {
 	group := &liner.Group{Connections: 80, Slots: 2, Queue: 64, Handshake: 12 * time.Millisecond}
 	runSharedPools(t, group, 1, 1, func(t *testing.T, s *testGroup) {
 		p := s.pools[0]
--- a/internal/lender/remote.go
+++ b/internal/lender/remote.go
@@ -152,15 +152,15 @@
 		defer p.background.Done()
 		c, err := p.BorrowRemote(ctx, p.Group.Name, ids, w.Request)
 		p.mutex.Lock()
-		late := w.abandoned
+		abandoned := w.abandoned
 		switch {
 		case err != nil:
 			w.remotePending = false // a retry may follow; at most one connection is pending
-		case !late:
+		case !abandoned:
 			w.remote <- c
 		}
 		p.mutex.Unlock()
-		if err == nil && late {
+		if err == nil && abandoned {
 			c.returnLoan()
 		}
 	}()
--- a/internal/limiter/ledger.go
+++ b/internal/limiter/ledger.go
@@ -177,9 +177,9 @@
 // instanceRestarted counts the leases of an instance's previous incarnation as used.
 func (l *Ledger) instanceRestarted(now Timestamp, instance string) {
 	for _, a := range l.accounts {
-		if p, ok := a.shares[instance]; ok {
-			a.consume(now, p.leased)
-			p.leased, p.assumedUsed = 0, 0
+		if s, ok := a.shares[instance]; ok {
+			a.consume(now, s.leased)
+			s.leased, s.assumedUsed = 0, 0
 		}
 	}
 }
@@ -187,8 +187,8 @@
 // instanceLeft drops the leases of an instance that reports to another accountant.
 func (l *Ledger) instanceLeft(instance string) {
 	for _, a := range l.accounts {
-		if p, ok := a.shares[instance]; ok {
-			p.leased = 0
+		if s, ok := a.shares[instance]; ok {
+			s.leased = 0
 		}
 	}
 }
@@ -273,8 +273,8 @@
 // totalDemand returns the requested operations per second on all instances.
 func (a *account) totalDemand(now Timestamp) float64 {
 	var sum float64
-	for _, p := range a.shares {
-		sum += p.currentDemand(now)
+	for _, s := range a.shares {
+		sum += s.currentDemand(now)
 	}
 	return sum
 }
@@ -282,8 +282,8 @@
 // totalLeased returns the outstanding leases of all instances.
 func (a *account) totalLeased() float64 {
 	var sum float64
-	for _, p := range a.shares {
-		sum += float64(p.leased)
+	for _, s := range a.shares {
+		sum += float64(s.leased)
 	}
 	return sum
 }
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -122,7 +122,7 @@
 // request decides on an operation that was requested at a time.
 func (f *fleet) request(n int, since limiter.Timestamp, attempt limiter.Attempt) {
 	x := f.nodes[n]
-	switch v, retryAfter := x.meter.Decide(f.now, "c", f.limit, attempt); v {
+	switch decision, retryAfter := x.meter.Decide(f.now, "c", f.limit, attempt); decision {
 	case limiter.Admit:
 		f.ran[len(f.ran)-1]++
 	case limiter.Refuse:
