--- a/internal/accountant/accountant.go
+++ b/internal/accountant/accountant.go
@@ -43,8 +43,8 @@
 	// Active reports whether customers are configured, Limits returns the limits of all customers.
 	Active func() bool
 	Limits func() map[string]identifier.Limit
-	// CurrentAccountant returns the accountant's address, "" if unknown; self is set if this instance is the
-	// accountant.
+	// CurrentAccountant returns the accountant's address, "" if unknown; self is set if this
+	// instance is the accountant.
 	CurrentAccountant func() (address string, self bool)
 	// NoteFailed is called with the address of an instance that did not reply.
 	NoteFailed func(address string)
@@ -222,5 +222,6 @@
 	return nil
 }
 
-// UndoAdmit takes back an admitted operation that has not run. It implements lender.Pool's UndoAdmit.
+// UndoAdmit takes back an admitted operation that has not run. It implements lender.Pool's
+// UndoAdmit.
 func (a *Accountant) UndoAdmit(customer string) { a.Meter.Undo(a.Clock(), customer) }
--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -36,8 +36,8 @@
 		Age time.Duration
 	}
 
-	// FailureAgreed is emitted when enough availability zones share a suspicion to act on it, and when
-	// that ends.
+	// FailureAgreed is emitted when enough availability zones share a suspicion to act on it, and
+	// when that ends.
 	FailureAgreed struct {
 		Service  string
 		Member   string
--- a/internal/detector/view.go
+++ b/internal/detector/view.go
@@ -15,7 +15,8 @@
 		Status commander.Status
 		// StatusAt is when the request that returned Status was sent; zero is never.
 		StatusAt time.Time
-		// Failures counts consecutive unanswered requests; the first of them was sent at FailingSince.
+		// Failures counts consecutive unanswered requests; the first of them was sent at
+		// FailingSince.
 		Failures     int
 		FailingSince time.Time
 		// Unreachable is set when the last failed request was refused, not timed out.
--- a/internal/dispatcher/execution.go
+++ b/internal/dispatcher/execution.go
@@ -176,8 +176,9 @@
 	return time.Now().Before(x.queueDeadline())
 }
 
-// commands returns the commands to send for the statement: first those that set up the
-// session's values and prepared statement on the connection. index is the position of the statement's command.
+// commands returns the commands to send for the statement: first those that set up the session's
+// values and prepared statement on the connection. index is the position of the statement's
+// command.
 func (x *execution) commands(c *lender.Conn, prefix, suffix []messenger.Command) (all []messenger.Command, index int) {
 	t := x.session.tx
 	setup, name := c.SessionCommands(x.session.values, x.prepared, t != nil && t.conn == c)
--- a/internal/dispatcher/server.go
+++ b/internal/dispatcher/server.go
@@ -53,8 +53,8 @@
 		Clock   func() tracker.Timestamp
 		// Configuration returns the version in force, nil before the first.
 		Configuration func() *tracker.Configuration
-		// ConfigurationCurrent, when set, reports whether the version in force is known to be no older
-		// than MaxConfigurationDelay.
+		// ConfigurationCurrent, when set, reports whether the version in force is known to be no
+		// older than MaxConfigurationDelay.
 		ConfigurationCurrent func() bool
 		// MaxConfigurationDelay is the time within which a configuration change must take effect.
 		MaxConfigurationDelay time.Duration
@@ -140,8 +140,8 @@
 	return len(s.active)
 }
 
-// CloseSessions closes the sessions outside a transaction or, with all, every session. A statement in
-// progress is answered first.
+// CloseSessions closes the sessions outside a transaction or, with all, every session. A statement
+// in progress is answered first.
 func (s *Server) CloseSessions(all bool) {
 	if all {
 		s.shutdownPhase.Store(phaseCloseAll)
--- a/internal/elector/decide.go
+++ b/internal/elector/decide.go
@@ -169,8 +169,8 @@
 	return slices.ContainsFunc(v.Members, func(m Observation) bool { return m.ID != p.ID && m.hasSpareCapacity(v.Now) && m.lagging() }) && canOffload(v, p)
 }
 
-// connectionsExhausted reports whether the primary has rejected connections for too long while a replica has
-// spare capacity.
+// connectionsExhausted reports whether the primary has rejected connections for too long while a
+// replica has spare capacity.
 func connectionsExhausted(v View, p *Observation) bool {
 	return v.Now-p.FailedSince >= overloadTimeout && v.Now-v.ProcessStart > deadConnectionTimeout && canOffload(v, p)
 }
--- a/internal/elector/primary_change_test.go
+++ b/internal/elector/primary_change_test.go
@@ -123,7 +123,8 @@
 	go func() { done <- k.Run(supervisorCtx) }()
 }
 
-// replaceSupervisor replaces the supervisor by that of another owner, which knows the recorded state.
+// replaceSupervisor replaces the supervisor by that of another owner, which knows the recorded
+// state.
 func (h *harness) replaceSupervisor() {
 	h.stop()
 	<-h.done
--- a/internal/elector/supervisor.go
+++ b/internal/elector/supervisor.go
@@ -49,7 +49,8 @@
 		// ones; State returns the last recorded state.
 		NextFencingToken func(ctx context.Context, f State) (int64, error)
 		State            func() State
-		// MarkPromotionUnanswered notes that an order sent with the newest fencing token is unanswered.
+		// MarkPromotionUnanswered notes that an order sent with the newest fencing token is
+		// unanswered.
 		MarkPromotionUnanswered func()
 		// Promote orders a promotion.
 		Promote func(ctx context.Context, group, member string, fencingToken int64) error
@@ -72,8 +73,8 @@
 		// announcedLeave are the members that announced to leave, or whose address was reused. They
 		// have departed once they are no longer registered.
 		announcedLeave map[string]bool
-		// formerIncarnations maps former incarnations that may hold the only copy of a commit to their
-		// addresses; see incarnationID.
+		// formerIncarnations maps former incarnations that may hold the only copy of a commit to
+		// their addresses; see incarnationID.
 		formerIncarnations map[string]string
 		// registered are the registered members.
 		registered map[string]bool
--- a/internal/forwarder/holders.go
+++ b/internal/forwarder/holders.go
@@ -112,7 +112,8 @@
 }
 
 // BorrowFromHolder borrows a connection from a holder of the group's connections. It returns
-// lender.ErrUseLocal if this instance should use its own. It implements lender.Pool's BorrowFromHolder.
+// lender.ErrUseLocal if this instance should use its own. It implements lender.Pool's
+// BorrowFromHolder.
 func (fw *Forwarder) BorrowFromHolder(ctx context.Context, group string, r lender.Request) (*lender.Conn, error) {
 	if fw.placement(group) == concentrator.PerInstance {
 		return nil, lender.ErrUseLocal
--- a/internal/lender/conn.go
+++ b/internal/lender/conn.go
@@ -126,9 +126,9 @@
 	c.Close()
 }
 
-// SessionCommands returns the commands that establish a session's values and, if needed, its prepared
-// statement, and the statement's name on the connection. Inside a transaction, if open is set,
-// state is only added: SessionCommands was called before it began.
+// SessionCommands returns the commands that establish a session's values and, if needed, its
+// prepared statement, and the statement's name on the connection. Inside a transaction, if open is
+// set, state is only added: SessionCommands was called before it began.
 func (c *Conn) SessionCommands(values Values, need *Prepared, open bool) ([]messenger.Command, string) {
 	var commands []messenger.Command
 	if !open && c.needsReset(values, need) {
@@ -169,16 +169,16 @@
 	return need != nil && c.prepared[*need] == "" && len(c.prepared) >= maxPreparedStatements
 }
 
-// ForgetState drops the record of the connection's state after the member reported an unknown prepared
-// statement; the next SessionCommands establishes it again.
+// ForgetState drops the record of the connection's state after the member reported an unknown
+// prepared statement; the next SessionCommands establishes it again.
 func (c *Conn) ForgetState() {
 	c.values = Values{"": ""}
 	clear(c.prepared)
 }
 
-// Exchange sends commands in one write and reads their replies until the deadline. After a
-// timeout, ReadRemaining can read the rest; after any other error the connection is unusable. sent is
-// false if no byte can have been sent.
+// Exchange sends commands in one write and reads their replies until the deadline. After a timeout,
+// ReadRemaining can read the rest; after any other error the connection is unusable. sent is false
+// if no byte can have been sent.
 func (c *Conn) Exchange(commands []messenger.Command, deadline time.Time) (replies []messenger.Reply, sent bool, err error) {
 	c.buffer = c.buffer[:0]
 	for _, x := range commands {
--- a/internal/lender/idle.go
+++ b/internal/lender/idle.go
@@ -101,8 +101,8 @@
 	m.noResponse, m.timeouts = false, 0
 }
 
-// ConnectionsScarce reports whether a member refused a connection recently because it had too many, or
-// another instance holds its connections.
+// ConnectionsScarce reports whether a member refused a connection recently because it had too many,
+// or another instance holds its connections.
 func (p *Pool) ConnectionsScarce(member string) bool {
 	if p.heldElsewhere(member) {
 		return true
--- a/internal/lender/remote.go
+++ b/internal/lender/remote.go
@@ -34,7 +34,8 @@
 	LoanEnd struct {
 		// Broken is set if the connection is unusable.
 		Broken bool
-		// Overloaded is set if the member refused a statement because of overload, Ran if it ran one.
+		// Overloaded is set if the member refused a statement because of overload, Ran if it ran
+		// one.
 		Overloaded, Ran bool
 		State           SessionState
 	}
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -72,8 +72,8 @@
 	// isolationTimeout is the time without a reply after which an instance admits operations at
 	// its fallback rate.
 	isolationTimeout = 800 * time.Millisecond
-	// LeaseWaitTimeout is how long an operation may wait for a lease: two round trips between regions, and
-	// scheduling delays.
+	// LeaseWaitTimeout is how long an operation may wait for a lease: two round trips between
+	// regions, and scheduling delays.
 	LeaseWaitTimeout = 100 * time.Millisecond
 	// leaseRequiredDuration is how long an instance treats an account as low on tokens after the
 	// accountant reported it so.
@@ -132,9 +132,9 @@
 		NewAccountant bool
 		// Final is set on the last report to an accountant.
 		Final bool
-		// SincePredecessorAck, if NewAccountant is set, is the time since the previous accountant last received a
-		// report, or 0 without one. That accountant reserves the instance's fallback rates once it
-		// has missed reports for long enough.
+		// SincePredecessorAck, if NewAccountant is set, is the time since the previous accountant
+		// last received a report, or 0 without one. That accountant reserves the instance's
+		// fallback rates once it has missed reports for long enough.
 		SincePredecessorAck time.Duration
 		Usages              []Usage
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -25,8 +25,8 @@
 		Zone string
 		// Exclude lists the indexes of members that have just failed this request.
 		Exclude []int
-		// PreferenceSeed differs between instances. Among equal replicas an instance prefers the same
-		// one, to reuse its connections, and the instances together spread over all.
+		// PreferenceSeed differs between instances. Among equal replicas an instance prefers the
+		// same one, to reuse its connections, and the instances together spread over all.
 		PreferenceSeed uint64
 		// Sequence differs between requests; slow start selects requests by it.
 		Sequence uint64
@@ -38,7 +38,8 @@
 		Replica bool
 		// MinPosition is the position that the member must have replayed.
 		MinPosition orderer.Position
-		// CatchUpTimeout is how long the replica may take to reach MinPosition; 0 when it is known to hold it.
+		// CatchUpTimeout is how long the replica may take to reach MinPosition; 0 when it is known
+		// to hold it.
 		CatchUpTimeout time.Duration
 		// Reason explains the choice, for the status page.
 		Reason string
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// pollWaitFraction is the long-poll timeout as a fraction of MaxPropagationDelay. The rest is left
-	// to detect a silent connection and to read a new snapshot.
+	// pollWaitFraction is the long-poll timeout as a fraction of MaxPropagationDelay. The rest is
+	// left to detect a silent connection and to read a new snapshot.
 	pollWaitFraction = 0.65
 	// minRetryDelay and maxRetryDelay bound the exponential backoff of failed calls.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
-	// followerRetryFraction is the retry delay, as a fraction of MaxPropagationDelay, while peers can
-	// report that the store is available again.
+	// followerRetryFraction is the retry delay, as a fraction of MaxPropagationDelay, while peers
+	// can report that the store is available again.
 	followerRetryFraction = 0.5
 	// registrationGrace is how long after an outage of the store members may take to
 	// register again.
@@ -35,8 +35,8 @@
 	// leavingTimeout is how long after its announcement a leaving member may still be sent
 	// work.
 	leavingTimeout = 6 * time.Second
-	// batchDelayFraction is the delay after a change, as a fraction of MaxPropagationDelay, that lets one
-	// call return several consecutive changes, such as those of a failover.
+	// batchDelayFraction is the delay after a change, as a fraction of MaxPropagationDelay, that
+	// lets one call return several consecutive changes, such as those of a failover.
 	batchDelayFraction = 0.1
 	// startupBatchDelay replaces it for startupPeriod after the first start of the fleet,
 	// when all members register.
