--- a/cmd/oriolegw-edge/main.go
+++ b/cmd/oriolegw-edge/main.go
@@ -57,19 +57,19 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
 
-	journal := logwriter.New(os.Stdout)
-	journal.Instance = s.Name
-	journalCtx, stopJournal := context.WithCancel(context.Background())
-	journalEnded := make(chan error, 1)
-	go func() { journalEnded <- journal.Run(journalCtx) }()
+	logs := logwriter.New(os.Stdout)
+	logs.Instance = s.Name
+	logCtx, stopLog := context.WithCancel(context.Background())
+	logEnded := make(chan error, 1)
+	go func() { logEnded <- logs.Run(logCtx) }()
 	defer func() {
-		stopJournal()
-		<-journalEnded
+		stopLog()
+		<-logEnded
 	}()
 	n := networker.TCP{}
 	promotions := (&platform.PromotionClient{Address: s.PromotionAddress, Network: n, LeaseHolder: s.Name}).Open()
 	i := &launcher.Instance{
-		Settings: s, Network: n, Journal: journal, Clock: launcher.Boottime, Shutdown: shutdown,
+		Settings: s, Network: n, Journal: logs, Clock: launcher.Boottime, Shutdown: shutdown,
 		Reload: reload, LoadSettings: func() (*loader.EdgeSettings, error) { return loader.LoadEdgeSettings(file) },
 		Platform: launcher.Platform{
 			Store:              (&platform.Store{Address: s.StoreAddress, Network: n}).Open(),
--- a/cmd/oriolegw-fleet/faults.go
+++ b/cmd/oriolegw-fleet/faults.go
@@ -33,7 +33,7 @@
 	}
 	ended := make(chan result, 1)
 	go func() {
-		r, err := d.experiment().Run(load)
+		r, err := d.loadTest().Run(load)
 		ended <- result{r, err}
 	}()
 	faultErr := d.injectFaults(ctx)
@@ -49,7 +49,7 @@
 	return d.showPrimary(ctx)
 }
 
-func (d *demonstration) experiment() *loadtester.LoadTest {
+func (d *demonstration) loadTest() *loadtester.LoadTest {
 	e := &loadtester.LoadTest{
 		Workers: 6, Duration: maxLoadTime, Writes: 0.1, OwnKeyReads: 0.5, Keys: 1000, RoamProbability: 0.01, CarryToken: true, Seed: 1,
 		Connect: func(ctx context.Context, address, token string) (*pgx.Conn, error) {
--- a/cmd/oriolegw-load/main.go
+++ b/cmd/oriolegw-load/main.go
@@ -21,20 +21,21 @@
 
 const (
 	exitUsage = 2
-	// passwordVariable is the environment variable with the password: a flag would be visible in process lists.
+	// passwordVariable is the environment variable with the password: a flag would be visible in
+	// process lists.
 	passwordVariable = "PGPASSWORD"
 )
 
-// options holds the flags; resolve completes the experiment from them.
+// options holds the flags; resolve completes the load test from them.
 type options struct {
-	experiment             loadtester.LoadTest
+	loadTest             loadtester.LoadTest
 	addresses, kinds       string
 	service, user, sslMode string
 }
 
 func declareFlags(f *flag.FlagSet) *options {
 	o := &options{}
-	e := &o.experiment
+	e := &o.loadTest
 	f.StringVar(&o.addresses, "addresses", "127.0.0.1:17030,127.0.0.1:17031,127.0.0.1:17032", "addresses to connect to, `ip:port,ip:port`")
 	f.StringVar(&o.service, "service", "lockers", "the `name` of the service")
 	f.StringVar(&o.user, "user", "crew", "the user `name`; the password is taken from $"+passwordVariable)
@@ -73,7 +74,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	r, err := o.experiment.Run(ctx)
+	r, err := o.loadTest.Run(ctx)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "oriolegw-load:", err)
 		os.Exit(1)
@@ -85,12 +86,12 @@
 	}
 }
 
-// resolve parses the list flags, completes the experiment and validates it.
+// resolve parses the list flags, completes the load test and validates it.
 func (o *options) resolve(arguments []string) error {
 	if len(arguments) > 0 {
 		return errors.Errorf("unexpected argument %q", arguments[0])
 	}
-	o.experiment.Addresses = strings.Split(o.addresses, ",")
+	o.loadTest.Addresses = strings.Split(o.addresses, ",")
 	for _, k := range strings.Split(o.kinds, ",") {
 		if k == "" {
 			continue
@@ -100,10 +101,10 @@
 		if err != nil {
 			return errors.Errorf("kinds: %q is not of the form kind=weight", k)
 		}
-		o.experiment.Kinds = append(o.experiment.Kinds, loadtester.ReadKind{Name: name, Weight: n})
+		o.loadTest.Kinds = append(o.loadTest.Kinds, loadtester.ReadKind{Name: name, Weight: n})
 	}
-	o.experiment.Connect = o.connect
-	return o.experiment.Check()
+	o.loadTest.Connect = o.connect
+	return o.loadTest.Check()
 }
 
 func (o *options) connect(ctx context.Context, address, token string) (*pgx.Conn, error) {
--- a/internal/acceptor/acceptor.go
+++ b/internal/acceptor/acceptor.go
@@ -49,7 +49,7 @@
 		Cancel func(ctx context.Context, pid, secret uint32)
 		// Authentication is the authentication method; if empty, all clients are refused.
 		Authentication loader.Authentication
-		// EncryptionMode says whether TLS is off, allowed or required; TLS has the certificate.
+		// EncryptionMode is whether TLS is off, allowed or required; TLS has the certificate.
 		EncryptionMode loader.EncryptionMode
 		TLS            *tls.Config
 		// Verifier returns the password verifier of a user, empty for an unknown one.
--- a/internal/acceptor/acceptor_test.go
+++ b/internal/acceptor/acceptor_test.go
@@ -56,29 +56,29 @@
 	})
 }
 
-func (s *harness) dial() net.Conn {
-	s.Helper()
-	c, err := s.client.Dial(s.Context(), address)
-	must.NoError(s.T, err)
+func (h *harness) dial() net.Conn {
+	h.Helper()
+	c, err := h.client.Dial(h.Context(), address)
+	must.NoError(h.T, err)
 	return c
 }
 
 // requireRefusal checks that the connection ends with the given refusal.
-func (s *harness) requireRefusal(c net.Conn, want *refuser.Reason) {
-	s.Helper()
+func (h *harness) requireRefusal(c net.Conn, want *refuser.Reason) {
+	h.Helper()
 	f := pgproto3.NewFrontend(c, c)
 	for {
 		m, err := f.Receive()
-		must.NoError(s.T, err)
+		must.NoError(h.T, err)
 		e, ok := m.(*pgproto3.ErrorResponse)
 		if !ok {
 			continue
 		}
 		code, _, _ := refuser.Parse(e.Hint)
-		must.Eq(s.T, want.Code, code, must.Sprint(e.Detail))
-		must.Eq(s.T, want.SQLState, e.Code)
+		must.Eq(h.T, want.Code, code, must.Sprint(e.Detail))
+		must.Eq(h.T, want.SQLState, e.Code)
 		_, err = c.Read(make([]byte, 1))
-		must.ErrorIs(s.T, err, io.EOF)
+		must.ErrorIs(h.T, err, io.EOF)
 		return
 	}
 }
@@ -230,7 +230,7 @@
 	})
 }
 
-// Arbitrary input gets a response or a closed connection, and the greeter keeps serving others.
+// Arbitrary input gets a response or a closed connection, and the instance keeps serving others.
 func FuzzStartUp(f *testing.F) {
 	f.Add(startUp(pgproto3.ProtocolVersion30, userParameters()))
 	f.Add(append(encode(&pgproto3.SSLRequest{}), startUp(pgproto3.ProtocolVersion30, userParameters("options", `-c a=\`))...))
@@ -242,10 +242,10 @@
 			_, err := conn.Write(stream)
 			must.NoError(s, err)
 			_, _ = io.ReadAll(conn)
-			again := s.dial()
-			_, err = again.Write(startUp(pgproto3.ProtocolVersion30, userParameters()))
+			second := s.dial()
+			_, err = second.Write(startUp(pgproto3.ProtocolVersion30, userParameters()))
 			must.NoError(s, err)
-			s.requireRefusal(again, accepted)
+			s.requireRefusal(second, accepted)
 		})
 	})
 }
--- a/internal/configurer/difference_test.go
+++ b/internal/configurer/difference_test.go
@@ -18,8 +18,7 @@
 	return configurer.Encode(d)
 }
 
-// Applying the difference must yield the new document, and small changes must yield small
-// differences.
+// Applying the patch must yield the new document, and small changes must yield small patches.
 func TestDifference(t *testing.T) {
 	base := encodedDocument(200)
 	for _, c := range []struct {
@@ -44,7 +43,7 @@
 	}
 }
 
-// Applying the difference of any two texts to the first must yield the second.
+// Applying the patch between any two texts to the first must yield the second.
 func TestDifferenceOfRandomTexts(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	line := func() []byte { return []byte(fmt.Sprintf("line %d\n", random.IntN(20))) }
@@ -62,8 +61,7 @@
 	}
 }
 
-// A difference with a wrong base or invalid ranges must fail rather than yield a wrong
-// document.
+// A patch with a wrong base or invalid ranges must fail rather than yield a wrong document.
 func TestDifferenceRejectsMismatch(t *testing.T) {
 	base := encodedDocument(10)
 	d := configurer.MakePatch(base, encodedDocument(11))
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -13,8 +13,8 @@
 )
 
 type (
-	// TargetLeaving is emitted when a target starts or stops draining. A draining
-	// target gets no new requests; a draining primary triggers a planned failover.
+	// TargetLeaving is emitted when a target starts or stops leaving. A leaving target gets
+	// no new requests; a leaving primary triggers a planned failover.
 	TargetLeaving struct {
 		Service string
 		Member  string
@@ -62,7 +62,7 @@
 	target struct {
 		signals   map[origin]time.Time
 		leaving   bool
-		firstHand bool
+		signaledLocally bool
 	}
 
 	origin struct {
@@ -215,8 +215,8 @@
 		t.leaving = leaving
 		out = append(out, controller.Emit{Event: TargetLeaving{Service: p.service, Member: p.member, Leaving: leaving, Source: source}})
 	}
-	if firstHand != t.firstHand {
-		t.firstHand = firstHand
+	if firstHand != t.signaledLocally {
+		t.signaledLocally = firstHand
 		out = append(out, controller.Emit{Event: LocalSignal{Service: p.service, Member: p.member, Leaving: firstHand}})
 	}
 	return out
--- a/internal/editor/pages.go
+++ b/internal/editor/pages.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// showRace reports that another version was published first, with its differences
+// showConflict reports that another version was published first, with its differences
 // from the copy. The copy keeps its base version and so can't be published.
 func (p *Pages) showRace(w http.ResponseWriter, r *http.Request, c WorkingCopy, result publisher.Result) {
 	document, _ := c.Check()
--- a/internal/gossiper/slice.go
+++ b/internal/gossiper/slice.go
@@ -165,7 +165,7 @@
 	case drainer.InstanceLeaving:
 		return s.startLeaving()
 	case AnnouncementReceived:
-		return s.handleAnnounced(now, e)
+		return s.handleAnnouncement(now, e)
 	case Exchanged:
 		return s.handleExchanged(now, e)
 	case ExchangeRequested:
@@ -174,7 +174,7 @@
 			controller.Emit{Event: configurer.PeerVersion{Version: e.Version, Address: e.Sender.Address}},
 		}
 	case SeedReplied:
-		return handleGreeted(e)
+		return handleSeedReply(e)
 	case lister.Probe:
 		return []controller.Action{s.probeExchange(e.Instance)}
 	case controller.Tick:
@@ -281,8 +281,8 @@
 	s.Random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
 
-// handleGreeted publishes the document and the peers that a seed returned.
-func handleGreeted(e SeedReplied) []controller.Action {
+// handleSeedReply publishes the document and the peers that a seed returned.
+func handleSeedReply(e SeedReplied) []controller.Action {
 	out := []controller.Action{controller.Emit{Event: e.Result}}
 	for _, i := range e.Peers {
 		out = append(out, controller.Emit{Event: lister.PeerSeen{Instance: i}})
@@ -298,8 +298,8 @@
 	return s.broadcast(&wire.Announcement{Gone: true})
 }
 
-// handleAnnounced processes a peer's announcement.
-func (s *Slice) handleAnnounced(now time.Time, e AnnouncementReceived) []controller.Action {
+// handleAnnouncement processes a peer's announcement.
+func (s *Slice) handleAnnouncement(now time.Time, e AnnouncementReceived) []controller.Action {
 	if e.SenderLeaving {
 		e.Sender.State = lister.StateLeaving
 	}
--- a/internal/launcher/backend.go
+++ b/internal/launcher/backend.go
@@ -90,11 +90,11 @@
 // this instance has just started and does not read the store itself. Until then reads go to
 // the primary. This keeps queries low when all instances restart at once.
 func (i *Instance) expectsPeerProofs() bool {
-	return i.peers != nil && i.Clock()-i.startedAt < peerProofTimeout && i.peers.teller.FollowsPeers()
+	return i.peers != nil && i.Clock()-i.startedAt < peerProofTimeout && i.peers.exchanger.FollowsPeers()
 }
 
 // maintain wakes the group's tasks that are due, and reports whether it needs maintenance
-// again within lender.TendInterval. peerProofExpected suppresses the renewal of the proof.
+// again within lender.MaintenanceInterval. peerProofExpected suppresses the renewal of the proof.
 func (b *backend) maintain(now time.Time, peerProofExpected bool) bool {
 	b.Pool.Maintain(now)
 	noPrimary := b.Group.Primary() == ""
--- a/internal/launcher/keys_test.go
+++ b/internal/launcher/keys_test.go
@@ -49,8 +49,8 @@
 	var names []string
 	for _, id := range []string{"g-1", "g-2", "g-3"} {
 		for _, r := range f.group.RanFor(id) {
-			if who, what, _ := strings.Cut(r, " "); what == text {
-				names = append(names, who)
+			if name, what, _ := strings.Cut(r, " "); what == text {
+				names = append(names, name)
 			}
 		}
 	}
@@ -87,16 +87,16 @@
 // transaction commit promptly, and abort one that stays idle. Added keys must work at once.
 func TestKeyReassignment(t *testing.T) {
 	runFleetWithKeys(t, func(f *fleet, i *instance) {
-		idle, prompt, late := f.openSessionWithKey(i, "strict", northKey), f.openSessionWithKey(i, "strict", northKey), f.openSessionWithKey(i, "strict", northKey)
+		idle, committed, late := f.openSessionWithKey(i, "strict", northKey), f.openSessionWithKey(i, "strict", northKey), f.openSessionWithKey(i, "strict", northKey)
 		must.Eq(t, "I", idle("PUT k v"))
-		for _, query := range []func(string) string{prompt, late} {
+		for _, query := range []func(string) string{committed, late} {
 			must.Eq(t, "T", query("BEGIN"))
 		}
-		must.Eq(t, "T", prompt("PUT q v"))
+		must.Eq(t, "T", committed("PUT q v"))
 		must.Eq(t, "T", late("PUT r v"))
 		f.setKeys([]string{"k3y-fresh"}, []string{southKey})
 		time.Sleep(400 * time.Millisecond)
-		must.Eq(t, "I", prompt("COMMIT"))
+		must.Eq(t, "I", committed("COMMIT"))
 		must.Eq(t, "DENIED I", idle("PUT k v2"))
 		must.Eq(t, "DENIED I", idle("BEGIN"))
 		must.Eq(t, "I", f.openSessionWithKey(i, "strict", "k3y-fresh")("PUT f v"))
--- a/internal/launcher/launcher.go
+++ b/internal/launcher/launcher.go
@@ -67,7 +67,7 @@
 		Clock    func() tracker.Timestamp
 		// Shutdown receives the signals that start a graceful shutdown.
 		Shutdown <-chan os.Signal
-		// Reload receives the signals to check the settings for changes; Reread loads them.
+		// Reload receives the signals to check the settings for changes; LoadSettings loads them.
 		Reload       <-chan os.Signal
 		LoadSettings func() (*loader.EdgeSettings, error)
 
@@ -95,7 +95,7 @@
 	}
 )
 
-// Run serves until Leave receives a signal, a component fails or the context is canceled.
+// Run serves until Shutdown receives a signal, a component fails or the context is canceled.
 func (i *Instance) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -119,7 +119,7 @@
 	run(i.watcher.Run)
 	run(i.maintainBackends)
 	if i.peers != nil {
-		run(i.peers.teller.Run)
+		run(i.peers.exchanger.Run)
 		run(i.peers.server.Run)
 		run(i.peers.accountant.Run)
 	}
@@ -146,7 +146,7 @@
 	<-electorExit
 	i.background.Wait()
 	if i.peers != nil {
-		i.peers.carrier.Close()
+		i.peers.forwarder.Close()
 		i.peers.client.Close()
 	}
 	if closeErr := i.metricsCloser.Close(); closeErr != nil {
@@ -177,14 +177,14 @@
 	}
 	i.elector = &elector.Elector{
 		Store: i.Platform.Store, Clock: i.Clock, Name: i.Settings.Name + runIDSeparator + newRunID(),
-		ColdStart: i.Settings.FirstStart, Groups: i.promotableGroups, Supervise: i.runKeeper, Log: i.Journal.Logger("duty").Log,
+		ColdStart: i.Settings.FirstStart, Groups: i.promotableGroups, Supervise: i.superviseGroup, Log: i.Journal.Logger("duty").Log,
 	}
 	i.watcher = i.newWatcher()
 	i.elector.StoreReachable = i.watcher.StoreAvailable
 	if i.Settings.PeerAddress != "" {
 		i.peers = i.newPeerServices()
 		i.elector.AcquireRank = i.peers.acquisitionRank
-		i.watcher.RequestState, i.watcher.OnInstance, i.watcher.FollowsPeers = i.peers.teller.RequestState, i.peers.teller.HandleRecord, i.peers.teller.FollowsPeers
+		i.watcher.RequestState, i.watcher.OnInstance, i.watcher.FollowsPeers = i.peers.exchanger.RequestState, i.peers.exchanger.HandleRecord, i.peers.exchanger.FollowsPeers
 	}
 	i.declareMetrics()
 }
@@ -207,7 +207,7 @@
 func (i *Instance) applyConfiguration(c *tracker.Configuration) {
 	c.AppliedAt = i.Clock()
 	if i.peers != nil && c.Customers != nil {
-		i.peers.teller.Discoverer.KeepAllZones.Store(true)
+		i.peers.exchanger.Discoverer.KeepAllZones.Store(true)
 	}
 	i.logCustomerChanges(i.configuration.Swap(c), c)
 	if i.peers != nil {
@@ -271,8 +271,8 @@
 		},
 	}}
 	if i.peers != nil {
-		b.Pool.BorrowRemote, b.Pool.BorrowFromHolder = i.peers.carrier.BorrowRemote, i.peers.carrier.BorrowFromHolder
-		b.Pool.HeldElsewhere, b.Pool.HolderCount = i.peers.carrier.HeldElsewhere, i.peers.carrier.HolderCount
+		b.Pool.BorrowRemote, b.Pool.BorrowFromHolder = i.peers.forwarder.BorrowRemote, i.peers.forwarder.BorrowFromHolder
+		b.Pool.HeldElsewhere, b.Pool.HolderCount = i.peers.forwarder.HeldElsewhere, i.peers.forwarder.HolderCount
 		b.Pool.Admit, b.Pool.UndoAdmit = i.peers.accountant.Admit, i.peers.accountant.UndoAdmit
 	}
 	g.SetMembers(i.members[group])
@@ -343,10 +343,10 @@
 	return ok && r == i.Settings.Regions[i.Settings.Zone]
 }
 
-// runKeeper handles a group's failover while this instance holds its lease.
-func (i *Instance) runKeeper(ctx context.Context, group string, d *elector.Ownership) error {
+// superviseGroup runs a group's failover while this instance owns the group.
+func (i *Instance) superviseGroup(ctx context.Context, group string, d *elector.Ownership) error {
 	b := i.backend(group)
-	k := &elector.Supervisor{
+	s := &elector.Supervisor{
 		Group: b.Group, Clock: i.Clock, Codec: i.Platform.MemberCodec,
 		Members: func() []tracker.Member {
 			i.mutex.Lock()
@@ -366,5 +366,5 @@
 		ProcessStart:    i.startedAt, PrimaryChanged: b.Pool.MembersChanged,
 		Log: i.Journal.Logger("duty").Log,
 	}
-	return k.Run(ctx)
+	return s.Run(ctx)
 }
--- a/internal/launcher/launcher_test.go
+++ b/internal/launcher/launcher_test.go
@@ -201,10 +201,10 @@
 	}
 	store := (&platform.Store{Address: s.StoreAddress, Network: i.host}).Open()
 	promotions := (&platform.PromotionClient{Address: s.PromotionAddress, Network: i.host, LeaseHolder: s.Name}).Open()
-	journal := logwriter.New(&f.log)
-	begin := time.Now().Add(-time.Hour)
+	logs := logwriter.New(&f.log)
+	started := time.Now().Add(-time.Hour)
 	x := &launcher.Instance{
-		Settings: s, Network: i.host, Journal: journal, Clock: func() tracker.Timestamp { return time.Since(begin) }, Shutdown: i.shutdown,
+		Settings: s, Network: i.host, Journal: logs, Clock: func() tracker.Timestamp { return time.Since(started) }, Shutdown: i.shutdown,
 		Reload: i.reload, LoadSettings: i.loadSettings,
 		Platform: launcher.Platform{
 			Store: store, Promote: promotions.Promote, IsPromotionRefused: func(err error) bool { return errors.Is(err, platform.ErrPromotionRefused) },
@@ -213,7 +213,7 @@
 			DecodeConfiguration: platform.DecodeConfiguration, DecodeMember: platform.DecodeMember,
 		},
 	}
-	f.running.Go(func() { _ = journal.Run(f.ctx) })
+	f.running.Go(func() { _ = logs.Run(f.ctx) })
 	f.running.Go(func() {
 		defer kill()
 		i.exited <- x.Run(ctx)
@@ -410,7 +410,7 @@
 		idle, open := f.openSession(i, "strict"), f.openSession(i, "strict")
 		must.Eq(t, "T", open("BEGIN"))
 		must.Eq(t, "T", open("PUT k v"))
-		begin := time.Now()
+		started := time.Now()
 		i.shutdown <- syscall.SIGTERM
 		time.Sleep(100 * time.Millisecond)
 		must.Eq(t, http.StatusServiceUnavailable, f.readyStatus(i))
@@ -419,7 +419,7 @@
 		must.Eq(t, "closed", idle("FETCH k"))
 		must.Eq(t, "I", open("COMMIT"))
 		must.NoError(t, <-i.exited)
-		must.Less(t, 6*time.Second, time.Since(begin))
+		must.Less(t, 6*time.Second, time.Since(started))
 	})
 }
 
--- a/internal/launcher/limits.go
+++ b/internal/launcher/limits.go
@@ -14,7 +14,7 @@
 const (
 	// accountantRankKey is the rendezvous hashing key that selects the accountant.
 	accountantRankKey = "accounts"
-	// lendersTTL is how long the list of lending instances is cached.
+	// lendersTTL is how long the list of connection holders is cached.
 	lendersTTL = 500 * time.Millisecond
 )
 
@@ -47,7 +47,7 @@
 		Ledger: &limiter.Ledger{Tolerance: i.Settings.LimitTolerance, Incarnation: run, ExpectedInstances: lenders},
 		Links:  n.client, Clock: i.Clock, Limit: i.limit, Active: i.customersEnabled, Limits: i.limits, Log: i.Journal.Logger("limits").Log,
 		CurrentAccountant: func() (string, bool) { return i.accountantAddress(n) },
-		NoteFailed:        func(address string) { n.teller.Discoverer.RecordFailure(i.Clock(), address) },
+		NoteFailed:        func(address string) { n.exchanger.Discoverer.RecordFailure(i.Clock(), address) },
 	}).Init()
 }
 
@@ -108,7 +108,7 @@
 // or self for this one. Weighted rendezvous hashing over the reachable instances selects it.
 // Instances may disagree: each then gets its part of the limits from its own accountant.
 func (i *Instance) accountantAddress(n *peerServices) (address string, self bool) {
-	first := n.carrier.PreferredInstance(accountantRankKey, n.teller.Discoverer.AllAvailable(i.Clock()))
+	first := n.forwarder.PreferredInstance(accountantRankKey, n.exchanger.Discoverer.AllAvailable(i.Clock()))
 	if first.Name == i.Settings.Name {
 		return "", true
 	}
@@ -127,11 +127,11 @@
 			}
 		}
 		i.mutex.Unlock()
-		if list := n.carrier.MemberHolders(members); len(list) > 0 {
+		if list := n.forwarder.MemberHolders(members); len(list) > 0 {
 			return list
 		}
 		var all []string
-		for _, p := range n.teller.Discoverer.AllKnown() {
+		for _, p := range n.exchanger.Discoverer.AllKnown() {
 			all = append(all, p.Address)
 		}
 		return all
--- a/internal/launcher/peers.go
+++ b/internal/launcher/peers.go
@@ -19,8 +19,8 @@
 type peerServices struct {
 	client  *linker.Client
 	server  *linker.Server
-	teller  *exchanger.Exchanger
-	carrier *forwarder.Forwarder
+	exchanger  *exchanger.Exchanger
+	forwarder *forwarder.Forwarder
 	// accountant enforces the customers' limits.
 	accountant *accountant.Accountant
 	// lenderCache caches the result of lenderAddresses.
@@ -35,25 +35,25 @@
 	})
 	secrets := i.peerSecrets()
 	n := &peerServices{client: &linker.Client{Network: i.Network, Secrets: secrets, Versions: linker.CurrentVersions}}
-	n.teller = &exchanger.Exchanger{
+	n.exchanger = &exchanger.Exchanger{
 		Discoverer: &discoverer.Discoverer{
 			Self:  discoverer.Peer{Name: i.Settings.Name, Address: i.Settings.PeerAddress, Zone: i.Settings.Zone, Millicores: int(i.Settings.Cores * 1000)},
 			Seeds: i.Settings.Seeds, SameRegion: i.sameRegion,
 		},
 		Links: n.client, Clock: i.Clock, StoreState: i.watcher.State, IsReader: i.watcher.IsReader, Store: i.Platform.Store, Log: kind.Log,
 	}
-	n.carrier = &forwarder.Forwarder{
-		Discoverer: n.teller.Discoverer, Links: n.client, Codec: i.Platform.MemberCodec, Clock: i.Clock,
+	n.forwarder = &forwarder.Forwarder{
+		Discoverer: n.exchanger.Discoverer, Links: n.client, Codec: i.Platform.MemberCodec, Clock: i.Clock,
 		Pool: i.configuredPool, Connections: i.memberConnectionLimit, Customers: i.customerCount, Zones: len(i.Settings.Regions), Draining: i.draining.Load, Log: kind.Log,
 	}
 	n.accountant = i.newAccountant(n)
-	n.teller.Lend, n.teller.Account = n.carrier.ServeLoans, n.accountant.HandleReport
-	n.teller.Proofs, n.teller.AddProof = i.recentProofs, i.acceptPeerProof
+	n.exchanger.Lend, n.exchanger.Account = n.forwarder.ServeLoans, n.accountant.HandleReport
+	n.exchanger.Proofs, n.exchanger.AddProof = i.recentProofs, i.acceptPeerProof
 	n.server = &linker.Server{
 		Address: i.Settings.PeerAddress, Network: i.Network, Secrets: secrets, Versions: linker.CurrentVersions,
 		Log:      logger,
 		Count:    func(name string) { i.metrics.Counter(metricPrefix + name).Inc(1) },
-		Register: n.teller.Register,
+		Register: n.exchanger.Register,
 	}
 	return n
 }
@@ -62,20 +62,20 @@
 // lease. Rendezvous hashing spreads the leases of the groups over instances. The last holder
 // goes last, since it has probably failed.
 func (n *peerServices) acquisitionRank(group, last string) int {
-	self := n.teller.Discoverer.Self
-	list := append(n.teller.Discoverer.Peers(n.teller.Clock()), self)
+	self := n.exchanger.Discoverer.Self
+	list := append(n.exchanger.Discoverer.Peers(n.exchanger.Clock()), self)
 	list = ranker.Rank(elector.OwnershipPrefix+group, list, func(p discoverer.Peer) string { return p.Name })
 	indexOf := func(name string) int {
 		return slices.IndexFunc(list, func(p discoverer.Peer) bool { return p.Name == name })
 	}
-	rank, holder := indexOf(self.Name), -1
+	rank, lastHolder := indexOf(self.Name), -1
 	if i := strings.LastIndex(last, runIDSeparator); i > 0 {
-		holder = indexOf(last[:i])
+		lastHolder = indexOf(last[:i])
 	}
 	switch {
-	case holder == rank:
+	case lastHolder == rank:
 		return len(list) - 1
-	case holder >= 0 && holder < rank:
+	case lastHolder >= 0 && lastHolder < rank:
 		return rank - 1
 	default:
 		return rank
@@ -142,7 +142,7 @@
 	if i.peers == nil {
 		return 0
 	}
-	return i.peers.carrier.LentCount()
+	return i.peers.forwarder.LentCount()
 }
 
 // peerSecrets returns the shared secrets of peer authentication. They are the store's address,
--- a/internal/launcher/signals.go
+++ b/internal/launcher/signals.go
@@ -10,7 +10,7 @@
 )
 
 // handleReloads logs which settings have changed at each reload signal. They apply only from
-// the next start; see loader.CompareEntry.
+// the next start; see loader.CompareEdgeSettings.
 func (i *Instance) handleReloads(ctx context.Context) error {
 	for {
 		select {
--- a/internal/linker/server.go
+++ b/internal/linker/server.go
@@ -165,33 +165,33 @@
 }
 
 // Prove implements wire.DRPCPeersServer.
-func (p *Session) Prove(_ context.Context, r *wire.ProveRequest) (*wire.ProveReply, error) {
-	if p.transcript.clientNonce == nil || p.isAuthenticated() {
+func (s *Session) Prove(_ context.Context, r *wire.ProveRequest) (*wire.ProveReply, error) {
+	if s.transcript.clientNonce == nil || s.isAuthenticated() {
 		return nil, drpcerr.WithCode(errUnauthenticated, codeUnauthenticated)
 	}
-	if err := p.secret.verify(roleClient, p.transcript, r.Proof); err != nil {
-		p.server.Count("peer-refused.foreign-fleet")
+	if err := s.secret.verify(roleClient, s.transcript, r.Proof); err != nil {
+		s.server.Count("peer-refused.foreign-fleet")
 		return nil, drpcerr.WithCode(err, codeForeign)
 	}
-	close(p.authenticated)
+	close(s.authenticated)
 	return &wire.ProveReply{}, nil
 }
 
-func (p *Session) isAuthenticated() bool {
+func (s *Session) isAuthenticated() bool {
 	select {
-	case <-p.authenticated:
+	case <-s.authenticated:
 		return true
 	default:
 		return false
 	}
 }
 
-// CheckAuthenticated returns an error unless the peer is authenticated. Every call except the handshake's
-// checks it first.
-func (p *Session) CheckAuthenticated() error {
-	if p.isAuthenticated() {
+// CheckAuthenticated returns an error unless the peer is authenticated. Every call except the
+// handshake's checks it first.
+func (s *Session) CheckAuthenticated() error {
+	if s.isAuthenticated() {
 		return nil
 	}
-	p.server.Count("peer-refused.unproved")
+	s.server.Count("peer-refused.unproved")
 	return drpcerr.WithCode(errUnauthenticated, codeUnauthenticated)
 }
--- a/internal/loader/compare.go
+++ b/internal/loader/compare.go
@@ -12,7 +12,7 @@
 	From, To string
 }
 
-// entrySettings lists the keys of EntrySettings with their accessors.
+// edgeSettings lists the keys of EdgeSettings with their accessors.
 var entrySettings = []struct {
 	key   string
 	value func(*EdgeSettings) any
@@ -36,8 +36,8 @@
 	{"first-start", func(s *EdgeSettings) any { return s.FirstStart }},
 }
 
-// CompareEdgeSettings returns the differences between the settings of a running instance and those
-// of its next start. Changes apply only at a restart, since a new address would disconnect
+// CompareEdgeSettings returns the differences between the settings of a running instance and
+// those of its next start. Changes apply only at a restart, since a new address would disconnect
 // clients.
 func CompareEdgeSettings(running, next *EdgeSettings) []Change {
 	var changes []Change
--- a/internal/loader/entry_test.go
+++ b/internal/loader/entry_test.go
@@ -49,7 +49,7 @@
 	must.NoError(t, problems.WithoutUnknownKeys().Err())
 }
 
-// CompareEntry reports a change of every field of EntrySettings.
+// CompareEdgeSettings reports a change of every field of EdgeSettings.
 func TestCompareEntry(t *testing.T) {
 	same := &loader.EdgeSettings{Name: "a", Regions: map[string]string{"z": "r"}, Seeds: []string{"s:1"}}
 	must.SliceEmpty(t, loader.CompareEdgeSettings(same, same))
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -16,11 +16,11 @@
 	Settings struct {
 		Name string
 		Zone string
-		// Callers, Peers and Status are the listen addresses for clients, for other
-		// instances and for the HTTP status pages, as "ip:port". An empty Status
+		// Callers, PeerAddress and StatusAddress are the listen addresses for clients, for other
+		// instances and for the HTTP status pages, as "ip:port". An empty StatusAddress
 		// disables the pages.
 		Callers, PeerAddress, StatusAddress string
-		// Seeds are the Peers addresses of some other instances. An instance that starts
+		// Seeds are the peer addresses of some other instances. An instance that starts
 		// while the platform is unavailable fetches the configuration from them.
 		Seeds []string
 		// PlatformAddress is the address of the platform's HTTP service.
--- a/internal/loadtester/loadtester_test.go
+++ b/internal/loadtester/loadtester_test.go
@@ -13,8 +13,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// runOnFleet runs an experiment on a simulated fleet. Each new connection first runs
-// the statement tamper, if any, which the experiment does not know of.
+// runOnFleet runs a load test on a simulated fleet. Each new connection first runs
+// the statement tamper, if any, which the load test does not track.
 func runOnFleet(t *testing.T, e loadtester.LoadTest, tamper string, check func(*testing.T, *loadtester.Report)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
--- a/internal/pooler/conn.go
+++ b/internal/pooler/conn.go
@@ -83,7 +83,7 @@
 	return c.captured, nil
 }
 
-// openConn opens a connection to a place. If it returns a socket with an error, the target may
+// openConn opens a connection to an endpoint. If it returns a socket with an error, the target may
 // still have started a session.
 func openConn(ctx context.Context, n networker.Network, application string, place Endpoint) (*Conn, *socket, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
--- a/internal/pooler/control.go
+++ b/internal/pooler/control.go
@@ -17,9 +17,9 @@
 // when no connection was free.
 const probeReserve = 200 * time.Millisecond
 
-// QueryControl runs a control statement at an address and returns its rows. The urgency decides whether
-// it may open a connection or evict an idle one. ErrBusy means that no connection was free in
-// time although the target responds to a probe; without the probe, a dead target whose
+// QueryControl runs a control statement at an address and returns its rows. The priority decides
+// whether it may open a connection or evict an idle one. ErrBusy means that no connection was free
+// in time although the target responds to a probe; without the probe, a dead target whose
 // connections all hang would be reported as busy.
 func (p *Pool) QueryControl(ctx context.Context, address, sql string, u commander.Priority) ([][][]byte, error) {
 	rows, err := p.queryWithReserve(ctx, address, sql, u)
@@ -78,8 +78,8 @@
 }
 
 // checkoutControl checks out a connection for a control statement. A target is probed before a
-// slot is used for it: orders go to all members, and a frozen one would keep the slot. A waiter
-// keeps its queue position until served, so that orders aren't overtaken.
+// slot is used for it: failover statements go to all members, and a frozen one would keep the
+// slot. A waiter keeps its queue position until served.
 func (p *Pool) checkoutControl(ctx context.Context, address string, u commander.Priority) (*Conn, error) {
 	a := &controlWaiter{address: address, isOrder: u == commander.Failover, handoff: make(chan *Conn, 1)}
 	p.addControlWaiter(a)
@@ -185,8 +185,8 @@
 	return false
 }
 
-// orderWaiting reports whether an order waits for a slot. Client requests then leave slots to
-// it, so that a failover doesn't queue behind them.
+// failoverWaiting reports whether a failover statement waits for a slot. Client requests then
+// leave slots to it, so that a failover doesn't queue behind them.
 func (p *Pool) orderWaiting() bool {
 	return slices.ContainsFunc(p.controlWaiters, func(a *controlWaiter) bool { return a.isOrder && a.waiting })
 }
--- a/internal/pooler/maintenance.go
+++ b/internal/pooler/maintenance.go
@@ -8,7 +8,7 @@
 
 const (
 	maintainInterval = 100 * time.Millisecond
-	// maxIdleTime closes unused connections to places that are not wanted.
+	// maxIdleTime closes unused connections to endpoints that are not wanted.
 	maxIdleTime = time.Minute
 	// maxAge limits a connection's age, since a target's memory for a session grows. maxAgeStep
 	// staggers the ends.
@@ -49,7 +49,7 @@
 		running++
 		go func() { done <- f() }()
 	}
-	lendable := 0
+	capacity := 0
 	for {
 		select {
 		case <-p.closingSignal:
@@ -65,9 +65,9 @@
 			for _, f := range p.maintain(ctx) {
 				start(f)
 			}
-			if n := p.Capacity(); n != lendable {
-				lendable = n
-				p.resized()
+			if n := p.Capacity(); n != capacity {
+				capacity = n
+				p.capacityChanged()
 			}
 		case <-ctx.Done():
 			p.closeAll()
@@ -126,7 +126,7 @@
 	p.idle = nil
 }
 
-// SetWanted sets the places that requests are likely to need, the most likely first.
+// SetWanted sets the endpoints that requests are likely to need, the most likely first.
 func (p *Pool) SetWanted(places []Endpoint) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -164,7 +164,7 @@
 	return out
 }
 
-// warm opens a connection to the first wanted place without one, to save requests the dial
+// warm opens a connection to the first wanted endpoint without one, to save requests the dial
 // time. It opens one at a time, and none while requests are waiting.
 func (p *Pool) warm(ctx context.Context) []func() taskResult {
 	if p.waiters > 0 || len(p.dialing) > 0 || p.orderWaiting() {
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -84,7 +84,7 @@
 // ErrBusy means that no connection became free in time. It doesn't indicate a target failure.
 var ErrBusy = commander.ErrNoConnection
 
-// Borrow checks out a connection to the place, or opens one if the share allows.
+// Borrow checks out a connection to the endpoint, or opens one if the share allows.
 func (p *Pool) Borrow(ctx context.Context, place Endpoint) (*Conn, error) {
 	p.addWaiters(1)
 	defer p.addWaiters(-1)
@@ -232,8 +232,8 @@
 	return n, allLong
 }
 
-// evictIdleFor closes the least recently used idle connection to another place, to free a slot
-// for this one. If a connection to the place will be returned soon, only connections idle for
+// evictIdleFor closes the least recently used idle connection to another endpoint, to free a slot
+// for this one. If a connection to the endpoint will be returned soon, only connections idle for
 // minIdleBeforeEviction are closed; this avoids thrashing when requests alternate between
 // members.
 func (p *Pool) evictIdleFor(place Endpoint) {
@@ -251,7 +251,7 @@
 	}
 }
 
-// hasShortUse reports whether a connection to the place is being dialed, or is checked out
+// hasShortUse reports whether a connection to the endpoint is being dialed, or is checked out
 // outside a transaction.
 func (p *Pool) hasShortUse(place Endpoint) bool {
 	for c := range p.checkedOut {
@@ -306,8 +306,8 @@
 	p.notifyChanged()
 }
 
-// MarkInTransaction marks a connection as checked out by a transaction, whose duration the client
-// controls.
+// MarkInTransaction marks a connection as checked out by a transaction, whose duration the
+// client controls.
 func (p *Pool) MarkInTransaction(c *Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -362,7 +362,7 @@
 		p.notifyChanged()
 	}
 	p.mutex.Unlock()
-	p.resized()
+	p.capacityChanged()
 }
 
 // DropIdle closes all idle connections.
@@ -397,7 +397,7 @@
 	return max(0, p.share.Connections-p.countStuck())
 }
 
-func (p *Pool) resized() {
+func (p *Pool) capacityChanged() {
 	if p.OnCapacityChange != nil {
 		p.OnCapacityChange()
 	}
--- a/internal/pooler/pooler_test.go
+++ b/internal/pooler/pooler_test.go
@@ -66,20 +66,20 @@
 	})
 }
 
-func (b *fixture) borrow(t *testing.T, p pooler.Endpoint) *pooler.Conn {
+func (f *fixture) borrow(t *testing.T, p pooler.Endpoint) *pooler.Conn {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(b.ctx, time.Second)
+	ctx, cancel := context.WithTimeout(f.ctx, time.Second)
 	defer cancel()
-	c, err := b.pool.Borrow(ctx, p)
+	c, err := f.pool.Borrow(ctx, p)
 	must.NoError(t, err)
 	return c
 }
 
-func (b *fixture) mustNotBorrow(t *testing.T, p pooler.Endpoint) {
+func (f *fixture) mustNotBorrow(t *testing.T, p pooler.Endpoint) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(b.ctx, time.Second)
+	ctx, cancel := context.WithTimeout(f.ctx, time.Second)
 	defer cancel()
-	_, err := b.pool.Borrow(ctx, p)
+	_, err := f.pool.Borrow(ctx, p)
 	must.Error(t, err)
 }
 
@@ -140,11 +140,11 @@
 // All requests use the primary, which freezes. One slot remains for reaching another member.
 func TestOneSlotIsReservedForOtherTargets(t *testing.T) {
 	withFixture(t, 3, func(t *testing.T, b *fixture) {
-		lent := []*pooler.Conn{b.borrow(t, primary), b.borrow(t, primary)}
+		borrowed := []*pooler.Conn{b.borrow(t, primary), b.borrow(t, primary)}
 		b.mustNotBorrow(t, primary)
 		b.primary.Faults.Freeze()
 		b.pool.Return(b.borrow(t, replica))
-		for _, c := range lent {
+		for _, c := range borrowed {
 			b.pool.Return(c)
 		}
 	})
--- a/internal/relayer/answer.go
+++ b/internal/relayer/answer.go
@@ -324,7 +324,7 @@
 }
 
 // confirmCommit asks the primary whether a majority of the group has the commit. A positive
-// answer is final: see runAwait of the stand-in and docs/TARGET.md.
+// answer is final (docs/TARGET.md).
 func (x *exchange) confirmCommit(ctx context.Context) bool {
 	q := fmt.Sprintf("SELECT oriole_await(%d, %d, %d)", x.commitPosition.Term, x.commitPosition.Offset, confirmTimeout.Milliseconds())
 	confirmed := false
--- a/internal/relayer/outcome_test.go
+++ b/internal/relayer/outcome_test.go
@@ -199,7 +199,7 @@
 	return t
 }
 
-func (t *outcomes) record(key string, done bool, err error) {
+func (o *outcomes) record(key string, done bool, err error) {
 	outcome := refuser.Unknown
 	var e *pgconn.PgError
 	if errors.As(err, &e) {
@@ -207,11 +207,11 @@
 	}
 	switch {
 	case err == nil && done:
-		t.acknowledged = append(t.acknowledged, key)
+		o.acknowledged = append(o.acknowledged, key)
 	case err == nil, outcome == refuser.NotRun:
-		t.notRun = append(t.notRun, key)
+		o.notRun = append(o.notRun, key)
 	default:
-		t.unknown = append(t.unknown, key)
+		o.unknown = append(o.unknown, key)
 	}
 }
 
--- a/internal/relayer/request.go
+++ b/internal/relayer/request.go
@@ -74,8 +74,8 @@
 	}
 }
 
-func (t *statement) encodeParse() []byte {
-	return encode(&pgproto3.Parse{Name: t.name, Query: t.sql, ParameterOIDs: t.oids})
+func (s *statement) encodeParse() []byte {
+	return encode(&pgproto3.Parse{Name: s.name, Query: s.sql, ParameterOIDs: s.oids})
 }
 
 // addStep appends a step and records what its statement may do.
--- a/internal/relayer/settings.go
+++ b/internal/relayer/settings.go
@@ -26,8 +26,8 @@
 
 var plainName = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_]*(\.[A-Za-z_][A-Za-z0-9_]*)?$`)
 
-// ApplyStartupParameters applies a caller's startup parameters, such as search_path or TimeZone, as session
-// settings.
+// ApplyStartupParameters applies a caller's startup parameters, such as search_path or TimeZone,
+// as session settings.
 func (s *Session) ApplyStartupParameters(parameters map[string]string) {
 	for _, name := range slices.Sorted(maps.Keys(parameters)) {
 		value := parameters[name]
--- a/internal/runner/callers.go
+++ b/internal/runner/callers.go
@@ -41,7 +41,7 @@
 	return state
 }
 
-// newGreeter returns the listener for client connections.
+// newGreeter returns the acceptor of client connections.
 func (i *Instance) newGreeter() (*acceptor.Greeter, error) {
 	g := &acceptor.Greeter{
 		Address: i.Settings.Callers, Network: i.Network, Log: i.Log, Open: i.openSession, Cancel: i.cancelRequest,
--- a/internal/runner/drain.go
+++ b/internal/runner/drain.go
@@ -12,10 +12,10 @@
 	"github.com/oriolegw/oriolegw/internal/relayer"
 )
 
-// drain implements the graceful shutdown of the instance, as decided by drainer.Leaver.
+// drain implements the graceful shutdown of the instance, as decided by drainer.InstanceDrainer.
 type drain struct {
 	instance     *Instance
-	clientLeaver relayer.Drainer
+	sessionDrainer relayer.Drainer
 	leaving      atomic.Bool
 	drained      atomic.Bool
 	clients      *acceptor.Greeter
@@ -51,7 +51,7 @@
 	switch a.(type) {
 	case drainer.StopAccepting:
 		d.clients.StopAccepting()
-		d.clientLeaver.Drain()
+		d.sessionDrainer.Drain()
 	case drainer.CountCallers:
 		return drainer.CallersLeft{Callers: d.clients.Callers()}, true
 	case drainer.Stop:
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -29,7 +29,7 @@
 	Network  networker.Network
 	Log      log.Logger
 	Metrics  tally.Scope
-	// Register holds the metrics for the status pages; nil if they show none.
+	// Register is the registry of the metrics for the status pages; nil if they show none.
 	Register *reporter.Registry
 	// Store and List are clients of the platform's key-value store and instance list.
 	Store     storer.Store
--- a/internal/starter/starter.go
+++ b/internal/starter/starter.go
@@ -34,7 +34,7 @@
 	// ServiceName is the name of the service that the fleet serves.
 	ServiceName = "lockers"
 
-	// Port offsets from FirstPort; each process adds its index.
+	// platformPort and the others are port offsets from FirstPort; each process adds its index.
 	platformPort    = 0
 	memberPort      = 10
 	memberPagesPort = 20
@@ -44,11 +44,11 @@
 )
 
 type (
-	// Fleet is the set of started processes. Set Programs, Work and FirstPort, then call
-	// Start, which sets the other exported fields.
+	// Fleet is the set of started processes. Set ProgramDirectory, WorkDirectory and
+	// FirstPort, then call Start, which sets the other exported fields.
 	Fleet struct {
-		// ProgramDirectory is the directory of the built programs, Work the directory for
-		// settings and logs.
+		// ProgramDirectory is the directory of the built programs, WorkDirectory the directory
+		// for settings and logs.
 		ProgramDirectory, WorkDirectory string
 		// FirstPort is the lowest port used; 0 means DefaultFirstPort.
 		FirstPort int
