--- a/cmd/oriolegwctl/main.go
+++ b/cmd/oriolegwctl/main.go
@@ -73,11 +73,11 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	t := &terminal{in: os.Stdin, out: os.Stdout, err: os.Stderr, network: networker.TCP{}, openStore: openGatewayStore}
+	t := &terminal{in: os.Stdin, out: os.Stdout, err: os.Stderr, network: networker.TCP{}, openStore: openPlatformStore}
 	os.Exit(run(ctx, t, os.Args[1:]))
 }
 
-func openGatewayStore(address string) (storer.Store, func()) {
+func openPlatformStore(address string) (storer.Store, func()) {
 	g := (&storer.Client{Address: address, Network: networker.TCP{}}).Open()
 	return g, g.Close
 }
--- a/internal/configurer/difference_test.go
+++ b/internal/configurer/patch_test.go
@@ -19,7 +19,7 @@
 }
 
 // Applying the patch must yield the new document, and small changes must yield small patches.
-func TestDifference(t *testing.T) {
+func TestPatch(t *testing.T) {
 	base := encodedDocument(200)
 	for _, c := range []struct {
 		name string
@@ -44,7 +44,7 @@
 }
 
 // Applying the patch between any two texts to the first must yield the second.
-func TestDifferenceOfRandomTexts(t *testing.T) {
+func TestPatchOfRandomTexts(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	line := func() []byte { return []byte(fmt.Sprintf("line %d\n", random.IntN(20))) }
 	for range 500 {
@@ -62,7 +62,7 @@
 }
 
 // A patch with a wrong base or invalid ranges must fail rather than yield a wrong document.
-func TestDifferenceRejectsMismatch(t *testing.T) {
+func TestPatchRejectsMismatch(t *testing.T) {
 	base := encodedDocument(10)
 	d := configurer.MakePatch(base, encodedDocument(11))
 	for name, bad := range map[string]func() error{
--- a/internal/gossiper/slice.go
+++ b/internal/gossiper/slice.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// exchangeInterval is how often a peer is asked while the byte budget allows it.
+	// exchangeInterval is how often a peer is polled while the byte budget allows it.
 	exchangeInterval = 200 * time.Millisecond
-	// observerInterval is how often observers of different zones ask each other. They query the
+	// observerInterval is how often observers of different zones poll each other. They query the
 	// members themselves; during a suspicion exchangeInterval applies.
 	observerInterval = time.Second
-	// unusedInterval is how often an instance asks for groups that it neither observes nor
+	// unusedInterval is how often an instance polls for groups that it neither observes nor
 	// uses, so that their first request finds a known primary.
 	unusedInterval = 30 * time.Second
-	// repairInterval is how often a random peer is asked for its configuration version
+	// repairInterval is how often a random peer is polled for its configuration version
 	// (anti-entropy). It repairs lost announcements.
 	repairInterval = time.Second
 	// bytesPerSecond is the budget of the exchanges that an instance starts, both directions.
@@ -32,7 +32,7 @@
 	// maxByteBudget is how much unused budget is kept for a burst.
 	maxByteBudget = 2 * bytesPerSecond
 
-	// peersPerZone is how many observers per other zone an observer asks, so that the failure
+	// peersPerZone is how many observers per other zone an observer polls, so that the failure
 	// of one doesn't lose its zone's vote on a suspicion.
 	peersPerZone = 2
 	// announceFanOut is how many peers receive an announcement. Each that did not know it
@@ -47,8 +47,8 @@
 )
 
 type (
-	// Slice decides which peers this instance asks, when, and what it announces. To bound the
-	// load, it asks only observers, uses the full rate only for groups in use, and extends the
+	// Slice decides which peers this instance polls, when, and what it announces. To bound the
+	// load, it polls only observers, uses the full rate only for groups in use, and extends the
 	// intervals to keep within a byte budget. Set the exported fields before use.
 	Slice struct {
 		Self lister.Instance
@@ -57,7 +57,7 @@
 		Random *rand.Rand
 		// Published is the snapshot from which the server answers peers.
 		Published *atomic.Pointer[Snapshot]
-		// Seeds are the addresses to ask while no other instance is known.
+		// Seeds are the addresses to query while no other instance is known.
 		Seeds []string
 
 		version   int64
@@ -89,7 +89,7 @@
 		nextSeed          time.Time
 	}
 
-	// peer is another instance that this one asks.
+	// peer is another instance that this one polls.
 	peer struct {
 		instance lister.Instance
 		shards   []uint32
@@ -105,7 +105,7 @@
 		reportedLeaving map[[2]string]bool
 	}
 
-	// Exchange asks a peer for its report.
+	// Exchange requests a peer's report.
 	Exchange struct {
 		Peer    lister.Instance
 		Request *wire.ExchangeRequest
@@ -127,7 +127,7 @@
 		Message *wire.Announcement
 	}
 
-	// QuerySeed asks a seed address for its document and its peers.
+	// QuerySeed requests the document and the peers from a seed address.
 	QuerySeed struct{ Address string }
 )
 
--- a/internal/launcher/launcher.go
+++ b/internal/launcher/launcher.go
@@ -344,7 +344,7 @@
 }
 
 // superviseGroup runs a group's failover while this instance owns the group.
-func (i *Instance) superviseGroup(ctx context.Context, group string, d *elector.Ownership) error {
+func (i *Instance) superviseGroup(ctx context.Context, group string, o *elector.Ownership) error {
 	b := i.backend(group)
 	s := &elector.Supervisor{
 		Group: b.Group, Clock: i.Clock, Codec: i.Platform.MemberCodec,
@@ -356,7 +356,7 @@
 		Connect: func(ctx context.Context, m tracker.Member) (*lender.Conn, error) {
 			return lender.Connect(ctx, i.Network, i.Platform.MemberCodec, m, i.Settings.Name)
 		},
-		Holds: d.Holds, NextFencingToken: d.NextFencingToken, State: d.State, MarkPromotionUnanswered: d.MarkPromotionUnanswered,
+		Holds: o.Holds, NextFencingToken: o.NextFencingToken, State: o.State, MarkPromotionUnanswered: o.MarkPromotionUnanswered,
 		Promote: i.Platform.Promote, Refused: i.Platform.IsPromotionRefused,
 		SynchronousReplicas: func() int {
 			c := i.configuration.Load()
--- a/internal/linker/server.go
+++ b/internal/linker/server.go
@@ -140,27 +140,27 @@
 }
 
 // Hello implements wire.DRPCPeersServer.
-func (p *Session) Hello(_ context.Context, r *wire.HelloRequest) (*wire.HelloReply, error) {
-	s := p.server
-	if p.transcript.clientNonce != nil {
+func (s *Session) Hello(_ context.Context, r *wire.HelloRequest) (*wire.HelloReply, error) {
+	server := s.server
+	if s.transcript.clientNonce != nil {
 		return nil, drpcerr.WithCode(errUnauthenticated, codeUnauthenticated) // one handshake per connection
 	}
-	p.transcript = transcript{
-		client: Versions{Oldest: r.Oldest, Newest: r.Newest}, server: s.Versions,
+	s.transcript = transcript{
+		client: Versions{Oldest: r.Oldest, Newest: r.Newest}, server: server.Versions,
 		clientNonce: append(make([]byte, 0, nonceBytes), r.Nonce...), serverNonce: newNonce(),
 	}
-	if _, err := s.Versions.negotiate(p.transcript.client); err != nil {
-		s.Count("peer-refused.wire-version")
+	if _, err := server.Versions.negotiate(s.transcript.client); err != nil {
+		server.Count("peer-refused.wire-version")
 		return nil, drpcerr.WithCode(err, codeWireVersion)
 	}
 	var err error
-	if p.secret, err = chooseSecret(s.Secrets, r.Keys); err != nil {
-		s.Count("peer-refused.foreign-fleet")
+	if s.secret, err = chooseSecret(server.Secrets, r.Keys); err != nil {
+		server.Count("peer-refused.foreign-fleet")
 		return nil, drpcerr.WithCode(err, codeForeign)
 	}
 	return &wire.HelloReply{
-		Oldest: s.Versions.Oldest, Newest: s.Versions.Newest, Key: uint32(p.secret.KeyNumber),
-		Nonce: p.transcript.serverNonce, Proof: p.secret.prove(roleServer, p.transcript),
+		Oldest: server.Versions.Oldest, Newest: server.Versions.Newest, Key: uint32(s.secret.KeyNumber),
+		Nonce: s.transcript.serverNonce, Proof: s.secret.prove(roleServer, s.transcript),
 	}, nil
 }
 
--- a/internal/loader/compare.go
+++ b/internal/loader/compare.go
@@ -13,7 +13,7 @@
 }
 
 // edgeSettings lists the keys of EdgeSettings with their accessors.
-var entrySettings = []struct {
+var edgeSettings = []struct {
 	key   string
 	value func(*EdgeSettings) any
 }{
@@ -41,7 +41,7 @@
 // clients.
 func CompareEdgeSettings(running, next *EdgeSettings) []Change {
 	var changes []Change
-	for _, k := range entrySettings {
+	for _, k := range edgeSettings {
 		from, to := fmt.Sprint(k.value(running)), fmt.Sprint(k.value(next))
 		if from != to {
 			changes = append(changes, Change{k.key, from, to})
--- a/internal/loader/entry_test.go
+++ b/internal/loader/edge_test.go
@@ -18,7 +18,7 @@
 	"in-force-ms": 5000, "first-start": true, "shutdown-s": 6.5, // trailing comma
 }`
 
-func TestCheckEntry(t *testing.T) {
+func TestCheckEdgeSettings(t *testing.T) {
 	s, problems := loader.CheckEdgeSettings("f", []byte(entrySettings))
 	must.NoError(t, problems.Err())
 	must.Eq(t, map[string]string{"a": "x", "b": "y"}, s.Regions)
@@ -33,7 +33,7 @@
 	must.Eq(t, loader.DefaultMaxApplyDelay, s.MaxApplyDelay)
 }
 
-func TestCheckEntryRejectsInvalidValues(t *testing.T) {
+func TestCheckEdgeSettingsRejectsInvalidValues(t *testing.T) {
 	for _, c := range []struct{ old, invalid string }{
 		{`"10.0.0.1:5000"`, `"host:5000"`},
 		{`{"a": "x", "b": "y"}`, `["a"]`},
@@ -50,7 +50,7 @@
 }
 
 // CompareEdgeSettings reports a change of every field of EdgeSettings.
-func TestCompareEntry(t *testing.T) {
+func TestCompareEdgeSettings(t *testing.T) {
 	same := &loader.EdgeSettings{Name: "a", Regions: map[string]string{"z": "r"}, Seeds: []string{"s:1"}}
 	must.SliceEmpty(t, loader.CompareEdgeSettings(same, same))
 	next := reflect.ValueOf(loader.EdgeSettings{
--- a/internal/loadtester/client.go
+++ b/internal/loadtester/client.go
@@ -29,7 +29,7 @@
 
 // client runs one session of a load test, over one connection at a time.
 type client struct {
-	test   *LoadTest
+	test         *LoadTest
 	random       *rand.Rand
 	zipf         *rand.Zipf
 	report       *Report
@@ -43,12 +43,12 @@
 	acknowledged, unknown int
 }
 
-func newClient(e *LoadTest, n int) *client {
-	c := &client{test: e, random: rand.New(rand.NewPCG(e.Seed, uint64(n)+1)), report: newReport(), addressIndex: n}
-	if e.Skew > 1 {
-		c.zipf = rand.NewZipf(c.random, e.Skew, 1, uint64(e.Keys-1))
+func newClient(t *LoadTest, n int) *client {
+	c := &client{test: t, random: rand.New(rand.NewPCG(t.Seed, uint64(n)+1)), report: newReport(), addressIndex: n}
+	if t.Skew > 1 {
+		c.zipf = rand.NewZipf(c.random, t.Skew, 1, uint64(t.Keys-1))
 	}
-	c.ownKey = fmt.Sprintf("session-%d-%d", e.Seed, n)
+	c.ownKey = fmt.Sprintf("session-%d-%d", t.Seed, n)
 	return c
 }
 
@@ -125,15 +125,15 @@
 
 // nextRequest picks the next request at random. The first inserts the session's key.
 func (c *client) nextRequest() (class string, request func(context.Context) error) {
-	e := c.test
-	if !c.inserted && (e.Writes > 0 || e.OwnKeyReads > 0) {
+	t := c.test
+	if !c.inserted && (t.Writes > 0 || t.OwnKeyReads > 0) {
 		return classWrite, c.insert
 	}
-	if c.random.Float64() < e.Writes {
+	if c.random.Float64() < t.Writes {
 		return classWrite, c.increment
 	}
 	class, comment := c.nextReadKind()
-	if c.random.Float64() < e.OwnKeyReads {
+	if c.random.Float64() < t.OwnKeyReads {
 		return class, func(ctx context.Context) error { return c.readOwn(ctx, comment) }
 	}
 	return class, func(ctx context.Context) error { return c.readShared(ctx, comment) }
--- a/internal/logwriter/logwriter.go
+++ b/internal/logwriter/logwriter.go
@@ -40,7 +40,7 @@
 	// Logger is a logger for one kind of lines with its own rate limit, so that a burst of
 	// one kind doesn't displace another.
 	Logger struct {
-		writer    *Writer
+		writer     *Writer
 		part       string
 		tokens     atomic.Int64 // lines that may be written now
 		refilledAt atomic.Int64 // Unix time in milliseconds
--- a/internal/prober/judge_test.go
+++ b/internal/prober/decide_test.go
@@ -8,11 +8,11 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestJudge(t *testing.T) {
+func TestDecide(t *testing.T) {
 	const hold = 10 * time.Second
 	for name, c := range map[string]struct {
 		status prober.RequestStatus
-		want prober.Decision
+		want   prober.Decision
 	}{
 		"short silence":                        {prober.RequestStatus{SilentFor: 200 * time.Millisecond}, prober.Wait},
 		"long silence":                         {prober.RequestStatus{SilentFor: time.Second}, prober.Probe},
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -173,7 +173,7 @@
 		return true, refuser.New(refuser.RetriesSpent, "service %q", s.Service)
 	default:
 		s.Count("retry.not-run")
-		if errors.Is(x.err, errSilent) {
+		if errors.Is(x.err, errNoResponse) {
 			a.suspectSilent = true
 			s.Pool.DropIdle()
 		}
@@ -290,13 +290,13 @@
 }
 
 func (s *Session) checkout(ctx context.Context, g *router.Group, c router.Choice, r *request, left time.Duration) (*pooler.Conn, error) {
-	place := pooler.Endpoint{Address: g.Service.Members[c.Member].Address}
+	endpoint := pooler.Endpoint{Address: g.Service.Members[c.Member].Address}
 	if !c.Replica {
-		place.Term = g.Members[c.Member].Status.Term
+		endpoint.Term = g.Members[c.Member].Status.Term
 	}
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
-	return s.Pool.Borrow(ctx, admitter.ConnectionRequest{Place: place, User: s.User, Class: r.admissionClass()})
+	return s.Pool.Borrow(ctx, admitter.ConnectionRequest{Place: endpoint, User: s.User, Class: r.admissionClass()})
 }
 
 // finish decides what happens to the connection and the caller's transaction.
--- a/internal/relayer/cancel.go
+++ b/internal/relayer/cancel.go
@@ -72,10 +72,10 @@
 }
 
 // setConn sets the connection that cancel requests apply to.
-func (q *cancelState) setConn(c *pooler.Conn) {
-	q.mutex.Lock()
-	defer q.mutex.Unlock()
-	q.conn, q.deliveryUnknown = c, false
+func (c *cancelState) setConn(conn *pooler.Conn) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.conn, c.deliveryUnknown = conn, false
 }
 
 // clearConn clears the connection and waits for cancel requests in flight: targets match them
--- a/internal/runner/callers.go
+++ b/internal/runner/callers.go
@@ -41,8 +41,8 @@
 	return state
 }
 
-// newGreeter returns the acceptor of client connections.
-func (i *Instance) newGreeter() (*acceptor.Greeter, error) {
+// newAcceptor returns the acceptor of client connections.
+func (i *Instance) newAcceptor() (*acceptor.Greeter, error) {
 	g := &acceptor.Greeter{
 		Address: i.Settings.Callers, Network: i.Network, Log: i.Log, Open: i.openSession, Cancel: i.cancelRequest,
 		Authentication: i.Settings.Authentication, EncryptionMode: i.Settings.Encryption.Mode,
--- a/internal/runner/pools.go
+++ b/internal/runner/pools.go
@@ -224,10 +224,10 @@
 
 // runControlStatement runs a control statement on the member at an address, over the
 // connections of its group.
-func (i *Instance) runControlStatement(ctx context.Context, address, sql string, urgency commander.Priority) ([][][]byte, error) {
+func (i *Instance) runControlStatement(ctx context.Context, address, sql string, priority commander.Priority) ([][][]byte, error) {
 	if table := i.groups.Load(); table != nil {
 		if entry := table.byAddress[address]; entry != nil {
-			return entry.pool.QueryControl(ctx, address, sql, urgency)
+			return entry.pool.QueryControl(ctx, address, sql, priority)
 		}
 	}
 	return nil, commander.ErrNoConnection
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -77,7 +77,7 @@
 	control.Open()
 	i.sessions.initialize(i, func(e controller.Event) { control.Post(ctx, e) })
 	i.sessions.cancels.Forwarder = peers
-	clients, err := i.newGreeter()
+	clients, err := i.newAcceptor()
 	if err != nil {
 		return err
 	}
