--- a/cmd/oriolegw-fleet/faults.go
+++ b/cmd/oriolegw-fleet/faults.go
@@ -50,7 +50,7 @@
 }
 
 func (d *demonstration) loadTest() *loadtester.LoadTest {
-	e := &loadtester.LoadTest{
+	t := &loadtester.LoadTest{
 		Workers: 6, Duration: maxLoadTime, Writes: 0.1, OwnKeyReads: 0.5, Keys: 1000, RoamProbability: 0.01, CarryToken: true, Seed: 1,
 		Connect: func(ctx context.Context, address, token string) (*pgx.Conn, error) {
 			c, err := pgx.ParseConfig("postgres://crew@" + address + "/" + starter.ServiceName + "?sslmode=disable")
@@ -64,9 +64,9 @@
 		},
 	}
 	for _, p := range d.fleet.Entries {
-		e.Addresses = append(e.Addresses, p.Address)
+		t.Addresses = append(t.Addresses, p.Address)
 	}
-	return e
+	return t
 }
 
 func (d *demonstration) injectFaults(ctx context.Context) error {
--- a/internal/canceller/table.go
+++ b/internal/canceller/table.go
@@ -40,7 +40,7 @@
 	}
 )
 
-// The PostgreSQL protocol has no reply to a cancel request, so the caller never sees these
+// The PostgreSQL protocol has no reply to a cancel request, so the client never sees these
 // errors.
 var (
 	// ErrFull means that all session numbers are in use.
--- a/internal/commander/postgres.go
+++ b/internal/commander/postgres.go
@@ -338,7 +338,7 @@
 	}
 	age, err := strconv.ParseInt(string(row[7]), 10, 64)
 	if err != nil {
-		return Status{}, errors.Wrap(err, "heard")
+		return Status{}, errors.Wrap(err, "last message age")
 	}
 	s.LastMessageAge = time.Duration(age) * time.Millisecond
 	followers := map[string]string{}
--- a/internal/configurer/patch.go
+++ b/internal/configurer/patch.go
@@ -34,7 +34,7 @@
 )
 
 // ErrPatchMismatch means that a patch does not fit its base.
-var ErrPatchMismatch = errors.New("difference does not fit its base")
+var ErrPatchMismatch = errors.New("patch does not fit its base")
 
 // splitChunks splits a text after lines selected by their checksums.
 func splitChunks(text []byte) [][]byte {
--- a/internal/configurer/patch_test.go
+++ b/internal/configurer/patch_test.go
@@ -11,11 +11,11 @@
 )
 
 func encodedDocument(services int) []byte {
-	d := &configurer.Document{}
+	p := &configurer.Document{}
 	for i := range services {
-		d.Services = append(d.Services, configurer.Service{Name: fmt.Sprintf("service-%d", i), Connections: 60, Members: service("m1", "m2", "m3").Members})
+		p.Services = append(p.Services, configurer.Service{Name: fmt.Sprintf("service-%d", i), Connections: 60, Members: service("m1", "m2", "m3").Members})
 	}
-	return configurer.Encode(d)
+	return configurer.Encode(p)
 }
 
 // Applying the patch must yield the new document, and small changes must yield small patches.
@@ -34,11 +34,11 @@
 		{"nothing", nil, 100},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := configurer.MakePatch(base, c.next)
-			got, err := d.Apply(base)
+			p := configurer.MakePatch(base, c.next)
+			got, err := p.Apply(base)
 			must.NoError(t, err)
 			must.Eq(t, string(c.next), string(got))
-			must.LessEq(t, c.most, d.Size())
+			must.LessEq(t, c.most, p.Size())
 		})
 	}
 }
@@ -64,24 +64,24 @@
 // A patch with a wrong base or invalid ranges must fail rather than yield a wrong document.
 func TestPatchRejectsMismatch(t *testing.T) {
 	base := encodedDocument(10)
-	d := configurer.MakePatch(base, encodedDocument(11))
+	p := configurer.MakePatch(base, encodedDocument(11))
 	for name, bad := range map[string]func() error{
-		"other base": func() error { _, err := d.Apply(encodedDocument(9)); return err },
+		"other base": func() error { _, err := p.Apply(encodedDocument(9)); return err },
 		"base of the same length": func() error {
-			_, err := d.Apply(bytes.ReplaceAll(base, []byte(`": 60`), []byte(`": 61`)))
+			_, err := p.Apply(bytes.ReplaceAll(base, []byte(`": 60`), []byte(`": 61`)))
 			return err
 		},
-		"empty base": func() error { _, err := d.Apply(nil); return err },
+		"empty base": func() error { _, err := p.Apply(nil); return err },
 		"range too large": func() error {
-			d := d
-			d.Steps = []configurer.Step{{From: 0, To: 1 << 30}}
-			_, err := d.Apply(base)
+			p := p
+			p.Steps = []configurer.Step{{From: 0, To: 1 << 30}}
+			_, err := p.Apply(base)
 			return err
 		},
 		"range backwards": func() error {
-			d := d
-			d.Steps = []configurer.Step{{From: 9, To: 3}}
-			_, err := d.Apply(base)
+			p := p
+			p.Steps = []configurer.Step{{From: 9, To: 3}}
+			_, err := p.Apply(base)
 			return err
 		},
 	} {
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -60,8 +60,8 @@
 	targetKey struct{ service, member string }
 
 	target struct {
-		signals   map[origin]time.Time
-		leaving   bool
+		signals         map[origin]time.Time
+		leaving         bool
 		signaledLocally bool
 	}
 
@@ -206,18 +206,18 @@
 // update emits an event for each change: whether the target is leaving, and whether a
 // source other than a peer signals it.
 func (t *target) update(p targetKey, source string) []controller.Action {
-	leaving, firstHand := len(t.signals) > 0, false
+	leaving, signaledLocally := len(t.signals) > 0, false
 	for o := range t.signals {
-		firstHand = firstHand || o.source != SourcePeer
+		signaledLocally = signaledLocally || o.source != SourcePeer
 	}
 	var out []controller.Action
 	if leaving != t.leaving {
 		t.leaving = leaving
 		out = append(out, controller.Emit{Event: TargetLeaving{Service: p.service, Member: p.member, Leaving: leaving, Source: source}})
 	}
-	if firstHand != t.signaledLocally {
-		t.signaledLocally = firstHand
-		out = append(out, controller.Emit{Event: LocalSignal{Service: p.service, Member: p.member, Leaving: firstHand}})
+	if signaledLocally != t.signaledLocally {
+		t.signaledLocally = signaledLocally
+		out = append(out, controller.Emit{Event: LocalSignal{Service: p.service, Member: p.member, Leaving: signaledLocally}})
 	}
 	return out
 }
--- a/internal/gossiper/exchange.go
+++ b/internal/gossiper/exchange.go
@@ -97,7 +97,7 @@
 	return []controller.Action{s.startExchange(now, p)}
 }
 
-// probeExchange checks whether a peer that was removed from the view answers again.
+// probeExchange checks whether a peer that was removed from the view responds again.
 func (s *Slice) probeExchange(i lister.Instance) Exchange {
 	return Exchange{Peer: i, Request: &wire.ExchangeRequest{Version: s.version, Sender: peerToWire(s.Self)}}
 }
--- a/internal/launcher/keys_test.go
+++ b/internal/launcher/keys_test.go
@@ -58,8 +58,8 @@
 	must.Eq(f.t, []string{customer}, slices.Compact(names))
 }
 
-// Statements must run on connections of the caller's customer, and of no customer on an
-// anonymous route. Callers with an unknown key must be refused and reach no member.
+// Statements must run on connections of the client's customer, and of no customer on an
+// anonymous route. Clients with an unknown key must be refused and reach no member.
 func TestCustomerKeys(t *testing.T) {
 	runFleetWithKeys(t, func(f *fleet, i *instance) {
 		for n := range 3 {
@@ -113,7 +113,7 @@
 }
 
 // While the store and all peers are unavailable, an unknown key may have been added since.
-// Its callers must get a retryable refusal.
+// Its clients must get a retryable refusal.
 func TestUnknownKeyDuringStoreOutage(t *testing.T) {
 	runFleetWithKeys(t, func(f *fleet, i *instance) {
 		f.store.SetFaults(func(x *storer.Faults) { x.Down = true })
--- a/internal/launcher/launcher.go
+++ b/internal/launcher/launcher.go
@@ -28,7 +28,7 @@
 )
 
 const (
-	// balancerDetectionTime is how long the load balancer may still send callers to an
+	// balancerDetectionTime is how long the load balancer may still send clients to an
 	// instance that is not ready: it polls once a second and acts on the second failure.
 	balancerDetectionTime = 2200 * time.Millisecond
 	// transactionDrainFraction is the fraction of the shutdown time after which open
@@ -266,8 +266,8 @@
 	b.Backend = dispatcher.Backend{Group: g, ReportSuspect: b.reportSuspect, Pool: &lender.Pool{
 		Group: g, Network: i.Network, Codec: i.Platform.MemberCodec, ClientName: i.Settings.Name, Clock: i.Clock, NoteOpened: i.recordConnect(group), MaintainedByOwner: true,
 		NoteBroken: i.recordIdleLoss(group), NoteLent: i.recordCheckout,
-		NotePacing: func(member string, room bool) {
-			i.stateLog.Log("event", "room", "group", group, "member", member, "room", room)
+		NotePacing: func(member string, hasCapacity bool) {
+			i.stateLog.Log("event", "room", "group", group, "member", member, "room", hasCapacity)
 		},
 	}}
 	if i.peers != nil {
@@ -319,7 +319,7 @@
 	}
 }
 
-// recordCheckout counts connections checked out for callers' work.
+// recordCheckout counts connections checked out for clients' work.
 func (i *Instance) recordCheckout(opened bool) {
 	if opened {
 		i.metrics.Counter(metricCheckoutOpened).Inc(1)
--- a/internal/launcher/launcher_test.go
+++ b/internal/launcher/launcher_test.go
@@ -53,7 +53,7 @@
 		version int64
 		// noPromotions keeps new instances from acquiring failover leases.
 		noPromotions bool
-		// customers are those in force, nil where callers are not assigned to customers.
+		// customers are those in force, nil where clients are not assigned to customers.
 		customers []platformer.Customer
 		// memberAddress, when set, returns the address at which instances reach a member.
 		memberAddress func(tracker.Member) string
--- a/internal/launcher/limits.go
+++ b/internal/launcher/limits.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// customersEnabled reports whether callers are assigned to customers.
+// customersEnabled reports whether clients are assigned to customers.
 func (i *Instance) customersEnabled() bool {
 	c := i.configuration.Load()
 	return c != nil && c.Customers != nil
--- a/internal/launcher/peer_connection_test.go
+++ b/internal/launcher/peer_connection_test.go
@@ -106,7 +106,7 @@
 }
 
 // Instances that restart at the same time must not each open connections to all members and
-// query them, which would take the members' slots from callers' statements.
+// query them, which would take the members' slots from clients' statements.
 func TestSimultaneousRestartLoad(t *testing.T) {
 	runFleet(t, func(f *fleet) {
 		f.noPromotions = true // a lease holder opens connections of its own
--- a/internal/launcher/peers.go
+++ b/internal/launcher/peers.go
@@ -59,7 +59,7 @@
 }
 
 // acquisitionRank returns how many instances precede this one in acquiring a group's failover
-// lease. Rendezvous hashing spreads the leases of the groups over instances. The last holder
+// lease. Rendezvous hashing spreads the leases of the groups over instances. The last owner
 // goes last, since it has probably failed.
 func (s *peerServices) acquisitionRank(group, last string) int {
 	self := s.exchanger.Discoverer.Self
@@ -68,14 +68,14 @@
 	indexOf := func(name string) int {
 		return slices.IndexFunc(list, func(p discoverer.Peer) bool { return p.Name == name })
 	}
-	rank, lastHolder := indexOf(self.Name), -1
+	rank, lastOwner := indexOf(self.Name), -1
 	if i := strings.LastIndex(last, runIDSeparator); i > 0 {
-		lastHolder = indexOf(last[:i])
+		lastOwner = indexOf(last[:i])
 	}
 	switch {
-	case lastHolder == rank:
+	case lastOwner == rank:
 		return len(list) - 1
-	case lastHolder >= 0 && lastHolder < rank:
+	case lastOwner >= 0 && lastOwner < rank:
 		return rank - 1
 	default:
 		return rank
--- a/internal/launcher/signals.go
+++ b/internal/launcher/signals.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// drain shuts the instance down gracefully. The load balancer stops sending callers first,
+// drain shuts the instance down gracefully. The load balancer stops sending clients first,
 // then sessions outside a transaction are closed, then those with an open transaction.
 func (i *Instance) drain(ctx context.Context) {
 	i.draining.Store(true)
--- a/internal/pooler/conn.go
+++ b/internal/pooler/conn.go
@@ -127,7 +127,7 @@
 	}
 	if err != nil {
 		c.Broken = true
-		return nil, errors.Wrapf(err, "ask %s", c.Endpoint.Address)
+		return nil, errors.Wrapf(err, "query %s", c.Endpoint.Address)
 	}
 	if refused != nil {
 		return nil, refused
--- a/internal/pooler/control.go
+++ b/internal/pooler/control.go
@@ -135,7 +135,9 @@
 		a.waiting = false
 		return checkout{dial: true}
 	}
-	p.evictOneIdle(func(c *Conn) bool { return priority >= commander.ClientWaiting || !slices.Contains(p.wanted, c.Endpoint) })
+	p.evictOneIdle(func(c *Conn) bool {
+		return priority >= commander.ClientWaiting || !slices.Contains(p.wanted, c.Endpoint)
+	})
 	return checkout{wait: p.changed}
 }
 
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -62,7 +62,7 @@
 		case ctx.Err() != nil:
 			refusal = refuser.New(refuser.NoPrimary, "the instance is stopping")
 		case wait.Err() != nil:
-			refusal = refuser.New(refuser.Cancelled, "while it waited")
+			refusal = refuser.New(refuser.Cancelled, "while waiting for a target or connection")
 		default:
 			continue
 		}
@@ -299,7 +299,7 @@
 	return s.Pool.Borrow(ctx, admitter.ConnectionRequest{Place: endpoint, User: s.User, Class: r.admissionClass()})
 }
 
-// finish decides what happens to the connection and the caller's transaction.
+// finish decides what happens to the connection and the client's transaction.
 func (s *Session) finish(x *exchange, e result) *refuser.Refusal {
 	switch e {
 	case resultFlushed:
--- a/internal/relayer/classify.go
+++ b/internal/relayer/classify.go
@@ -69,7 +69,7 @@
 		generate_series unnest json_build_object jsonb_build_object json_build_array jsonb_build_array to_json to_jsonb
 		row_to_json md5 encode decode array_length cardinality array_to_string string_to_array pg_sleep current_setting version`))
 	// unsupportedStatements maps the first word of statements that leave session state to the
-	// reason shown to the caller.
+	// reason shown to the client.
 	unsupportedStatements = map[string]string{
 		"COPY":    "COPY",
 		"LISTEN":  "LISTEN",
@@ -78,7 +78,7 @@
 		"EXECUTE": "EXECUTE in SQL; use the driver's prepared statements",
 	}
 	// protectedSettings are settings that the proxy depends on or that would change the
-	// caller's privileges.
+	// client's privileges.
 	protectedSettings = wordSet("ROLE AUTHORIZATION CHARACTERISTICS STANDARD_CONFORMING_STRINGS")
 )
 
--- a/internal/relayer/consistency_test.go
+++ b/internal/relayer/consistency_test.go
@@ -71,7 +71,7 @@
 	return true
 }
 
-// A write through one instance is visible to the same caller's reads through another, with or
+// A write through one instance is visible to the same client's reads through another, with or
 // without a token, across lag, promotions and failures.
 func TestReadYourWrites(t *testing.T) {
 	lag := func(s *fleet) {
@@ -127,7 +127,7 @@
 	}
 }
 
-// A read-only transaction runs on a replica that has the caller's writes. A write in it fails
+// A read-only transaction runs on a replica that has the client's writes. A write in it fails
 // as in PostgreSQL; statements lost with the replica have not run.
 func TestReadOnlyTransaction(t *testing.T) {
 	runFleet(t, defaultPlan(), func(s *fleet) {
@@ -158,7 +158,7 @@
 	})
 }
 
-// After a zone with the old primary is partitioned, callers inside it get reads within their
+// After a zone with the old primary is partitioned, clients inside it get reads within their
 // staleness bound or a refusal, and never stale data as current.
 func TestPartitionedZone(t *testing.T) {
 	runFleet(t, defaultPlan(), func(s *fleet) {
--- a/internal/relayer/drain.go
+++ b/internal/relayer/drain.go
@@ -14,7 +14,7 @@
 	// idleGrace is how long a session must be idle outside a transaction before it is closed,
 	// so that requests already sent are still served.
 	idleGrace = 100 * time.Millisecond
-	// busyGrace is how long to wait for a busy caller to become idle; after it, the session is
+	// busyGrace is how long to wait for a busy client to become idle; after it, the session is
 	// closed right after an answer. Requests already sent are then refused as not run.
 	busyGrace = 3 * time.Second
 )
--- a/internal/relayer/outcome.go
+++ b/internal/relayer/outcome.go
@@ -3,7 +3,7 @@
 import "github.com/oriolegw/oriolegw/pkg/refuser"
 
 // requestState is what is known of a request without a complete answer. The outcome reported to
-// the caller derives from it alone: a wrong "not run" makes callers repeat writes.
+// the client derives from it alone: a wrong "not run" makes clients repeat writes.
 type requestState struct {
 	// written: part of the request may have reached the target.
 	written bool
--- a/internal/runner/drain.go
+++ b/internal/runner/drain.go
@@ -14,12 +14,12 @@
 
 // drain implements the graceful shutdown of the instance, as decided by drainer.InstanceDrainer.
 type drain struct {
-	instance     *Instance
+	instance       *Instance
 	sessionDrainer relayer.Drainer
-	leaving      atomic.Bool
-	drained      atomic.Bool
-	clients      *acceptor.Greeter
-	stop         context.CancelFunc
+	leaving        atomic.Bool
+	drained        atomic.Bool
+	clients        *acceptor.Greeter
+	stop           context.CancelFunc
 }
 
 // initialize prepares the drain and returns the slice that decides its steps.
--- a/internal/runner/peers.go
+++ b/internal/runner/peers.go
@@ -24,11 +24,11 @@
 	// peers is the communication of an instance with the others: gossip, configuration
 	// fetches and forwarded cancel requests.
 	peers struct {
-		instance          *Instance
-		published         atomic.Pointer[gossiper.Snapshot]
+		instance            *Instance
+		published           atomic.Pointer[gossiper.Snapshot]
 		activeConfiguration atomic.Pointer[configurer.ActiveDocument]
-		client            *gossiper.Client
-		post              func(context.Context, controller.Event)
+		client              *gossiper.Client
+		post                func(context.Context, controller.Event)
 	}
 
 	// suspicionForwarder passes suspicions of the detector on to the gossiper, so that neither
--- a/pkg/refuser/reasons.go
+++ b/pkg/refuser/reasons.go
@@ -41,7 +41,7 @@
 	}
 	QueueTimeout = &Reason{
 		Code: "OR252", Name: "queue-timeout", Since: "0.1", SQLState: "53300", Outcome: NotRun, RetryAfter: 100 * time.Millisecond,
-		Title: "no turn within the time that a request may wait",
+		Title: "the request waited too long in the queue",
 		Text:  "The request waited in the queue for the maximum time. It was not sent to a target.",
 	}
 	NoShare = &Reason{
@@ -76,7 +76,7 @@
 	}
 	ReadLost = &Reason{
 		Code: "OR304", Name: "read-lost", Since: "0.1", SQLState: "08006", Outcome: NotRun, RetryAfter: 100 * time.Millisecond,
-		Title: "the answer to a read broke off",
+		Title: "the answer to a read was interrupted",
 		Text:  "The connection to a target was lost after part of the response had been forwarded, or every attempt failed. Reads have no side effects, so the request can be sent again.",
 	}
 	BadToken = &Reason{
@@ -91,7 +91,7 @@
 	}
 	TooManyCallers = &Reason{
 		Code: "OR502", Name: "too-many-callers", Since: "0.1", SQLState: "53300", Outcome: NotRun, Fatal: true, RetryAfter: time.Second,
-		Title: "the instance has too many callers",
+		Title: "the instance has too many clients",
 		Text:  "The number of connected clients has reached the configured limit. Connect again: the load balancer may select another instance.",
 	}
 	EncryptionRequired = &Reason{
@@ -101,12 +101,12 @@
 	}
 	BadStartUp = &Reason{
 		Code: "OR504", Name: "bad-start-up", Since: "0.1", SQLState: "08P01", Outcome: NotRun, Fatal: true,
-		Title: "start-up not understood",
-		Text:  "The first messages of the connection violate the protocol, or use a version other than 3.0 and 3.2. The detail says what was received.",
+		Title: "invalid start-up message",
+		Text:  "The first messages of the connection violate the protocol, or use a version other than 3.0 and 3.2. The detail names what was received.",
 	}
 	StartUpTimeout = &Reason{
 		Code: "OR505", Name: "start-up-timeout", Since: "0.1", SQLState: "08006", Outcome: NotRun, Fatal: true, RetryAfter: time.Second,
-		Title: "start-up took too long",
+		Title: "start-up timeout exceeded",
 		Text:  "The client was not authenticated within the configured start-up timeout.",
 	}
 	NoReplication = &Reason{
@@ -136,7 +136,7 @@
 	}
 	FloorUnknown = &Reason{
 		Code: "OR205", Name: "floor-unknown", Since: "0.1", SQLState: "57P03", Outcome: NotRun, RetryAfter: 500 * time.Millisecond,
-		Title: "the caller's own work can't be located",
+		Title: "the position of the client's own writes is unknown",
 		Text:  "The client connected without a session token, and no majority of the group responds, so the position of its earlier writes cannot be determined. Clients with a token, and those connected before, are still served.",
 	}
 	Cancelled = &Reason{
@@ -146,7 +146,7 @@
 	}
 	TooManySessions = &Reason{
 		Code: "OR103", Name: "too-many-sessions", Since: "0.1", SQLState: "53300", Outcome: NotRun, Fatal: true, RetryAfter: time.Second,
-		Title: "no key is left for another caller",
+		Title: "no cancel key is free for another client",
 		Text:  "The instance has 65,536 clients, as many as its cancel keys can distinguish. Connect again: the load balancer may select another instance.",
 	}
 	TransactionAborted = &Reason{
