--- a/internal/acceptor/acceptor.go
+++ b/internal/acceptor/acceptor.go
@@ -198,7 +198,7 @@
 	deadline := time.Now().Add(g.Limits.AuthenticationTimeout)
 	_ = conn.SetReadDeadline(deadline)
 	_ = conn.SetWriteDeadline(deadline.Add(refusalTimeout))
-	s := &startUp{greeter: g, conn: conn, overLimit: number > g.Limits.Callers}
+	s := &startUp{acceptor: g, conn: conn, overLimit: number > g.Limits.Callers}
 	defer func() { _ = s.conn.Close() }() // sends the TLS closing alert if TLS was started
 	startUpCtx, cancel := context.WithTimeout(ctx, g.Limits.AuthenticationTimeout)
 	defer cancel()
--- a/internal/commander/evict.go
+++ b/internal/commander/evict.go
@@ -23,8 +23,8 @@
 	parameterEvictPID = "oriole.evict-pid"
 	parameterActivity = "oriole.activity"
 
-	// The results of SessionActivity: the session runs a statement, is idle, or does not
-	// exist.
+	// ActivityRunning and the others are the results of SessionActivity: the session runs a
+	// statement, is idle, or does not exist.
 	ActivityRunning = "active"
 	ActivityIdle    = "idle"
 	ActivityAbsent  = "absent"
--- a/internal/configurer/slice.go
+++ b/internal/configurer/slice.go
@@ -234,7 +234,8 @@
 	s.inForce, s.text = version, text
 }
 
-// PatchFrom returns the patch from an older version if its text is kept and the patch is less than half the size of the document.
+// PatchFrom returns the patch from an older version if its text is kept and the patch is less
+// than half the size of the document.
 func (a *ActiveDocument) PatchFrom(from int64) (Patch, bool) {
 	for _, p := range a.Previous {
 		if p.Version == from {
--- a/internal/launcher/fault_proxy_test.go
+++ b/internal/launcher/fault_proxy_test.go
@@ -42,9 +42,9 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &faultProxy{dial: dial, listener: l, conns: map[*proxiedConn]struct{}{}}
-	g.running.Go(func() { g.accept(ctx) })
-	return g, nil
+	f := &faultProxy{dial: dial, listener: l, conns: map[*proxiedConn]struct{}{}}
+	f.running.Go(func() { f.accept(ctx) })
+	return f, nil
 }
 
 // close stops the proxy and resets its connections.
--- a/internal/launcher/peers.go
+++ b/internal/launcher/peers.go
@@ -23,7 +23,7 @@
 	forwarder *forwarder.Forwarder
 	// accountant enforces the customers' limits.
 	accountant *accountant.Accountant
-	// holderCache caches the result of lenderAddresses.
+	// holderCache caches the result of holderAddresses.
 	holderCache cached[[]string]
 }
 
--- a/internal/relayer/consistency_test.go
+++ b/internal/relayer/consistency_test.go
@@ -91,7 +91,7 @@
 			s.KillTarget(s.Target("1"))
 			s.promote("10.0.9.9", "b")
 		}},
-		"first instance's zone cut": {before: lag, between: func(s *fleet) {
+		"first instance's zone partitioned": {before: lag, between: func(s *fleet) {
 			s.Net.Cut("a", "b")
 			s.Net.Cut("a", "c")
 			s.promote("10.0.9.9", "b")
--- a/internal/relayer/fuzz_test.go
+++ b/internal/relayer/fuzz_test.go
@@ -30,7 +30,7 @@
 	return b
 }
 
-// Arbitrary input never makes the session panic or emit incomplete messages.
+// FuzzClient checks that no input makes the session panic or emit incomplete messages.
 func FuzzClient(f *testing.F) {
 	f.Add(encodeMessages(&pgproto3.Query{String: "SHOW oriole.token"}, &pgproto3.Query{String: "COMMIT"}, &pgproto3.Terminate{}))
 	f.Add(encodeMessages(&pgproto3.Parse{Name: "s", Query: "SET oriole.kind = 'x'"}, &pgproto3.Bind{PreparedStatement: "s"}, &pgproto3.Describe{ObjectType: 'S', Name: "s"}, &pgproto3.Execute{}, &pgproto3.Close{ObjectType: 'S', Name: "s"}, &pgproto3.Flush{}, &pgproto3.Sync{}))
--- a/internal/runner/failover.go
+++ b/internal/runner/failover.go
@@ -17,14 +17,14 @@
 type externalEvents struct{ events <-chan controller.Event }
 
 // Step implements controller.Slice.
-func (n *externalEvents) Step(_ time.Time, e controller.Event) []controller.Action {
+func (s *externalEvents) Step(_ time.Time, e controller.Event) []controller.Action {
 	if _, tick := e.(controller.Tick); !tick {
 		return nil
 	}
 	var out []controller.Action
 	for {
 		select {
-		case e := <-n.events:
+		case e := <-s.events:
 			out = append(out, controller.Emit{Event: e})
 		default:
 			return out
