--- a/cmd/oriolegw-edge/main.go
+++ b/cmd/oriolegw-edge/main.go
@@ -1,4 +1,4 @@
-// Command oriolegw-edge runs an entry instance on the users' platform.
+// Command oriolegw-edge runs an entry instance on the hosting platform.
 package main
 
 import (
@@ -32,7 +32,7 @@
 func main() {
 	file := flag.String("settings", os.Getenv(settingsVariable), "the settings `file` (JSON with comments); the default is $"+settingsVariable)
 	flag.Usage = func() {
-		fmt.Fprint(flag.CommandLine.Output(), "oriolegw-edge is an entry instance of the proxy on the users' platform.\n\nUsage: oriolegw-edge [-settings FILE]\n\n")
+		fmt.Fprint(flag.CommandLine.Output(), "oriolegw-edge is an entry instance of the proxy on the hosting platform.\n\nUsage: oriolegw-edge [-settings FILE]\n\n")
 		flag.PrintDefaults()
 	}
 	flag.Parse()
--- a/internal/acceptor/acceptor_test.go
+++ b/internal/acceptor/acceptor_test.go
@@ -28,7 +28,7 @@
 
 type harness struct {
 	*testing.T
-	acceptor    *acceptor.Greeter
+	acceptor   *acceptor.Greeter
 	client     *wirer.Host
 	parameters map[string]string
 }
--- a/internal/acceptor/startup.go
+++ b/internal/acceptor/startup.go
@@ -37,8 +37,8 @@
 // startUp carries out the start-up of one client connection.
 type startUp struct {
 	acceptor *Greeter
-	conn    net.Conn
-	backend *pgproto3.Backend
+	conn     net.Conn
+	backend  *pgproto3.Backend
 	// overLimit is set for a client above the limit, which receives only a refusal.
 	overLimit bool
 	// encrypted is set once TLS is active. encryptionRequests counts declined requests.
--- a/internal/launcher/launcher.go
+++ b/internal/launcher/launcher.go
@@ -1,4 +1,4 @@
-// Package launcher assembles an entry instance on the users' platform, runs its
+// Package launcher assembles an entry instance on the hosting platform, runs its
 // components and shuts them down.
 package launcher
 
@@ -41,7 +41,7 @@
 )
 
 type (
-	// Platform holds the store, codecs and functions of the users' platform.
+	// Platform holds the store, codecs and functions of the hosting platform.
 	Platform struct {
 		Store interface {
 			storer.Store
--- a/internal/launcher/metrics.go
+++ b/internal/launcher/metrics.go
@@ -40,7 +40,7 @@
 	}
 )
 
-// Metrics returns the metrics of an entry instance on the users' platform.
+// Metrics returns the metrics of an entry instance on the hosting platform.
 func Metrics() []reporter.Metric {
 	list := []reporter.Metric{
 		{Name: metricPrefix + dispatcher.CountAccepted, Kind: reporter.KindCounter, Description: "Callers that connected."},
