--- a/internal/configurer/check.go
+++ b/internal/configurer/check.go
@@ -11,16 +11,16 @@
 // Limits of a document. They catch wrong units and typing errors, and bound the memory of an
 // instance.
 const (
-	maxServices    = 10000
-	maxUsers       = 10000
-	maxMembers     = 15
-	maxConnections = 10000
-	maxSlots       = 10000
-	maxHold        = time.Minute
-	maxRules       = 100
-	maxAge         = 24 * time.Hour
-	maxCustomers   = 1000
-	maxShare       = 1000
+	maxServices     = 10000
+	maxUsers        = 10000
+	maxMembers      = 15
+	maxConnections  = 10000
+	maxSlots        = 10000
+	maxFailoverWait = time.Minute
+	maxRules        = 100
+	maxAge          = 24 * time.Hour
+	maxCustomers    = 1000
+	maxShare        = 1000
 )
 
 // Check decodes a document and reports all its problems; the document is valid only if there
@@ -58,7 +58,7 @@
 		inspector.Required("members", func(n inspector.Node) { members = n; s.Members = r.readMembers(n) }),
 		inspector.Required("connections", func(n inspector.Node) { s.Connections = n.Int(1, maxConnections) }),
 		inspector.Required("slots", func(n inspector.Node) { s.Slots = n.Int(0, maxSlots) }),
-		inspector.Optional("hold-ms", func(n inspector.Node) { s.FailoverWait = n.Milliseconds(0, maxHold) }),
+		inspector.Optional("hold-ms", func(n inspector.Node) { s.FailoverWait = n.Milliseconds(0, maxFailoverWait) }),
 		inspector.Optional("reader-rules", func(n inspector.Node) { s.Rules = readRules(n) }),
 		inspector.Optional("customers", func(n inspector.Node) { s.Customers = readCustomers(n) }),
 	)
--- a/internal/loader/edge.go
+++ b/internal/loader/edge.go
@@ -41,10 +41,10 @@
 }
 
 const (
-	maxRegions    = 1000
-	minApplyDelay = time.Second
-	maxShutdown   = 10 * time.Minute
-	maxCores      = 1024
+	maxRegions         = 1000
+	minApplyDelay      = time.Second
+	maxShutdownTimeout = 10 * time.Minute
+	maxCores           = 1024
 
 	maxLimitWindow = time.Minute
 	maxOverage     = 10
@@ -96,11 +96,11 @@
 			inspector.Required("store-address", address(&s.StoreAddress)),
 			inspector.Optional("promotions-address", address(&s.PromotionAddress)),
 			inspector.Optional("cores", func(n inspector.Node) { s.Cores = n.Number(0, maxCores) }),
-			inspector.Optional("in-force-ms", func(n inspector.Node) { s.MaxApplyDelay = n.Milliseconds(minApplyDelay, maxShutdown) }),
+			inspector.Optional("in-force-ms", func(n inspector.Node) { s.MaxApplyDelay = n.Milliseconds(minApplyDelay, maxShutdownTimeout) }),
 			inspector.Optional("limit-window-s", func(n inspector.Node) { s.LimitTolerance.Window = n.Seconds(time.Second, maxLimitWindow) }),
 			inspector.Optional("limit-overage", func(n inspector.Node) { s.LimitTolerance.Overage = n.Number(0, maxOverage) }),
 			inspector.Optional("limit-slack", func(n inspector.Node) { s.LimitTolerance.Slack = n.Number(0, maxSlack) }),
-			inspector.Optional("shutdown-s", func(n inspector.Node) { s.ShutdownTimeout = n.Seconds(0, maxShutdown) }),
+			inspector.Optional("shutdown-s", func(n inspector.Node) { s.ShutdownTimeout = n.Seconds(0, maxShutdownTimeout) }),
 			inspector.Optional("first-start", func(n inspector.Node) { s.FirstStart = n.Bool() }),
 		)
 	})
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -83,12 +83,12 @@
 	// DefaultDrainTimeout is the default of Limits.DrainTimeout.
 	DefaultDrainTimeout = 30 * time.Second
 
-	maxCallers     = 1000000
-	maxStartUp     = time.Minute
-	maxDrain       = time.Hour
-	maxSeeds       = 100
-	minSecretBytes = 16
-	maxTokenKeys   = 8
+	maxCallers               = 1000000
+	maxAuthenticationTimeout = time.Minute
+	maxDrainTimeout          = time.Hour
+	maxSeeds                 = 100
+	minSecretBytes           = 16
+	maxTokenKeys             = 8
 )
 
 // Load reads Settings from a file.
@@ -178,7 +178,9 @@
 func readLimits(n inspector.Node, l *Limits) {
 	n.Object(
 		inspector.Optional("callers", func(n inspector.Node) { l.Callers = n.Int(1, maxCallers) }),
-		inspector.Optional("start-up-ms", func(n inspector.Node) { l.AuthenticationTimeout = n.Milliseconds(100*time.Millisecond, maxStartUp) }),
-		inspector.Optional("drain-ms", func(n inspector.Node) { l.DrainTimeout = n.Milliseconds(0, maxDrain) }),
+		inspector.Optional("start-up-ms", func(n inspector.Node) {
+			l.AuthenticationTimeout = n.Milliseconds(100*time.Millisecond, maxAuthenticationTimeout)
+		}),
+		inspector.Optional("drain-ms", func(n inspector.Node) { l.DrainTimeout = n.Milliseconds(0, maxDrainTimeout) }),
 	)
 }
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -30,7 +30,7 @@
 	request       *request
 	started       time.Time
 	waitContext   context.Context // done when the request is cancelled before it reaches a target
-	avoid         []int
+	excluded      []int
 	table         *router.Table
 	group         *router.Group
 	choice        router.Choice
@@ -53,10 +53,10 @@
 	}
 	wait, done := s.cancel.waitContext(ctx)
 	defer done()
-	t := &attempt{session: s, request: r, started: time.Now(), waitContext: wait}
+	a := &attempt{session: s, request: r, started: time.Now(), waitContext: wait}
 	s.Retries.RecordFirstAttempt()
 	for {
-		done, refusal := t.tryOnce(ctx)
+		done, refusal := a.tryOnce(ctx)
 		switch {
 		case done:
 		case ctx.Err() != nil:
@@ -66,7 +66,7 @@
 		default:
 			continue
 		}
-		t.recordDecision(refusal)
+		a.recordDecision(refusal)
 		return refusal
 	}
 }
@@ -91,8 +91,8 @@
 	if refusal := a.loadTable(); refusal != nil {
 		return refusal
 	}
-	left := holdTimeout(a.group) - time.Since(a.started)
-	if left <= 0 {
+	remaining := holdTimeout(a.group) - time.Since(a.started)
+	if remaining <= 0 {
 		return a.noTargetRefusal()
 	}
 	missing, refusal := a.resolveFloor()
@@ -100,13 +100,13 @@
 	case refusal != nil:
 		return refusal
 	case missing:
-		s.awaitTableChange(a.waitContext, a.table, min(left, quorumTimeout-time.Since(a.started)))
+		s.awaitTableChange(a.waitContext, a.table, min(remaining, quorumTimeout-time.Since(a.started)))
 		return nil
 	}
 	a.choice = a.group.Choose(time.Now(), a.routingRequest())
 	if a.choice.Member < 0 {
-		a.avoid = nil
-		s.awaitTableChange(a.waitContext, a.table, left)
+		a.excluded = nil
+		s.awaitTableChange(a.waitContext, a.table, remaining)
 	}
 	return nil
 }
@@ -127,7 +127,7 @@
 		return nil, refuser.New(refuser.NoConnection, "service %q", s.Service)
 	}
 	s.Count("retry.connect")
-	a.avoid = append(a.avoid, a.choice.Member)
+	a.excluded = append(a.excluded, a.choice.Member)
 	s.awaitTableChange(a.waitContext, a.table, retryDelay)
 	return nil, nil
 }
@@ -157,7 +157,7 @@
 	switch {
 	case e == resultBehind:
 		s.Count("retry.behind")
-		a.avoid = append(a.avoid, a.choice.Member)
+		a.excluded = append(a.excluded, a.choice.Member)
 	case x.writeOnReplica:
 		// The statement's tokens did not reveal the write: retry on the primary.
 		s.Count("retry.write")
@@ -177,7 +177,7 @@
 			a.suspectSilent = true
 			s.Pool.DropIdle()
 		}
-		a.avoid = append(a.avoid, a.choice.Member)
+		a.excluded = append(a.excluded, a.choice.Member)
 		if !a.choice.Replica {
 			s.awaitTableChange(a.waitContext, a.table, retryDelay)
 		}
@@ -225,7 +225,7 @@
 	s.requestCount++
 	return router.Request{
 		Read: a.request.readOnly, Floor: s.Floor, LastRead: s.seenPosition, MaxAge: a.maxAge(),
-		Zone: s.Zone, Exclude: a.avoid, PreferenceSeed: s.PreferenceSeed, Sequence: s.requestCount,
+		Zone: s.Zone, Exclude: a.excluded, PreferenceSeed: s.PreferenceSeed, Sequence: s.requestCount,
 	}
 }
 
@@ -289,12 +289,12 @@
 	}
 }
 
-func (s *Session) checkout(ctx context.Context, g *router.Group, c router.Choice, r *request, left time.Duration) (*pooler.Conn, error) {
+func (s *Session) checkout(ctx context.Context, g *router.Group, c router.Choice, r *request, timeout time.Duration) (*pooler.Conn, error) {
 	endpoint := pooler.Endpoint{Address: g.Service.Members[c.Member].Address}
 	if !c.Replica {
 		endpoint.Term = g.Members[c.Member].Status.Term
 	}
-	ctx, cancel := context.WithTimeout(ctx, left)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return s.Pool.Borrow(ctx, admitter.ConnectionRequest{Place: endpoint, User: s.User, Class: r.admissionClass()})
 }
