--- a/internal/linker/client.go
+++ b/internal/linker/client.go
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// Connected reports whether a connection to a peer is open, as far as this end knows.
+// Connected reports whether a connection to a peer is open and not known to be broken.
 func (c *Client) Connected(address string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/runner/drain_test.go
+++ b/internal/runner/drain_test.go
@@ -168,7 +168,7 @@
 }
 
 // writeUntil writes keys in sequence until stop closes. It reconnects to another instance and
-// repeats a write only if the error says that the write has not run. It returns the number
+// repeats a write only if the error guarantees that the write has not run. It returns the number
 // of writes and the time of the last refusal.
 func writeUntil(ctx context.Context, s *stager.Fleet, conn *pgx.Conn, client int, stop <-chan struct{}) (written int, refusedAt time.Time, err error) {
 	defer func() { _ = conn.Close(ctx) }()
--- a/internal/starter/starter.go
+++ b/internal/starter/starter.go
@@ -64,8 +64,8 @@
 	Process struct {
 		Name string
 		Zone string
-		// Address serves clients, Peers serves other instances, and Pages serves
-		// status pages or fault injection over HTTP.
+		// Address serves clients, PeerAddress other instances, and PagesAddress status
+		// pages or fault injection over HTTP.
 		Address, PeerAddress, PagesAddress string
 		PID                                int
 
