--- a/internal/relayer/cancel_test.go
+++ b/internal/relayer/cancel_test.go
@@ -46,7 +46,7 @@
 func TestCancelOnOtherInstance(t *testing.T) {
 	runFleet(t, defaultPlan(), func(s *fleet) {
 		c := s.open(0, nil)
-		time.Sleep(2 * time.Second) // until the instances have exchanged their lists
+		time.Sleep(2 * time.Second) // until the instances have discovered each other
 		done := s.execAsync(c, "SELECT pg_sleep(60)")
 		conn, err := s.Net.Host("10.0.9.1", "callers").Dial(s.ctx, s.Instances[1].IP+":5432")
 		must.NoError(t, err)
