--- a/internal/accountant/accountant.go
+++ b/internal/accountant/accountant.go
@@ -22,7 +22,7 @@
 	// opened.
 	callTimeout = 300 * time.Millisecond
 	// tickInterval is how often Run checks whether a report is due, inactiveInterval how often it
-	// does without customers. minReportPause is the least time between reports, so that waiting
+	// does so without customers. minReportPause is the least time between reports, so that waiting
 	// operations are combined.
 	tickInterval     = 100 * time.Millisecond
 	inactiveInterval = 2 * time.Second
@@ -222,6 +222,6 @@
 	return nil
 }
 
-// UndoAdmit takes back an admitted operation that has not run. It implements lender.Pool's
+// UndoAdmit reverses the admission of an operation that has not run. It implements lender.Pool's
 // UndoAdmit.
 func (a *Accountant) UndoAdmit(customer string) { a.Meter.Undo(a.Clock(), customer) }
--- a/internal/discoverer/discoverer.go
+++ b/internal/discoverer/discoverer.go
@@ -65,6 +65,7 @@
 		added int
 	}
 
+	// peerState is the contact history of a peer.
 	peerState struct {
 		Peer
 		// lastSeen is when the peer was last in contact or listed by another peer.
--- a/internal/elector/decide.go
+++ b/internal/elector/decide.go
@@ -26,7 +26,7 @@
 	// overloadTimeout is how long the primary must be overloaded, so that short bursts do not
 	// change it.
 	overloadTimeout = 800 * time.Millisecond
-	// longQueueFactor is the number of statements per slot that makes a queue long.
+	// longQueueFactor is the number of statements per slot at which a queue counts as long.
 	longQueueFactor = 3
 	// nearlyFullRatio is the share of a member's connections in use at which it is nearly full.
 	nearlyFullRatio = 0.9
@@ -37,8 +37,8 @@
 	// laggingRebalanceInterval replaces minRebalanceInterval when a lagging replica can be
 	// promoted, since the old primary then serves reads instead.
 	laggingRebalanceInterval = 2500 * time.Millisecond
-	// deadConnectionTimeout is how long members keep connections of hosts that lost power. They
-	// may fill a member when this instance starts.
+	// deadConnectionTimeout is how long members keep the connections of hosts that failed without
+	// closing them. These may exhaust the connection limits when this instance starts.
 	deadConnectionTimeout = 3500 * time.Millisecond
 	// laggingThreshold is the replication lag at which a replica is too stale for most reads.
 	laggingThreshold = time.Second
@@ -65,8 +65,8 @@
 		// StalledSince is when the replica stopped at a position behind the primary's, 0 when it
 		// follows; PausedSince is when it was paused.
 		StalledSince, PausedSince tracker.Timestamp
-		// OverloadedSince is when the member's queue became long, 0 when it is not; CrowdedSince is
-		// when nearly all of its connections were in use.
+		// OverloadedSince is when the member's queue became long, 0 when it is not; NearlyFullSince
+		// is when nearly all of its connections were in use, 0 when they are not.
 		OverloadedSince, NearlyFullSince tracker.Timestamp
 	}
 
--- a/internal/elector/elector_test.go
+++ b/internal/elector/elector_test.go
@@ -179,7 +179,7 @@
 					return ctx.Err()
 				},
 			}
-			// The instances do not watch the store, so each learns of the owner by its own attempt.
+			// The instances do not watch the store, so each discovers the owner by its own attempt.
 			go func() { done <- e.Run(ctx) }()
 		}
 		time.Sleep(20 * time.Second)
--- a/internal/elector/primary_change.go
+++ b/internal/elector/primary_change.go
@@ -36,7 +36,7 @@
 
 var (
 	errReplicaUnreachable = errors.New("not every replica responds: an acknowledged commit might be lost")
-	// errOnlyPrimaryComplete applies with asynchronous replication.
+	// errOnlyPrimaryComplete is the data loss risk of asynchronous replication.
 	errOnlyPrimaryComplete = errors.New("only the primary is certain to have every acknowledged commit")
 	errNoCandidate         = errors.New("no member to promote")
 	errNotOwner            = errors.New("ownership of the group is not certain")
@@ -286,7 +286,7 @@
 
 // sendPromotion sends the promotion order.
 func (sv *Supervisor) sendPromotion(ctx context.Context, c *primaryChange) error {
-	sv.orderedAt, sv.promotionPending = sv.Clock(), true
+	sv.promotionOrderedAt, sv.promotionPending = sv.Clock(), true
 	err := sv.Promote(ctx, sv.Group.Name, c.candidate.ID, c.fencingToken)
 	sv.Log("event", "promotion-ordered", "group", sv.Group.Name, "member", c.candidate.ID, "term", c.term, "fence", c.fencingToken, "outcome", outcome(err))
 	if err != nil && !sv.Refused(err) {
--- a/internal/elector/primary_change_test.go
+++ b/internal/elector/primary_change_test.go
@@ -441,8 +441,8 @@
 	})
 }
 
-// Guards against commits acknowledged by a paused replica that restarts during the change and
-// no longer knows of its pause.
+// Guards against commits acknowledged by a paused replica whose restart during the change ends
+// its pause.
 func TestPausedReplicaRestarts(t *testing.T) {
 	runScenario(t, func(t *testing.T, h *harness) {
 		time.Sleep(2 * time.Second)
--- a/internal/elector/supervisor.go
+++ b/internal/elector/supervisor.go
@@ -66,10 +66,10 @@
 		PrimaryChanged func()
 		Log            func(fields ...any)
 
-		members         map[string]*memberState
-		primary         string
-		leaderlessSince tracker.Timestamp
-		orderedAt       tracker.Timestamp
+		members            map[string]*memberState
+		primary            string
+		leaderlessSince    tracker.Timestamp
+		promotionOrderedAt tracker.Timestamp
 		// announcedLeave are the members that announced to leave, or whose address was reused. They
 		// have departed once they are no longer registered.
 		announcedLeave map[string]bool
@@ -287,7 +287,7 @@
 // buildView determines the primary from the members' statuses and returns the group's view.
 func (sv *Supervisor) buildView() View {
 	now := sv.Clock()
-	v := View{Now: now, PromotionOrderedAt: sv.orderedAt, ProcessStart: sv.ProcessStart, RebalanceInterval: sv.rebalanceInterval}
+	v := View{Now: now, PromotionOrderedAt: sv.promotionOrderedAt, ProcessStart: sv.ProcessStart, RebalanceInterval: sv.rebalanceInterval}
 	if sv.primary == "" {
 		sv.primary = sv.Group.Primary()
 	}
--- a/internal/exchanger/exchanger.go
+++ b/internal/exchanger/exchanger.go
@@ -40,10 +40,10 @@
 	// every unresponsiveInterval.
 	unresponsiveAfter    = 5 * time.Second
 	unresponsiveInterval = 2 * time.Second
-	// introductionFanout is how many not yet contacted peers an instance contacts at a time
-	// during introductionPeriod after its start.
-	introductionFanout = 4
-	introductionPeriod = 2 * time.Second
+	// firstContactFanout is how many not yet contacted peers an instance contacts at a time
+	// during firstContactPeriod after its start.
+	firstContactFanout = 4
+	firstContactPeriod = 2 * time.Second
 	// registerRetryDelay is the minimum time between two attempts to write the record of this
 	// instance.
 	registerRetryDelay = time.Second
@@ -79,7 +79,7 @@
 	Account func(r *wire.AccountRequest) *wire.AccountReply
 	// Store is where instances register.
 	Store storer.Store
-	// Log writes a log line of key-value pairs.
+	// Log writes a log line of alternating keys and values.
 	Log func(fields ...any)
 
 	// contacted is the time of the last request by peer name. It is accessed only by Run.
@@ -105,7 +105,7 @@
 			return err
 		}
 		e.register(ctx)
-		for _, p := range e.duePeers(e.Clock()-started < introductionPeriod) {
+		for _, p := range e.duePeers(e.Clock()-started < firstContactPeriod) {
 			requests.Go(func() { _, _ = e.request(ctx, p.Address, &wire.TellRequest{PeersOnly: true}) })
 		}
 	}
@@ -117,7 +117,7 @@
 	now := e.Clock()
 	list := e.Discoverer.Monitored()
 	if starting {
-		list = append(list, e.Discoverer.Uncontacted(now, introductionFanout)...)
+		list = append(list, e.Discoverer.Uncontacted(now, firstContactFanout)...)
 	}
 	var due []discoverer.Peer
 	for _, p := range list {
@@ -181,7 +181,7 @@
 }
 
 // readerAddresses returns the addresses of the instances that watch the store for this
-// region, "" standing for this instance. It omits unresponsive peers, so that a partitioned
+// region, "" for this instance. It omits unresponsive peers, so that a partitioned
 // zone selects its own readers.
 func (e *Exchanger) readerAddresses() []string {
 	list := e.Discoverer.OwnRegion(e.Clock())
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -27,7 +27,7 @@
 	replyGrace = 200 * time.Millisecond
 	// maxPeersTried is how many peers are tried for one loan, nearest first.
 	maxPeersTried = 6
-	// refusalTTL is how long a peer that can't reach a member is not asked for it.
+	// refusalTTL is how long a peer that can't reach a member is skipped for that member.
 	refusalTTL = time.Second
 	// maxIdleStreams is how many idle streams are kept per peer.
 	maxIdleStreams    = 8
@@ -67,10 +67,10 @@
 	// lastLender is the address of the peer that last lent a connection to a member.
 	lastLender  map[string]string
 	assignments map[string]*assignment
-	// refusals is when a peer last refused a member, by peer address and member.
+	// refusals is when a peer last refused a loan for a member, by peer address and member.
 	refusals map[[2]string]tracker.Timestamp
 	// holderFailures is when a holder last failed, by address and member; an empty member
-	// stands for all.
+	// means all members.
 	holderFailures map[[2]string]tracker.Timestamp
 	closed         bool
 
@@ -81,7 +81,8 @@
 // LentCount returns how many connections are currently lent to peers.
 func (fw *Forwarder) LentCount() int { return int(fw.lent.Load()) }
 
-// BorrowedCount returns how many loans this instance has taken since it started.
+// BorrowedCount returns how many connections this instance has borrowed from peers since it
+// started.
 func (fw *Forwarder) BorrowedCount() int { return int(fw.borrowed.Load()) }
 
 // Close closes all idle streams.
@@ -126,7 +127,7 @@
 	return errors.As(err, &limit)
 }
 
-// candidatePeers returns the peers to ask: the last lender first, then the nearest peers
+// candidatePeers returns the peers to try: the last lender first, then the nearest peers
 // without a recent refusal.
 func (fw *Forwarder) candidatePeers(members []string) []string {
 	now := fw.Clock()
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -108,7 +108,7 @@
 	return &wire.LendRequest{Ask: &wire.LendAsk{Group: "g", Members: members, WaitMs: 500}}
 }
 
-// mustExchange checks that the lender's own requests are still answered.
+// mustExchange checks that the lender can still use its own connections.
 func (f *fixture) mustExchange(t *testing.T) {
 	t.Helper()
 	c, err := f.pool.Borrow(t.Context(), lender.Request{EligibleMembers: func() []string { return []string{"g-1"} }, Deadline: time.Now().Add(time.Second)})
@@ -196,7 +196,7 @@
 	})
 }
 
-// Two instances that each take the other for the holder must not pass a request back and forth.
+// Two instances that each consider the other the holder must not forward a request in a loop.
 func TestLoansAreNotForwarded(t *testing.T) {
 	var forwarded atomic.Int64
 	forward := func() (*lender.Conn, error) {
--- a/internal/forwarder/holders.go
+++ b/internal/forwarder/holders.go
@@ -16,7 +16,7 @@
 	// holdersTTL is how long the choice of holders is cached. Failed loans reveal dead holders
 	// sooner.
 	holdersTTL = 500 * time.Millisecond
-	// maxHoldersTried is how many holders are tried before the instance connects itself.
+	// maxHoldersTried is how many holders are tried before the instance opens its own connection.
 	maxHoldersTried = 4
 	// attemptTimeout bounds one attempt to borrow; the members are then chosen again, since the
 	// primary may have changed.
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -36,6 +36,7 @@
 		closed   bool
 	}
 
+	// address is the net.Addr of a remoteConn.
 	address string
 )
 
--- a/internal/lender/conn.go
+++ b/internal/lender/conn.go
@@ -31,7 +31,7 @@
 	// Values are a session's values by name.
 	Values map[string]string
 
-	// Prepared is the shape of a prepared statement.
+	// Prepared identifies a prepared statement independently of its name.
 	Prepared struct {
 		Writes bool
 		Shape  string
@@ -56,18 +56,18 @@
 		buffer        []byte
 		lentAt        time.Time
 		idleSince     time.Time
-		// lastUsed is when it was last lent for a caller's statement.
+		// lastUsed is when the connection was last lent for a caller's statement.
 		lastUsed time.Time
-		// fresh is set until it is first lent.
-		fresh bool
+		// neverLent is set until the connection is first lent.
+		neverLent bool
 		// forTransaction and forStatement record what it is lent for; neither is set for a status
 		// query.
 		forTransaction, forStatement bool
 		broken                       bool
 
-		// giveBack is set if another instance has lent the connection; refusedBusy and ran are
-		// reported to it in the end.
-		giveBack         func(LoanEnd)
+		// onReturn is set if another instance has lent the connection, and receives refusedBusy and
+		// ran: whether the member refused a statement because of overload, and whether it ran one.
+		onReturn         func(LoanEnd)
 		refusedBusy, ran bool
 	}
 )
--- a/internal/lender/idle.go
+++ b/internal/lender/idle.go
@@ -21,8 +21,8 @@
 	// fullMemberSpareIdleTime replaces spareIdleTime at a member that was full recently. It is not
 	// 0, which would require a new connection for each statement.
 	fullMemberSpareIdleTime = 40 * time.Millisecond
-	// recheckAfterIdle is how long a kept connection may idle before the member is asked for its
-	// number of connections: idle connections must not lock out other instances for good.
+	// recheckAfterIdle is how long a kept connection may idle before the member's number of
+	// connections is checked: idle connections must not permanently exclude other instances.
 	recheckAfterIdle = 600 * time.Millisecond
 	// capacityCheckInterval is how long a positive capacity check is valid. Checks occupy a slot,
 	// though for less time than an opening.
@@ -96,7 +96,7 @@
 		c.Close()
 	}
 	m.idle = nil
-	m.startTime, m.pace, m.lastFull = startTime, throttler.Throttler{}, time.Time{}
+	m.startTime, m.throttler, m.lastFull = startTime, throttler.Throttler{}, time.Time{}
 	m.backoff, m.retryAt, m.lastUsed, m.capacityCheckedAt = 0, time.Time{}, time.Time{}, time.Time{}
 	m.noResponse, m.timeouts = false, 0
 }
@@ -137,7 +137,7 @@
 		}
 		if !spare {
 			if !inUse {
-				p.background.Go(func() { p.keepOrClose(c) })
+				p.backgroundTasks.Go(func() { p.keepOrClose(c) })
 			}
 			return !inUse
 		}
--- a/internal/lender/lend.go
+++ b/internal/lender/lend.go
@@ -10,7 +10,7 @@
 func (p *Pool) takeIdle(ids []string, r *Request) *Conn {
 	for _, id := range ids {
 		m := p.members[id]
-		if m == nil || !r.StatusQuery && m.pace.Delay(time.Now()) > 0 || !p.hasCapacityFor(m, r) {
+		if m == nil || !r.StatusQuery && m.throttler.Delay(time.Now()) > 0 || !p.hasCapacityFor(m, r) {
 			continue
 		}
 		for i := len(m.idle) - 1; i >= 0; i-- {
@@ -41,9 +41,9 @@
 	}
 }
 
-// Return takes a connection back. A broken one is closed.
+// Return returns a connection to the pool. A broken one is closed.
 func (p *Pool) Return(c *Conn) {
-	if c.giveBack != nil {
+	if c.onReturn != nil {
 		c.returnLoan()
 		return
 	}
@@ -76,7 +76,7 @@
 		p.serveWaiting()
 		return
 	}
-	capacity := m.pace.Delay(time.Now()) == 0
+	capacity := m.throttler.Delay(time.Now()) == 0
 	for i, w := range p.waiting {
 		if (capacity || w.StatusQuery) && c.usableFor(&w.Request) && slices.Contains(p.choose(&w.Request), c.Member) {
 			p.waiting = slices.Delete(p.waiting, i, i+1)
@@ -103,12 +103,12 @@
 	}
 	if !r.StatusQuery {
 		if noteLent != nil {
-			noteLent(c.fresh)
+			noteLent(c.neverLent)
 		}
-		c.fresh = false
+		c.neverLent = false
 		c.lastUsed = c.lentAt
 		m.usage.add(c.lentAt, c.Customer)
-		m.pace.RecordSend(c.lentAt)
+		m.throttler.RecordSend(c.lentAt)
 	}
 }
 
--- a/internal/lender/open.go
+++ b/internal/lender/open.go
@@ -53,7 +53,7 @@
 	}
 	// While statements queue at the member, another connection serves none sooner, and its opening
 	// occupies a slot.
-	if m.pace.Delay(time.Now()) > 0 || p.Group.IsQueueing(id) {
+	if m.throttler.Delay(time.Now()) > 0 || p.Group.IsQueueing(id) {
 		return false
 	}
 	if first && m.open+m.opening > 0 {
@@ -69,7 +69,7 @@
 	m.opening++
 	addCount(&m.openingByCustomer, customer, 1)
 	p.openedTotal++
-	p.background.Go(func() { p.open(p.ctx, member, customer) })
+	p.backgroundTasks.Go(func() { p.open(p.ctx, member, customer) })
 	return true
 }
 
@@ -89,7 +89,7 @@
 	if err == nil {
 		m.backoff, m.noResponse, m.timeouts = 0, false, 0
 		m.open++
-		c.Customer, c.lastUsed, c.fresh = customer, time.Now(), true
+		c.Customer, c.lastUsed, c.neverLent = customer, time.Now(), true
 		p.addIdle(c)
 		return
 	}
--- a/internal/lender/overload.go
+++ b/internal/lender/overload.go
@@ -10,16 +10,16 @@
 	now := time.Now()
 	m := p.member(member)
 	m.timeouts = 0
-	if m.pace.Unlimited() && p.NotePacing != nil {
+	if m.throttler.Unlimited() && p.NotePacing != nil {
 		p.NotePacing(member, false)
 	}
-	m.pace.RecordRejection(now)
+	m.throttler.RecordRejection(now)
 	p.scheduleResume(m, now)
 }
 
 // scheduleResume serves the waiting requests when the member's throttler allows new work.
 func (p *Pool) scheduleResume(m *memberPool, now time.Time) {
-	if wait := m.pace.Delay(now); wait > 0 && len(p.waiting) > 0 && m.resumeTimer == nil {
+	if wait := m.throttler.Delay(now); wait > 0 && len(p.waiting) > 0 && m.resumeTimer == nil {
 		m.resumeTimer = time.AfterFunc(wait, func() { p.resume(m) })
 	}
 }
@@ -42,9 +42,9 @@
 	defer p.mutex.Unlock()
 	m := p.member(member)
 	m.timeouts = 0
-	paced := !m.pace.Unlimited()
-	m.pace.RecordSuccess()
-	if paced && m.pace.Unlimited() && p.NotePacing != nil {
+	paced := !m.throttler.Unlimited()
+	m.throttler.RecordSuccess()
+	if paced && m.throttler.Unlimited() && p.NotePacing != nil {
 		p.NotePacing(member, true)
 	}
 }
--- a/internal/lender/pool.go
+++ b/internal/lender/pool.go
@@ -46,7 +46,7 @@
 func (e *LimitError) Error() string { return "customer " + e.Customer + " is over its limit" }
 
 type (
-	// Request asks for a connection.
+	// Request describes a requested connection.
 	Request struct {
 		// EligibleMembers returns the eligible members, best first. It is called again when the
 		// state of the members has changed while the request waits.
@@ -89,11 +89,11 @@
 		BorrowFromHolder func(ctx context.Context, group string, r Request) (*Conn, error)
 		HeldElsewhere    func(group, member string) bool
 		// Admit, when set, decides whether a new operation of a customer may run on one of this
-		// instance's connections; UndoAdmit takes back an admitted operation that has not run.
+		// instance's connections; UndoAdmit reverses the admission of an operation that has not run.
 		Admit     func(ctx context.Context, customer string) error
 		UndoAdmit func(customer string)
-		// NoteLent, when set, is called for each connection lent to a caller, with whether it was
-		// newly opened.
+		// NoteLent, when set, is called for each connection lent to a caller; opened is set if it
+		// was newly opened.
 		NoteLent func(opened bool)
 		// NoteOpened, when set, is called with the result of each opening.
 		NoteOpened func(member string, err error)
@@ -120,8 +120,8 @@
 		// fairQueue orders waiting work of customers, flows are their positions in it.
 		fairQueue scheduler.VirtualClock
 		flows     map[string]*scheduler.Flow
-		// background counts running openings and status queries.
-		background sync.WaitGroup
+		// backgroundTasks counts running openings and status queries.
+		backgroundTasks sync.WaitGroup
 		// openedTotal counts openings, for metrics.
 		openedTotal int
 	}
@@ -129,7 +129,7 @@
 	// memberPool holds the connections to one member.
 	memberPool struct {
 		id string
-		// startTime identifies the incarnation of the member that the other fields are about.
+		// startTime identifies the incarnation of the member that the other fields describe.
 		startTime int64
 		idle      []*Conn
 		open      int
@@ -147,15 +147,15 @@
 		retryAt             time.Time
 		// lastFull is when the member last refused a connection because it has too many.
 		lastFull time.Time
-		// pace limits the rate of new work while the member is overloaded.
-		pace throttler.Throttler
+		// throttler limits the rate of new work while the member is overloaded.
+		throttler throttler.Throttler
 		// resumeTimer is set while waiting requests are paced.
 		resumeTimer *time.Timer
 		// lastUsed is when a connection was last lent, or when the member became known.
 		lastUsed time.Time
 		// capacityCheckedAt is when the member last reported free connections.
 		capacityCheckedAt time.Time
-		// openingSince is when the running openings began. noResponse is set if the last one
+		// openingSince is when opening last became positive. noResponse is set if the last one
 		// got no response.
 		openingSince time.Time
 		noResponse   bool
@@ -195,7 +195,7 @@
 		select {
 		case <-ctx.Done():
 			p.close()
-			p.background.Wait()
+			p.backgroundTasks.Wait()
 			return ctx.Err()
 		case now := <-ticks:
 			p.Maintain(now)
@@ -213,7 +213,8 @@
 	p.dropUnknownCustomers()
 }
 
-// MembersChanged has waiting requests choose again after the members or the primary changed.
+// MembersChanged re-evaluates the eligible members of waiting requests after the members or the
+// primary changed.
 func (p *Pool) MembersChanged() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/lender/remote.go
+++ b/internal/lender/remote.go
@@ -41,35 +41,35 @@
 	}
 )
 
-// NewRemoteConn wraps a connection that another instance lends. giveBack is called once, when it is
+// NewRemoteConn wraps a connection that another instance lends. onReturn is called once, when it is
 // returned.
-func NewRemoteConn(n net.Conn, codec messenger.MemberCodec, member string, startTime int64, s SessionState, giveBack func(LoanEnd)) *Conn {
+func NewRemoteConn(n net.Conn, codec messenger.MemberCodec, member string, startTime int64, s SessionState, onReturn func(LoanEnd)) *Conn {
 	return &Conn{
 		Member: member, MemberStartTime: startTime, net: n, codec: codec, replies: codec.Replies(n),
-		values: s.Values, prepared: s.Prepared, giveBack: giveBack,
+		values: s.Values, prepared: s.Prepared, onReturn: onReturn,
 	}
 }
 
 // NetConn returns the network connection to the member, for relaying bytes of another instance.
 func (c *Conn) NetConn() net.Conn { return c.net }
 
-// SessionState returns a copy of the session state on the connection.
+// State returns a copy of the session state on the connection.
 func (c *Conn) State() SessionState {
 	return SessionState{Values: maps.Clone(c.values), Prepared: maps.Clone(c.prepared)}
 }
 
-// SetState sets the session state that another instance's session has left.
+// SetState sets the session state as left by a session of another instance.
 func (c *Conn) SetState(s SessionState) { c.values, c.prepared = s.Values, s.Prepared }
 
 // returnLoan returns a connection to the instance that has lent it.
 func (c *Conn) returnLoan() {
 	broken := c.broken || c.unreadReplies > 0
-	c.giveBack(LoanEnd{Broken: broken, Overloaded: c.refusedBusy, Ran: c.ran, State: SessionState{Values: c.values, Prepared: c.prepared}})
+	c.onReturn(LoanEnd{Broken: broken, Overloaded: c.refusedBusy, Ran: c.ran, State: SessionState{Values: c.values, Prepared: c.prepared}})
 }
 
 // NoteTimeout records that a member did not reply to what was sent on a connection.
 func (p *Pool) NoteTimeout(c *Conn) {
-	if c.giveBack != nil {
+	if c.onReturn != nil {
 		return
 	}
 	p.mutex.Lock()
@@ -143,14 +143,14 @@
 	due := p.BorrowRemote != nil && !w.LocalOnly && !w.remotePending && p.allUnreachable(ids)
 	if due {
 		w.remotePending = true
-		p.background.Add(1)
+		p.backgroundTasks.Add(1)
 	}
 	p.mutex.Unlock()
 	if !due {
 		return
 	}
 	go func() {
-		defer p.background.Done()
+		defer p.backgroundTasks.Done()
 		c, err := p.BorrowRemote(ctx, p.Group.Name, ids, w.Request)
 		p.mutex.Lock()
 		abandoned := w.abandoned
@@ -189,7 +189,7 @@
 // overload.
 func (p *Pool) NoteResult(c *Conn, served bool) {
 	switch {
-	case c.giveBack != nil:
+	case c.onReturn != nil:
 		c.refusedBusy, c.ran = c.refusedBusy || !served, c.ran || served
 	case served:
 		p.NoteServed(c.Member)
--- a/internal/limiter/ledger.go
+++ b/internal/limiter/ledger.go
@@ -19,8 +19,7 @@
 		Incarnation uint64
 		// ExpectedInstances, when set, lists the instances that run operations. The fallback rates
 		// of those that don't report here are reserved: an instance may be isolated or report to
-		// another accountant. So several accountants share the limits without knowing of each
-		// other.
+		// another accountant. So several accountants share the limits without coordination.
 		ExpectedInstances func() []string
 
 		// openedAt is when the accounts were opened, initialInstances which instances ran
--- a/internal/limiter/ledger_test.go
+++ b/internal/limiter/ledger_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// testLedger is a ledger with hand-written reports.
+// testLedger is a ledger that receives the reports of a test.
 type testLedger struct {
 	ledger *limiter.Ledger
 	now    limiter.Timestamp
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -20,9 +20,9 @@
 // An instance that can't reach the accountant admits operations at a fallback rate: an even share
 // of evenShareFraction x rate, or more where its recent demand was higher and the limit allows it.
 // The fallback rates that an accountant assigns add up to at most the limit, and it reserves those
-// of the instances that don't report to it. A new accountant reserves what it can't know: the
-// rate less the fallback rates of the instances that have reported to it. So the sides of a
-// partition share the limit, whichever of them have an accountant:
+// of the instances that don't report to it. A new accountant doesn't know the fallback rates of
+// instances that have not reported to it, and reserves the rate less those of the others. So the
+// sides of a partition share the limit, whichever of them have an accountant:
 //
 //	leased per second, all sides + fallback rates of isolated instances <= rate + burst / window
 //
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -46,6 +46,7 @@
 		strictFrom int
 	}
 
+	// node is one simulated instance.
 	node struct {
 		meter *limiter.Meter
 		// isolated instances are partitioned from the accountant; paused ones don't run.
@@ -58,6 +59,7 @@
 		waitingSince []limiter.Timestamp
 	}
 
+	// message is a report to the accountant, or its reply if report is nil.
 	message struct {
 		deliverAt limiter.Timestamp
 		node      int
@@ -407,7 +409,7 @@
 }
 
 // Guards against refusing callers that a partition has moved to instances with little previous
-// demand: six of 24 instances may run an eighth of the limit.
+// demand.
 func TestCallersMovedByPartition(t *testing.T) {
 	l := limits[0]
 	f := newFleet(1, 24, l)
--- a/internal/limiter/meter.go
+++ b/internal/limiter/meter.go
@@ -102,7 +102,7 @@
 	return Admit, 0
 }
 
-// Undo takes back an admitted operation that has not run.
+// Undo reverses the admission of an operation that has not run.
 func (m *Meter) Undo(now Timestamp, name string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/lister/lister.go
+++ b/internal/lister/lister.go
@@ -18,7 +18,7 @@
 // Path is the URL path of the platform's list.
 const Path = "/instances"
 
-// Kinds and states of an instance.
+// Kinds and states of an instance on the wire.
 const (
 	KindEntry    = "entry"
 	KindTarget   = "target"
--- a/internal/lister/slice.go
+++ b/internal/lister/slice.go
@@ -13,8 +13,8 @@
 const (
 	// watchers is how many instances of a zone read the list frequently. Two, so that the
 	// zone notices a leaving instance even if one of them fails.
-	watchers = 2
-	watchKey = "instance-list"
+	watchers       = 2
+	watcherRankKey = "instance-list"
 	// watcherReadInterval is the read interval of the watchers. A leaving instance must be
 	// noticed within three seconds.
 	watcherReadInterval = time.Second
@@ -53,11 +53,13 @@
 		nextExpiry time.Time
 	}
 
+	// contacted is a peer that called or was listed by another peer, and when.
 	contacted struct {
 		instance Instance
 		at       time.Time
 	}
 
+	// unresponsive is the probe state of an instance whose calls failed.
 	unresponsive struct {
 		failures   int
 		probeDelay time.Duration
@@ -161,7 +163,7 @@
 
 // readInterval returns the time until this instance reads the list again.
 func (s *Slice) readInterval() time.Duration {
-	if s.listed == nil || Contains(Top(watchKey, s.Self.Zone, watchers, s.view), s.Self.Name) {
+	if s.listed == nil || Contains(Top(watcherRankKey, s.Self.Zone, watchers, s.view), s.Self.Name) {
 		return watcherReadInterval
 	}
 	return s.addJitter(max(minReadInterval, time.Duration(len(s.view))*readIntervalPerInstance))
--- a/internal/promoter/attempt.go
+++ b/internal/promoter/attempt.go
@@ -108,7 +108,7 @@
 func (g *group) abandon(now time.Time, reason AbandonReason, delay time.Duration) []controller.Action {
 	a := g.attempt
 	g.attempt = nil
-	g.notBefore = now.Add(delay)
+	g.cooldownUntil = now.Add(delay)
 	return []controller.Action{controller.Emit{Event: Abandoned{Service: g.view.Service.Name, Term: a.term, Reason: reason}}}
 }
 
@@ -317,7 +317,7 @@
 func (g *group) finish(now time.Time, i int) []controller.Action {
 	a := g.attempt
 	g.attempt, g.agreedFailure, g.startAt = nil, nil, time.Time{}
-	g.notBefore = now.Add(g.cooldown(a.evidence))
+	g.cooldownUntil = now.Add(g.cooldown(a.evidence))
 	member := g.view.Service.Members[i]
 	g.unpublished = Record{Term: a.term, Owner: g.slice.Owner, Primary: member.Name}
 	g.nextPublishAt = time.Time{}
--- a/internal/promoter/slice.go
+++ b/internal/promoter/slice.go
@@ -25,17 +25,18 @@
 	// rankDelay exceeds the duration of a promotion, so that the next in rank starts only if the
 	// first has failed.
 	rankDelay = 150 * time.Millisecond
-	// rankJitter separates instances that do not know of each other.
+	// rankJitter separates instances that have not discovered each other.
 	rankJitter    = 100 * time.Millisecond
 	peerReportTTL = 3 * time.Second
-	// takenIntentDelay lets the promoter with the recorded intent finish.
+	// takenIntentDelay is the wait after another promoter's intent, so that it can finish.
 	takenIntentDelay = 700 * time.Millisecond
 	retryDelay       = 300 * time.Millisecond
 	// stallCooldown doubles with each change for a stall, up to maxStallCooldown, so that
 	// replication lag does not cause repeated changes.
 	stallCooldown    = 3 * time.Second
 	maxStallCooldown = 60 * time.Second
-	// repairDelay lets the promoter reach the members first.
+	// repairDelay is how long a member must need repair before it is repaired, so that the
+	// promoter can reach it first.
 	repairDelay     = 300 * time.Millisecond
 	repairInterval  = time.Second
 	maxStatusAge    = time.Second
@@ -79,10 +80,11 @@
 		// newestStoredTerm is the newest term seen in the store.
 		newestStoredTerm uint64
 		// startAt is when the next attempt starts; zero without a reason.
-		startAt      time.Time
-		notBefore    time.Time
-		stallChanges int
-		attempt      *attempt
+		startAt time.Time
+		// cooldownUntil is the earliest start of the next attempt.
+		cooldownUntil time.Time
+		stallChanges  int
+		attempt       *attempt
 		// unpublished is the record to be stored, zero if none.
 		unpublished     Record
 		publishing      bool
@@ -226,8 +228,8 @@
 	}
 	if g.startAt.IsZero() {
 		from := now
-		if g.notBefore.After(from) {
-			from = g.notBefore
+		if g.cooldownUntil.After(from) {
+			from = g.cooldownUntil
 		}
 		g.startAt = from.Add(g.startDelay(now))
 	}
@@ -362,7 +364,7 @@
 	return out
 }
 
-// handleOrdered handles the result of an order and emits it as an observation.
+// handleOrdered processes the result of an order and emits it as an observation.
 func (g *group) handleOrdered(now time.Time, e OrderResult) []controller.Action {
 	if e.Order.Attempt == 0 && e.Order.Kind == OrderStatus {
 		g.statusPending[e.Order.Member] = false
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -9,8 +9,8 @@
 	// VirtualClock is the virtual time of the queue. The zero value is ready to use.
 	VirtualClock struct{ virtual float64 }
 
-	// Flow is one party's position in the queue. The zero value has had no work. A flow that was
-	// idle starts at the current virtual time and gets no credit for the past.
+	// Flow is one customer's position in the queue. The zero value is a flow without past work.
+	// A flow that was idle starts at the current virtual time and gets no credit for the past.
 	Flow struct{ finish float64 }
 )
 
--- a/internal/storer/memory.go
+++ b/internal/storer/memory.go
@@ -36,6 +36,7 @@
 		LoseResponses int
 	}
 
+	// entry is a pair with the lease that deletes it.
 	entry struct {
 		pair  Pair
 		lease Lease
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// loseAnswer returns an error if the response to a completed write is to be lost.
-func (m *Memory) loseAnswer() error {
+// loseResponse returns an error if the response to a completed write is to be lost.
+func (m *Memory) loseResponse() error {
 	if m.faults.LoseResponses > 0 {
 		m.faults.LoseResponses--
 		return errors.Wrap(ErrUnavailable, "response lost")
@@ -194,7 +195,7 @@
 	now = Pair{Key: p.Key, Value: append([]byte(nil), p.Value...), Revision: m.revision}
 	m.pairs[p.Key] = entry{pair: now, lease: lease}
 	m.appendHistory(now)
-	if err := m.loseAnswer(); err != nil {
+	if err := m.loseResponse(); err != nil {
 		return Pair{}, false, err
 	}
 	return now, true, nil
@@ -210,7 +211,7 @@
 		return false, nil
 	}
 	m.removeKey(p.Key)
-	return true, m.loseAnswer()
+	return true, m.loseResponse()
 }
 
 // Grant implements Store.
--- a/internal/tracker/group.go
+++ b/internal/tracker/group.go
@@ -59,6 +59,7 @@
 		restartedAt                Timestamp
 	}
 
+	// member is a registration with the observed replication state and latency.
 	member struct {
 		Member
 		// lastPosition is the end of the member's log as last reported.
--- a/internal/watcher/entries.go
+++ b/internal/watcher/entries.go
@@ -78,8 +78,8 @@
 			changed = w.applyMember(storer.Pair{Key: key}) || changed
 		}
 	}
-	for key, owned := range w.owned {
-		if owned && !seen[key] {
+	for key, exists := range w.ownershipExists {
+		if exists && !seen[key] {
 			w.applyPair(storer.Pair{Key: key})
 		}
 	}
@@ -109,11 +109,11 @@
 	}
 }
 
-// missingFrom returns the time from which a deleted entry counts as missing. One that was
-// lost around an outage of the store gets a grace period to register again.
+// missingFrom returns the time from which a deleted entry counts as missing. One that
+// was deleted around an outage of the store gets a grace period to register again.
 func (w *Watcher) missingFrom(e *entry) tracker.Timestamp {
-	if w.restoredAt != 0 && e.missingSince-w.restoredAt < registrationGrace {
-		return max(e.missingSince, w.restoredAt+registrationGrace)
+	if w.outageEndedAt != 0 && e.missingSince-w.outageEndedAt < registrationGrace {
+		return max(e.missingSince, w.outageEndedAt+registrationGrace)
 	}
 	return e.missingSince
 }
@@ -125,7 +125,7 @@
 // storeReachable reports whether the store answers this instance or a peer that sends it
 // updates.
 func (w *Watcher) storeReachable() bool {
-	return !w.outage || w.peerUpdateAt != 0 && w.Clock()-w.peerUpdateAt < peerUpdateLifetime
+	return !w.storeOutage || w.peerUpdateAt != 0 && w.Clock()-w.peerUpdateAt < peerUpdateLifetime
 }
 
 func (w *Watcher) publish() {
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -29,17 +29,17 @@
 	// registrationGrace is how long after an outage of the store members may take to
 	// register again.
 	registrationGrace = 2500 * time.Millisecond
-	// missingRetention is how long a member without an entry is kept as leaving, so that the
-	// primary role can be moved away from it. It must receive nothing after 7 s.
+	// missingRetention is how long a member without an entry is kept as leaving, so that another
+	// member can be promoted if it is the primary. Nothing may be sent to it after 7 s.
 	missingRetention = 5 * time.Second
-	// leavingTimeout is how long after its announcement a leaving member may still be sent
-	// work.
+	// leavingTimeout is how long after its announcement a leaving member may still receive
+	// statements.
 	leavingTimeout = 6 * time.Second
 	// batchDelayFraction is the delay after a change, as a fraction of MaxPropagationDelay, that
 	// lets one call return several consecutive changes, such as those of a failover.
 	batchDelayFraction = 0.1
-	// startupBatchDelay replaces it for startupPeriod after the first start of the fleet,
-	// when all members register.
+	// startupBatchDelay replaces that delay for startupPeriod after the first start of the
+	// fleet, when all members register.
 	startupBatchDelay = time.Second
 	startupPeriod     = 8 * time.Second
 	// expiryCheckInterval is the time between two checks for expired entries.
@@ -81,7 +81,7 @@
 		OnOwnership func(storer.Pair)
 		// OnInstance, if set, is called with each changed instance record.
 		OnInstance func(storer.Pair)
-		// Log writes a log line of key-value pairs.
+		// Log writes a log line of alternating keys and values.
 		Log func(fields ...any)
 		// RequestState, if set, requests the changes after a revision from peers. It is called while
 		// the store is unavailable to this instance.
@@ -106,11 +106,13 @@
 		deletionsSince int64
 		// peerUpdateAt is the age-adjusted time of the last update from a peer.
 		peerUpdateAt tracker.Timestamp
-		version      int64
-		entries      map[string]*entry
-		owned        map[string]bool
-		outage       bool
-		restoredAt   tracker.Timestamp
+		// configurationVersion is the version of the last applied configuration.
+		configurationVersion int64
+		entries              map[string]*entry
+		// ownershipExists reports, by key, whether an ownership record exists.
+		ownershipExists map[string]bool
+		storeOutage     bool
+		outageEndedAt   tracker.Timestamp
 		// storeSeenAt is when the store last answered. changedSince is the earliest time at
 		// which the changes of the current update may have happened.
 		storeSeenAt, changedSince tracker.Timestamp
@@ -168,7 +170,7 @@
 
 // Run watches the store until the context ends.
 func (w *Watcher) Run(ctx context.Context) error {
-	w.entries, w.owned, w.pairs = map[string]*entry{}, map[string]bool{}, map[string]storer.Pair{}
+	w.entries, w.ownershipExists, w.pairs = map[string]*entry{}, map[string]bool{}, map[string]storer.Pair{}
 	w.storeDown.Store(true)
 	updates := make(chan update)
 	ended := make(chan error, 2)
@@ -259,8 +261,8 @@
 
 func (w *Watcher) apply(u update) {
 	if u.err != nil {
-		if !w.outage {
-			w.outage = true
+		if !w.storeOutage {
+			w.storeOutage = true
 			w.Log("event", "dependency-lost", "dependency", "store", "cause", u.err)
 		}
 		return
@@ -280,9 +282,9 @@
 			return
 		}
 		w.Log("event", "told", "by", u.peer, "revision", u.revision, "known", w.revision, "age-ms", u.age.Milliseconds(), "items", len(u.pairs))
-	} else if w.outage {
-		w.outage = false
-		w.restoredAt = now
+	} else if w.storeOutage {
+		w.storeOutage = false
+		w.outageEndedAt = now
 		w.Log("event", "dependency-regained", "dependency", "store")
 	}
 	changed := false
@@ -306,7 +308,7 @@
 	case p.Key == w.ConfigurationKey:
 		w.applyConfiguration(p)
 	case strings.HasPrefix(p.Key, w.OwnershipPrefix):
-		w.owned[p.Key] = p.Revision > 0
+		w.ownershipExists[p.Key] = p.Revision > 0
 		w.OnOwnership(p)
 	case strings.HasPrefix(p.Key, w.MemberPrefix):
 		return w.applyMember(p)
@@ -325,10 +327,10 @@
 		w.Log("event", "configuration-rejected", "revision", p.Revision, "cause", err)
 		return
 	}
-	if c.Version <= w.version {
+	if c.Version <= w.configurationVersion {
 		return
 	}
-	w.version = c.Version
+	w.configurationVersion = c.Version
 	w.Log("event", "configuration", "version", c.Version, "revision", p.Revision, "routes", len(c.Routes))
 	w.OnConfiguration(c)
 }
