--- a/internal/detector/slice.go
+++ b/internal/detector/slice.go
@@ -195,7 +195,7 @@
 	c.evidence = next.evidence
 	if c.evidence != EvidenceNone && !c.agreed && g.shouldAct(now) {
 		c.agreed = true
-		out = append(out, g.emit(g.agreedEvent(true)))
+		out = append(out, g.emit(g.failureAgreed(true)))
 	}
 	return out
 }
@@ -217,14 +217,15 @@
 	}
 	out := []controller.Action{g.emit(Suspected{Service: g.view.Service.Name, Member: c.member, Term: c.term})}
 	if c.agreed {
-		out = append(out, g.emit(g.agreedEvent(false)))
+		out = append(out, g.emit(g.failureAgreed(false)))
 	}
 	return out
 }
 
-func (g *group) agreedEvent(on bool) FailureAgreed {
+// failureAgreed returns the event for the start or end of an agreed failure.
+func (g *group) failureAgreed(active bool) FailureAgreed {
 	c := g.current
-	return FailureAgreed{Service: g.view.Service.Name, Member: c.member, Term: c.term, Active: on, Evidence: c.evidence}
+	return FailureAgreed{Service: g.view.Service.Name, Member: c.member, Term: c.term, Active: active, Evidence: c.evidence}
 }
 
 func (g *group) emit(e controller.Event) controller.Action { return controller.Emit{Event: e} }
--- a/internal/elector/decide_test.go
+++ b/internal/elector/decide_test.go
@@ -23,6 +23,7 @@
 	return elector.View{Now: now, Primary: "p", Members: []elector.Observation{member("p", true), member("q", false), member("r", false)}}
 }
 
+// silent returns a change that makes a member unresponsive for the given time.
 func silent(since time.Duration) func(*elector.Observation) {
 	return func(o *elector.Observation) { o.Answered, o.FailedSince = false, now-since }
 }
--- a/internal/elector/elector_test.go
+++ b/internal/elector/elector_test.go
@@ -54,6 +54,7 @@
 	return o != nil && o.Holds(0)
 }
 
+// runTwoInstances runs a scenario in virtual time with two instances that compete for the group.
 func runTwoInstances(t *testing.T, scenario func(t *testing.T, m *storer.Memory, a, b *testInstance)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/elector/furthest.go
+++ b/internal/elector/furthest.go
@@ -60,6 +60,7 @@
 	return nil
 }
 
+// pauseMember orders a member to stop receiving the log until the next term.
 func (sv *Supervisor) pauseMember(ctx context.Context, m *memberState, next uint64) error {
 	s, err := sv.command(ctx, m, messenger.Command{Kind: messenger.KindPause, Term: next})
 	if err != nil {
--- a/internal/elector/member_state.go
+++ b/internal/elector/member_state.go
@@ -149,6 +149,7 @@
 	return s, err
 }
 
+// send sends a command on the member's open connection.
 func (sv *Supervisor) send(m *memberState, c messenger.Command) (messenger.Status, error) {
 	replies, _, err := m.conn.Exchange([]messenger.Command{c}, time.Now().Add(requestTimeout))
 	if err != nil {
--- a/internal/elector/primary_change.go
+++ b/internal/elector/primary_change.go
@@ -288,7 +288,7 @@
 func (sv *Supervisor) sendPromotion(ctx context.Context, c *primaryChange) error {
 	sv.promotionOrderedAt, sv.promotionPending = sv.Clock(), true
 	err := sv.Promote(ctx, sv.Group.Name, c.candidate.ID, c.fencingToken)
-	sv.Log("event", "promotion-ordered", "group", sv.Group.Name, "member", c.candidate.ID, "term", c.term, "fence", c.fencingToken, "outcome", outcome(err))
+	sv.Log("event", "promotion-ordered", "group", sv.Group.Name, "member", c.candidate.ID, "term", c.term, "fence", c.fencingToken, "outcome", outcomeText(err))
 	if err != nil && !sv.Refused(err) {
 		sv.MarkPromotionUnanswered()
 	}
@@ -332,7 +332,7 @@
 	}
 	sv.fencedAt = sv.Clock()
 	err = sv.Promote(ctx, sv.Group.Name, p.ID, token)
-	sv.Log("event", "order-closed", "group", sv.Group.Name, "primary", p.ID, "fence", token, "outcome", outcome(err))
+	sv.Log("event", "order-closed", "group", sv.Group.Name, "primary", p.ID, "fence", token, "outcome", outcomeText(err))
 	if err == nil || sv.Refused(err) {
 		sv.promotionPending, sv.recordOutdated = false, true
 		return
@@ -348,7 +348,7 @@
 		return
 	}
 	s, err := sv.commandOnNewConnection(ctx, m, messenger.Command{Kind: messenger.KindResume})
-	sv.Log("event", "resumed", "group", sv.Group.Name, "member", id, "outcome", outcome(err))
+	sv.Log("event", "resumed", "group", sv.Group.Name, "member", id, "outcome", outcomeText(err))
 	if err != nil {
 		sv.resumePendingUntil[id] = sv.Clock() + lateCommandWindow
 		return
--- a/internal/elector/supervisor.go
+++ b/internal/elector/supervisor.go
@@ -153,7 +153,7 @@
 		sv.Log("event", "move-begins", "group", sv.Group.Name, "reason", d.Reason, "primary", v.Primary)
 		to, err := sv.changePrimary(ctx, v, d.Reason)
 		sv.Log("event", "move-ended", "group", sv.Group.Name, "reason", d.Reason, "from", v.Primary, "to", to,
-			"outcome", outcome(err), "ms", (sv.Clock() - start).Milliseconds())
+			"outcome", outcomeText(err), "ms", (sv.Clock() - start).Milliseconds())
 		if err != nil {
 			_ = sleeper.Sleep(ctx, retryDelay)
 		}
@@ -193,10 +193,11 @@
 	}
 	sv.recordedAt, sv.recordOutdated = now, false
 	_, err := sv.NextFencingToken(ctx, State{Members: addresses, PromotionPending: sv.promotionPending, Leader: sv.lastLeader})
-	sv.Log("event", "roster", "group", sv.Group.Name, "members", len(addresses), "outcome", outcome(err))
+	sv.Log("event", "roster", "group", sv.Group.Name, "members", len(addresses), "outcome", outcomeText(err))
 }
 
-func outcome(err error) string {
+// outcomeText returns the "outcome" of a log line: the error, or "done".
+func outcomeText(err error) string {
 	if err == nil {
 		return "done"
 	}
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -107,7 +107,7 @@
 		}
 		conn, err := fw.borrow(ctx, address, group, members, r)
 		if err == nil {
-			fw.rememberLender(conn.Member, address)
+			fw.recordLender(conn.Member, address)
 			fw.borrowed.Add(1)
 			return conn, nil
 		}
@@ -150,7 +150,7 @@
 	return list
 }
 
-func (fw *Forwarder) rememberLender(member, address string) {
+func (fw *Forwarder) recordLender(member, address string) {
 	fw.mutex.Lock()
 	defer fw.mutex.Unlock()
 	if fw.lastLender == nil {
@@ -162,6 +162,7 @@
 	}
 }
 
+// recordRefusal makes candidatePeers skip a peer for the members that it refused.
 func (fw *Forwarder) recordRefusal(address string, members []string, err error) {
 	fw.mutex.Lock()
 	defer fw.mutex.Unlock()
--- a/internal/lender/evict_test.go
+++ b/internal/lender/evict_test.go
@@ -26,6 +26,7 @@
 	return identifier.NewDirectory(list)
 }
 
+// name returns the name of customer n.
 func name(n int) string { return fmt.Sprint("c", n) }
 
 // runCustomerStatement runs a statement of a customer with a session value.
--- a/internal/lender/lender_test.go
+++ b/internal/lender/lender_test.go
@@ -133,7 +133,7 @@
 func TestSaturation(t *testing.T) {
 	runPools(t, 6, 1, func(t *testing.T, s *testGroup) {
 		served, refused := runCallers(t, s.pools[0], 40, 100*time.Millisecond, 5*time.Second)
-		must.Greater(t, 600, served) // at most 680: 3 connections, 22 ms per loan
+		must.Greater(t, 600, served) // close to the maximum for the connection limit
 		must.Greater(t, 0, refused)
 		begin := time.Now()
 		var waiting sync.WaitGroup
@@ -201,7 +201,7 @@
 		running.Wait()
 		t.Logf("served %d, opened %d", served, s.group.AcceptedConnections("g-1")-before)
 		must.Less(t, 150, s.group.AcceptedConnections("g-1")-before)
-		must.Greater(t, 600, served) // at most 750
+		must.Greater(t, 600, served)
 	})
 }
 
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -178,6 +178,7 @@
 	f.inFlight = append(f.inFlight, m)
 }
 
+// deliver processes the messages that have arrived.
 func (f *fleet) deliver() {
 	due := f.inFlight
 	f.inFlight = nil
--- a/internal/lister/slice.go
+++ b/internal/lister/slice.go
@@ -136,9 +136,9 @@
 		}
 		return s.updateView(now)
 	case PeerSeen:
-		return s.handleSeen(now, e.Instance)
+		return s.handlePeerSeen(now, e.Instance)
 	case PeerCalled:
-		return s.handleCalled(now, e)
+		return s.handlePeerCalled(now, e)
 	}
 	return nil
 }
@@ -174,7 +174,7 @@
 	return d*3/4 + time.Duration(s.Random.Int64N(int64(d)/2+1))
 }
 
-func (s *Slice) handleSeen(now time.Time, i Instance) []controller.Action {
+func (s *Slice) handlePeerSeen(now time.Time, i Instance) []controller.Action {
 	if i.Name == s.Self.Name || i.Address == "" {
 		return nil
 	}
@@ -188,7 +188,7 @@
 	return s.updateView(now)
 }
 
-func (s *Slice) handleCalled(now time.Time, e PeerCalled) []controller.Action {
+func (s *Slice) handlePeerCalled(now time.Time, e PeerCalled) []controller.Action {
 	u := s.unresponsive[e.Name]
 	if e.OK {
 		if u == nil {
@@ -263,6 +263,7 @@
 	return out
 }
 
+// scheduleUpdate schedules a recomputation of the view no later than at.
 func (s *Slice) scheduleUpdate(at time.Time) {
 	if s.nextExpiry.IsZero() || at.Before(s.nextExpiry) {
 		s.nextExpiry = at
--- a/internal/promoter/attempt.go
+++ b/internal/promoter/attempt.go
@@ -96,6 +96,7 @@
 	}
 }
 
+// orderAll returns an order of the attempt for each member.
 func (g *group) orderAll(kind OrderKind) []controller.Action {
 	var out []controller.Action
 	for i := range g.view.Members {
@@ -179,12 +180,13 @@
 	}
 	a.term = max(g.view.Term(), g.newestStoredTerm) + 1
 	g.enterStep(now, stepIntent)
-	return []controller.Action{controller.Emit{Event: g.beganEvent()}, RecordIntent{
+	return []controller.Action{controller.Emit{Event: g.startedEvent()}, RecordIntent{
 		Service: g.view.Service.Name, Attempt: a.id, Record: Record{Term: a.term, Owner: g.slice.Owner},
 	}}
 }
 
-func (g *group) beganEvent() PromotionStarted {
+// startedEvent returns the event for the start of the current attempt.
+func (g *group) startedEvent() PromotionStarted {
 	a := g.attempt
 	b := PromotionStarted{Service: g.view.Service.Name, Term: a.term, Planned: a.planned, Evidence: a.evidence}
 	if a.oldPrimary >= 0 {
@@ -204,6 +206,7 @@
 	return g.fenceOrDrain(now)
 }
 
+// fenceOrDrain continues after the intent: a planned change first drains the old primary.
 func (g *group) fenceOrDrain(now time.Time) []controller.Action {
 	if !g.attempt.planned {
 		return g.startFencing(now)
@@ -230,6 +233,7 @@
 	return out
 }
 
+// handleCatchUp starts fencing once a replica has caught up, and polls the replica again otherwise.
 func (g *group) handleCatchUp(now time.Time, i int, e OrderResult) []controller.Action {
 	a := g.attempt
 	if e.Err == nil && !g.leaving[e.Order.Member] && e.Status.Received.AtLeast(a.catchUpPosition) {
@@ -259,6 +263,7 @@
 	return []controller.Action{g.newOrder(OrderFence, a.firstFenced)}
 }
 
+// fenceOthers fences the members other than the first fenced one.
 func (g *group) fenceOthers() []controller.Action {
 	a := g.attempt
 	if a.fencingOthers {
@@ -311,10 +316,11 @@
 	case e.Err != nil: // may have taken effect, so the same order is repeated
 		return []controller.Action{g.newOrder(OrderPromote, a.chosen.member)}
 	}
-	return g.finish(now, i)
+	return g.finishPromotion(now, i)
 }
 
-func (g *group) finish(now time.Time, i int) []controller.Action {
+// finishPromotion ends the attempt after member i was promoted, and makes the others follow it.
+func (g *group) finishPromotion(now time.Time, i int) []controller.Action {
 	a := g.attempt
 	g.attempt, g.agreedFailure, g.startAt = nil, nil, time.Time{}
 	g.cooldownUntil = now.Add(g.cooldown(a.evidence))
--- a/internal/promoter/choose.go
+++ b/internal/promoter/choose.go
@@ -40,14 +40,15 @@
 	var best *candidate
 	for i := range fenced {
 		c := &fenced[i]
-		if c.status.Received.AtLeast(safe) && (best == nil || preferred(c, best)) {
+		if c.status.Received.AtLeast(safe) && (best == nil || ranksBefore(c, best)) {
 			best = c
 		}
 	}
 	return *best
 }
 
-func preferred(a, b *candidate) bool {
+// ranksBefore reports whether a is a better candidate than b.
+func ranksBefore(a, b *candidate) bool {
 	if a.avoided != b.avoided {
 		return b.avoided
 	}
--- a/internal/promoter/choose_test.go
+++ b/internal/promoter/choose_test.go
@@ -8,6 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
+// fenced returns fenced candidates by received position; avoided is the index of the primary to
+// avoid, or -1.
 func fenced(avoided int, received ...orderer.Position) []candidate {
 	var out []candidate
 	for i, p := range received {
--- a/internal/promoter/slice.go
+++ b/internal/promoter/slice.go
@@ -106,7 +106,7 @@
 		s.handleReport(now, e)
 	case detector.FailureAgreed:
 		if g := s.groups[e.Service]; g != nil {
-			g.handleAgreed(e)
+			g.handleFailureAgreed(e)
 			return g.step(now)
 		}
 	case drainer.TargetLeaving:
@@ -204,7 +204,7 @@
 	return h.Sum64()
 }
 
-func (g *group) handleAgreed(e detector.FailureAgreed) {
+func (g *group) handleFailureAgreed(e detector.FailureAgreed) {
 	if e.Active {
 		g.agreedFailure = &e
 	} else if g.agreedFailure != nil && g.agreedFailure.Term == e.Term && g.agreedFailure.Member == e.Member {
@@ -328,11 +328,13 @@
 	return k.Failures == 0 && !k.StatusAt.IsZero() && now.Sub(k.StatusAt) < maxStatusAge
 }
 
+// needsRepair reports whether member i does not follow primary p in the newest term.
 func (g *group) needsRepair(i, p int) bool {
 	s := g.view.Members[i].Status
 	return s.Term < g.view.Term() || s.Role != commander.RoleReplica || s.Following != g.view.Service.Members[p].Address
 }
 
+// followOrder returns the order for member i to follow primary p.
 func (g *group) followOrder(i, p int, term uint64) Order {
 	m := g.view.Service.Members[i]
 	return Order{
@@ -381,6 +383,7 @@
 	return out
 }
 
+// isCurrent reports whether an attempt is the running one.
 func (g *group) isCurrent(attempt uint64) bool { return g.attempt != nil && g.attempt.id == attempt }
 
 func isRefused(err error) bool { return errors.Is(err, commander.ErrRefused) }
--- a/internal/storer/client.go
+++ b/internal/storer/client.go
@@ -87,10 +87,11 @@
 	if err := c.call(ctx, PathRange, WireRange{Key: []byte(key)}, &a); err != nil {
 		return Pair{}, err
 	}
-	return firstPair(key, a.KVs), nil
+	return pairOrAbsent(key, a.KVs), nil
 }
 
-func firstPair(key string, kvs []WireKV) Pair {
+// pairOrAbsent returns the first pair of a response, or an absent one.
+func pairOrAbsent(key string, kvs []WireKV) Pair {
 	if len(kvs) == 0 {
 		return Pair{Key: key}
 	}
@@ -132,7 +133,7 @@
 	if len(a.Responses) == 0 || a.Responses[0].Range == nil {
 		return Pair{Key: p.Key}, false, nil
 	}
-	return firstPair(p.Key, a.Responses[0].Range.KVs), false, nil
+	return pairOrAbsent(p.Key, a.Responses[0].Range.KVs), false, nil
 }
 
 // Delete implements Store.
--- a/internal/storer/contract_test.go
+++ b/internal/storer/contract_test.go
@@ -65,9 +65,9 @@
 			time.Sleep(6 * time.Second)
 			must.NoError(t, s.KeepAlive(ctx, l))
 		}
-		mustHold(t, ctx, s, "a", true)
+		mustExist(t, ctx, s, "a", true)
 		time.Sleep(11 * time.Second)
-		mustHold(t, ctx, s, "a", false)
+		mustExist(t, ctx, s, "a", false)
 		must.ErrorIs(t, s.KeepAlive(ctx, l), storer.ErrLeaseExpired)
 	}},
 	{"revoked lease deletes its keys", func(t *testing.T, ctx context.Context, s storer.Store, _ *storer.Memory) {
@@ -76,7 +76,7 @@
 		_, _, err = s.Swap(ctx, storer.Pair{Key: "a", Value: []byte("1")}, l)
 		must.NoError(t, err)
 		must.NoError(t, s.Revoke(ctx, l))
-		mustHold(t, ctx, s, "a", false)
+		mustExist(t, ctx, s, "a", false)
 	}},
 	{"watch reports all changes since a revision in order", func(t *testing.T, ctx context.Context, s storer.Store, _ *storer.Memory) {
 		first := mustSwap(t, ctx, s, storer.Pair{Key: "b", Value: []byte("1")})
@@ -101,7 +101,7 @@
 		m.SetFaults(func(f *storer.Faults) { f.LoseResponses = 1 })
 		_, _, err := s.Swap(ctx, storer.Pair{Key: "a", Value: []byte("1")}, 0)
 		must.ErrorIs(t, err, storer.ErrUnavailable)
-		mustHold(t, ctx, s, "a", true)
+		mustExist(t, ctx, s, "a", true)
 	}},
 	{"calls and watches fail while the service is down", func(t *testing.T, ctx context.Context, s storer.Store, m *storer.Memory) {
 		done := make(chan error, 1)
@@ -125,7 +125,7 @@
 	return now
 }
 
-func mustHold(t *testing.T, ctx context.Context, s storer.Store, key string, want bool) {
+func mustExist(t *testing.T, ctx context.Context, s storer.Store, key string, want bool) {
 	t.Helper()
 	p, err := s.Get(ctx, key)
 	must.NoError(t, err)
--- a/internal/tracker/group.go
+++ b/internal/tracker/group.go
@@ -125,6 +125,7 @@
 	return g.observeRestarts(now)
 }
 
+// observeRestarts returns restartedAt, updated if a member has restarted; the mutex is held.
 func (g *Group) observeRestarts(now Timestamp) Timestamp {
 	if g.restarts != g.observedRestarts {
 		g.observedRestarts, g.restartedAt = g.restarts, now
--- a/internal/tracker/group_test.go
+++ b/internal/tracker/group_test.go
@@ -36,7 +36,7 @@
 	return g
 }
 
-func mustNeed(t *testing.T, g *tracker.Group, arrived tracker.Timestamp, r tracker.Route, f tracker.LastCommit, want orderer.Position) {
+func mustRequirePosition(t *testing.T, g *tracker.Group, arrived tracker.Timestamp, r tracker.Route, f tracker.LastCommit, want orderer.Position) {
 	t.Helper()
 	got, ok := g.RequiredPosition(arrived, r, f)
 	must.True(t, ok)
@@ -46,9 +46,9 @@
 // The required position is that of the oldest proof within the staleness bound.
 func TestRequiredPosition(t *testing.T) {
 	g := groupWithProofs(3000)
-	mustNeed(t, g, at(3000), bounded, tracker.LastCommit{}, pos(1, 1500))
-	mustNeed(t, g, at(3050), bounded, tracker.LastCommit{}, pos(1, 1600))
-	mustNeed(t, g, at(3000), readYourWrites, tracker.LastCommit{}, pos(1, 500))
+	mustRequirePosition(t, g, at(3000), bounded, tracker.LastCommit{}, pos(1, 1500))
+	mustRequirePosition(t, g, at(3050), bounded, tracker.LastCommit{}, pos(1, 1600))
+	mustRequirePosition(t, g, at(3000), readYourWrites, tracker.LastCommit{}, pos(1, 500))
 	_, ok := g.RequiredPosition(at(4501), bounded, tracker.LastCommit{})
 	must.False(t, ok)
 	_, ok = newGroup().RequiredPosition(at(0), bounded, tracker.LastCommit{})
@@ -60,12 +60,12 @@
 func TestRequiredPositionReadYourWrites(t *testing.T) {
 	g := groupWithProofs(3000)
 	commit := tracker.LastCommit{Position: pos(1, 2950), At: at(2960)}
-	mustNeed(t, g, at(3000), readYourWrites, commit, pos(1, 2950))
-	mustNeed(t, g, at(3000), bounded, commit, pos(1, 1500))
-	mustNeed(t, g, at(3000), readYourWrites, tracker.LastCommit{Position: pos(1, 300), At: at(310)}, pos(1, 500))
+	mustRequirePosition(t, g, at(3000), readYourWrites, commit, pos(1, 2950))
+	mustRequirePosition(t, g, at(3000), bounded, commit, pos(1, 1500))
+	mustRequirePosition(t, g, at(3000), readYourWrites, tracker.LastCommit{Position: pos(1, 300), At: at(310)}, pos(1, 500))
 	rolledBack := tracker.LastCommit{Position: pos(1, 3100), At: at(3010)}
 	g.AddProof(tracker.FreshnessProof{At: at(3100), Position: pos(1, 3020)})
-	mustNeed(t, g, at(3200), readYourWrites, rolledBack, pos(1, 3020))
+	mustRequirePosition(t, g, at(3200), readYourWrites, rolledBack, pos(1, 3020))
 }
 
 // The nearest replica is preferred. Lagging, failed, draining and slow members are ranked
@@ -91,7 +91,7 @@
 				g.RecordLag(at(ms), "q", need)
 			}
 		}
-		must.LessEq(t, 15, tries) // without backoff: 84
+		must.LessEq(t, 15, tries) // far fewer than without backoff
 		g.RecordResponse(at(5000), "q", time.Millisecond, need)
 		g.RecordLag(at(5000), "q", pos(1, 20))
 		must.SliceContains(t, g.ReadCandidates(at(5070), pos(1, 20)), "q")
--- a/internal/watcher/entries.go
+++ b/internal/watcher/entries.go
@@ -5,6 +5,7 @@
 	"github.com/oriolegw/oriolegw/internal/tracker"
 )
 
+// applyMember applies a changed member entry and reports whether the members changed.
 func (w *Watcher) applyMember(p storer.Pair) bool {
 	e := w.entries[p.Key]
 	if p.Revision == 0 {
@@ -105,7 +106,7 @@
 		}
 	}
 	if changed {
-		w.publish()
+		w.notifyMembers()
 	}
 }
 
@@ -118,6 +119,7 @@
 	return e.missingSince
 }
 
+// isMissing reports whether a deleted entry counts as missing now.
 func (w *Watcher) isMissing(e *entry) bool {
 	return w.storeReachable() && w.Clock() >= w.missingFrom(e)
 }
@@ -128,7 +130,8 @@
 	return !w.storeOutage || w.peerUpdateAt != 0 && w.Clock()-w.peerUpdateAt < peerUpdateLifetime
 }
 
-func (w *Watcher) publish() {
+// notifyMembers calls OnMembers with the current members.
+func (w *Watcher) notifyMembers() {
 	list := make([]tracker.Member, 0, len(w.entries))
 	for _, e := range w.entries {
 		m := e.Member
--- a/internal/watcher/peers.go
+++ b/internal/watcher/peers.go
@@ -99,7 +99,7 @@
 		switch {
 		case p.Revision == 0:
 			w.recordDeletion(p.Key, u.revision)
-		case w.watches(p.Key):
+		case w.isWatchedKey(p.Key):
 			w.pairs[p.Key] = p
 		}
 	}
@@ -157,7 +157,7 @@
 	return pairs, true
 }
 
-func (w *Watcher) watches(key string) bool {
+func (w *Watcher) isWatchedKey(key string) bool {
 	return key == w.ConfigurationKey || strings.HasPrefix(key, w.MemberPrefix) || strings.HasPrefix(key, w.OwnershipPrefix) ||
 		w.OnInstance != nil && strings.HasPrefix(key, w.InstancePrefix)
 }
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -259,6 +259,7 @@
 	return time.Duration(batchDelayFraction * float64(w.MaxPropagationDelay))
 }
 
+// apply applies an update of the store or a peer and calls the callbacks.
 func (w *Watcher) apply(u update) {
 	if u.err != nil {
 		if !w.storeOutage {
@@ -297,7 +298,7 @@
 		changed = w.applySnapshotDeletions(seen) || changed
 	}
 	if changed || u.snapshot {
-		w.publish()
+		w.notifyMembers()
 	}
 	w.updateState(u)
 }
