--- a/internal/elector/decide.go
+++ b/internal/elector/decide.go
@@ -100,13 +100,15 @@
 
 // The reasons to replace the primary.
 const (
-	ReasonNone               Reason = ""
-	ReasonRefused            Reason = "primary-refuses-connections"
-	ReasonSilent             Reason = "primary-silent"
-	ReasonLeaving            Reason = "primary-leaving"
+	ReasonNone    Reason = ""
+	ReasonRefused Reason = "primary-refuses-connections"
+	ReasonSilent  Reason = "primary-silent"
+	ReasonLeaving Reason = "primary-leaving"
+	// ReasonReplicationStalled means that no replica follows the primary.
 	ReasonReplicationStalled Reason = "replicas-standing-still"
-	ReasonLeaderless         Reason = "nobody-leads"
-	ReasonOverloaded         Reason = "primary-overloaded"
+	// ReasonLeaderless means that the group has no primary.
+	ReasonLeaderless Reason = "nobody-leads"
+	ReasonOverloaded Reason = "primary-overloaded"
 )
 
 // primaryAlive reports whether the replaced primary still works.
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -28,7 +28,8 @@
 	// remoteConn is a target connection reached through a peer. It implements net.Conn for one
 	// user at a time.
 	remoteConn struct {
-		peer   *peerStream
+		peer *peerStream
+		// unread is received data that Read has not returned yet.
 		unread []byte
 
 		mutex    sync.Mutex
--- a/internal/lender/pool.go
+++ b/internal/lender/pool.go
@@ -132,8 +132,9 @@
 		// startTime identifies the incarnation of the member that the other fields describe.
 		startTime int64
 		idle      []*Conn
-		open      int
-		opening   int
+		// open counts the connections, idle or lent; opening counts running openings.
+		open    int
+		opening int
 		// lentByCustomer and openingByCustomer count a customer's lent connections and those being
 		// opened.
 		lentByCustomer, openingByCustomer map[string]int
@@ -166,6 +167,7 @@
 	// waiter is a request that waits for a connection.
 	waiter struct {
 		Request
+		// local receives one of this instance's connections.
 		local   chan *Conn
 		arrived time.Time
 		// customerPriority is the customer's priority, virtualStart its start in the fair queue.
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -98,7 +98,8 @@
 	// Tolerance is how far a customer may exceed its limit in a window because of distributed
 	// counting.
 	Tolerance struct {
-		Window         time.Duration
+		Window time.Duration
+		// Overage is a fraction of the limit in a window, Slack a number of operations.
 		Overage, Slack float64
 	}
 
--- a/internal/lister/slice.go
+++ b/internal/lister/slice.go
@@ -42,10 +42,12 @@
 		Self   Instance
 		Random *rand.Rand
 
-		reading      bool
-		nextRead     time.Time
-		failures     int
-		listed       map[string]Instance
+		// reading is set while a Read is in progress.
+		reading  bool
+		nextRead time.Time
+		failures int
+		listed   map[string]Instance
+		// contacted and unresponsive hold peers by name.
 		contacted    map[string]contacted
 		unresponsive map[string]*unresponsive
 		view         []Instance
--- a/internal/promoter/attempt.go
+++ b/internal/promoter/attempt.go
@@ -68,7 +68,7 @@
 		firstFenced     int  // the member fenced first, or -1
 		fencingOthers   bool // set once the others have been ordered
 		fenced          []candidate
-		fenceFailures   int
+		fenceFailures   int       // failed fence orders
 		majorityAt      time.Time // when a quorum was fenced
 		chosen          candidate
 	}
--- a/internal/promoter/performer.go
+++ b/internal/promoter/performer.go
@@ -27,6 +27,7 @@
 		Store     storer.Store
 	}
 
+	// wireRecord is the stored form of Record.
 	wireRecord struct {
 		Term    uint64 `json:"term"`
 		Owner   string `json:"owner"`
--- a/internal/promoter/promoter.go
+++ b/internal/promoter/promoter.go
@@ -20,10 +20,16 @@
 
 // The kinds of orders to a member.
 const (
+	// OrderStatus requests the member's status.
 	OrderStatus OrderKind = iota
+	// OrderFence moves the member to a new term, in which it rejects older primaries.
 	OrderFence
+	// OrderDrain fences the primary once its open transactions have ended or Order.DrainTimeout
+	// has passed.
 	OrderDrain
+	// OrderPromote makes the member the primary of the term.
 	OrderPromote
+	// OrderFollow makes the member replicate from a primary.
 	OrderFollow
 )
 
@@ -149,10 +155,13 @@
 const (
 	AbandonPrimaryAlive AbandonReason = "primary-answered"
 	AbandonNoMajority   AbandonReason = "no-majority"
-	AbandonNewerTerm    AbandonReason = "newer-term"
-	AbandonIntentTaken  AbandonReason = "intent-taken"
-	AbandonNoAnswer     AbandonReason = "no-answer-to-promote"
-	AbandonReasonEnded  AbandonReason = "reason-ended"
+	// AbandonNewerTerm means that a member is in a newer term.
+	AbandonNewerTerm   AbandonReason = "newer-term"
+	AbandonIntentTaken AbandonReason = "intent-taken"
+	// AbandonNoAnswer means that a required member did not respond in time.
+	AbandonNoAnswer AbandonReason = "no-answer-to-promote"
+	// AbandonReasonEnded means that the reason for the change no longer applies.
+	AbandonReasonEnded AbandonReason = "reason-ended"
 )
 
 // ActionName implements controller.Action.
--- a/internal/promoter/slice.go
+++ b/internal/promoter/slice.go
@@ -74,7 +74,8 @@
 		slice         *Slice
 		view          *detector.View
 		agreedFailure *detector.FailureAgreed
-		leaving       map[string]bool
+		// leaving lists the members that announced their shutdown.
+		leaving map[string]bool
 		// peers are the other instances that monitor the group, by name.
 		peers map[string]peer
 		// newestStoredTerm is the newest term seen in the store.
--- a/internal/storer/memory.go
+++ b/internal/storer/memory.go
@@ -42,6 +42,7 @@
 		lease Lease
 	}
 
+	// leaseState is the TTL and expiry of a lease.
 	leaseState struct {
 		ttl       time.Duration
 		expiresAt time.Time
--- a/internal/tracker/group.go
+++ b/internal/tracker/group.go
@@ -67,10 +67,11 @@
 		// missingPosition is a position that the member's log had not reached at missingAt.
 		missingPosition orderer.Position
 		missingAt       Timestamp
-		lagBackoff      time.Duration
-		failedAt        Timestamp
-		failed          bool
-		latency         time.Duration
+		// lagBackoff is how long after missingAt the member is not tried for missingPosition.
+		lagBackoff time.Duration
+		failedAt   Timestamp
+		failed     bool
+		latency    time.Duration
 		// baselineLatency approximates the latency without queueing at the member.
 		baselineLatency time.Duration
 		sampledAt       Timestamp
@@ -299,6 +300,7 @@
 func (g *Group) ReadCandidates(now Timestamp, need orderer.Position) []string {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
+	// candidate is a member that may serve a read.
 	type candidate struct {
 		id              string
 		expectedLatency time.Duration
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -111,8 +111,10 @@
 		entries              map[string]*entry
 		// ownershipExists reports, by key, whether an ownership record exists.
 		ownershipExists map[string]bool
-		storeOutage     bool
-		outageEndedAt   tracker.Timestamp
+		// storeOutage is set while reads of the store fail, outageEndedAt is when the last outage
+		// ended.
+		storeOutage   bool
+		outageEndedAt tracker.Timestamp
 		// storeSeenAt is when the store last answered. changedSince is the earliest time at
 		// which the changes of the current update may have happened.
 		storeSeenAt, changedSince tracker.Timestamp
