--- a/internal/admitter/gate.go
+++ b/internal/admitter/gate.go
@@ -61,7 +61,7 @@
 	g.notify(g.queue.Resize(g.Pool.Capacity()))
 }
 
-// UpdateCapacity applies a change of the number of connections that the pool can lend.
+// UpdateCapacity applies a change of the number of connections that the pool can check out.
 func (g *Gate) UpdateCapacity() {
 	n := g.Pool.Capacity()
 	g.mutex.Lock()
@@ -76,7 +76,7 @@
 	return g.queue.Waiting()
 }
 
-// Borrow waits until the request is admitted and lends it a connection. The error is a
+// Borrow waits until the request is admitted and checks out a connection. The error is a
 // *refuser.Refusal if the request was refused, or an error of the pool.
 func (g *Gate) Borrow(ctx context.Context, r ConnectionRequest) (*pooler.Conn, error) {
 	id, err := g.awaitAdmission(ctx, r)
--- a/internal/admitter/limit.go
+++ b/internal/admitter/limit.go
@@ -33,7 +33,7 @@
 // it was reached, and falls by a factor when a window's median latency is above the
 // baseline. The median ignores single slow requests.
 type Limit struct {
-	// Ceiling is the largest limit: the number of connections that the pool can lend.
+	// Ceiling is the largest limit: the number of connections that the pool can check out.
 	Ceiling int
 
 	limit       float64
--- a/internal/admitter/queue.go
+++ b/internal/admitter/queue.go
@@ -30,9 +30,9 @@
 	// Queue is the admission queue of one group on one instance. Among customers it is
 	// start-time fair queuing by connection time over share, so that a customer's backlog
 	// delays only its own requests, and it is work-conserving: unused shares are used by
-	// others. Within a customer, the classes are chosen by the same rule.
+	// others. Within a customer, the same rule applies to the classes.
 	Queue struct {
-		// Capacity is the number of connections that can be lent at once.
+		// Capacity is the number of connections that can be checked out at once.
 		Capacity int
 		// Random adds jitter to retry hints, so that refused callers don't return as one burst.
 		Random *rand.Rand
@@ -49,18 +49,20 @@
 		costEstimates  [classes]time.Duration
 	}
 
+	// customer is the scheduling state of one customer.
 	customer struct {
 		scheduler.Flow
 		name  string
 		share float64
-		// virtualTime is that of the class queues: a class that was idle starts there, with no
-		// claim on the time that it did not use.
+		// virtualTime is the virtual time of the class queues. A class that was idle starts
+		// there, without credit for the time that it did not use.
 		virtualTime  float64
 		classQueues  [classes]classQueue
 		queued       int
 		runningCount int
 	}
 
+	// classQueue holds a customer's waiting requests of one class.
 	classQueue struct {
 		virtualFinish float64
 		requests      []waitingRequest
@@ -174,7 +176,7 @@
 	return false
 }
 
-// Resize sets the number of connections that can be lent.
+// Resize sets the number of connections that can be checked out at once.
 func (q *Queue) Resize(capacity int) []Decision {
 	q.createMaps()
 	q.Capacity = capacity
@@ -290,7 +292,7 @@
 }
 
 // admitsTransaction reports whether another transaction may run, keeping part of the
-// connections for short requests. A single connection is lent to either.
+// connections for short requests. A single connection serves either kind.
 func (q *Queue) admitsTransaction() bool {
 	return q.runningByClass[ClassTransaction] < max(1, q.Capacity/transactionDivisor)
 }
--- a/internal/admitter/queue_test.go
+++ b/internal/admitter/queue_test.go
@@ -28,7 +28,7 @@
 // at most one running request.
 func TestOverloadingCustomerDoesNotDelayOthers(t *testing.T) {
 	s := newSimulation(4, 4, 5*ms)
-	s.submitPeriodically(0, 5*time.Second, 250*time.Microsecond, "large", admitter.ClassRead) // 4000/s against 800/s
+	s.submitPeriodically(0, 5*time.Second, 250*time.Microsecond, "large", admitter.ClassRead) // five times the capacity
 	s.submitPeriodically(0, 5*time.Second, 20*ms, "small", admitter.ClassRead)
 	s.submitPeriodically(0, 5*time.Second, 30*ms, "tiny", admitter.ClassWrite)
 	s.run(8 * time.Second)
@@ -41,7 +41,8 @@
 	mustRetryAfterInRange(t, s.results["large"])
 }
 
-// Customers with shares 3 and 1 get connection time 3 to 1, whatever their requests' durations.
+// Customers with shares 3 and 1 get connection time in the ratio 3 to 1, regardless of their
+// requests' durations.
 func TestSharesDivideConnectionTime(t *testing.T) {
 	s := newSimulation(4, 4, 5*ms)
 	s.queue.SetShares(map[string]int{"three": 3, "one": 1})
--- a/internal/allocator/allocator.go
+++ b/internal/allocator/allocator.go
@@ -3,7 +3,7 @@
 //
 // The shares of a group are one value in the store (Ledger), changed by compare-and-swap.
 // An instance lowers its pool's limit before its share, and raises its share before its
-// pool's limit. While the store is down, all instances keep their shares. To take back the
+// pool's limit. While the store is down, all instances keep their shares. To reclaim the
 // share of a dead instance, its connections are closed and refused at every member before
 // it is removed from the ledger. Safety thus doesn't depend on clocks or leases: an instance
 // that was only paused finds its connections closed and gets a new share.
@@ -43,8 +43,8 @@
 	missingCheckInterval = 4 * time.Second
 	// maxConflictBackoff is the longest random delay before a conflicting write is retried.
 	maxConflictBackoff = 200 * time.Millisecond
-	// missingTimeout is how long a process must have been missing before its share is taken
-	// back. After an outage of the store all leases have expired, and live instances need
+	// missingTimeout is how long a process must have been missing before its share is
+	// reclaimed. After an outage of the store all leases have expired, and live instances need
 	// keepAliveInterval to register again.
 	missingTimeout = 20 * time.Second
 	// idleTimeout is how long a connection must be unused before it is returned. It is
@@ -80,11 +80,11 @@
 		application  string
 		ledger       Ledger
 		revision     int64
-		ledgerKnown  bool // the ledger has been read
+		ledgerKnown  bool
 		knownSince   time.Time
-		callInFlight bool // a call is in flight
+		callInFlight bool
 		nextRead     time.Time
-		poolShare    pooler.Share // what the pool was last set to
+		poolShare    pooler.Share // last set on the pool
 		// reduction is set from when the pool's limit is lowered until the ledger has a
 		// revision that shows the outcome.
 		reduction   *reduction
@@ -95,9 +95,10 @@
 		evicting    bool
 	}
 
+	// reduction is a decrease of this instance's share that is not yet complete.
 	reduction struct {
 		to       int
-		revision int64 // the ledger's when the write was sent; 0 before it
+		revision int64 // of the ledger when the write was sent; 0 before the write
 	}
 )
 
@@ -245,8 +246,8 @@
 	return append(out, s.adjustShare(now, name, v)...)
 }
 
-// setPoolLimit sets the pool's share. Shares are numbered, so that the pool can tell which of
-// two is newer.
+// setPoolLimit sets the pool's share. Shares are numbered, so that the pool can ignore an
+// outdated one.
 func (s *Slice) setPoolLimit(name string, v *service, connections int) []controller.Action {
 	if v.poolShare.Version > 0 && v.poolShare.Connections == connections && v.poolShare.Application == v.application {
 		return nil
--- a/internal/allocator/allocator_test.go
+++ b/internal/allocator/allocator_test.go
@@ -151,7 +151,7 @@
 	must.NotEq(t, old, w.ledger.Holders[0].Application)
 }
 
-// The share of an earlier process of the same instance is taken back without waiting for its
+// The share of an earlier process of the same instance is reclaimed without waiting for its
 // lease.
 func TestPredecessorIsEvictedAtOnce(t *testing.T) {
 	f := newFixture()
--- a/internal/allocator/decide.go
+++ b/internal/allocator/decide.go
@@ -25,13 +25,14 @@
 }
 
 // desiredConnections returns how many connections this instance should hold.
-// Without load that is one per member and a spare, at most the fair part: the budget divided
-// by one more than the holders, which leaves a part free for the next instance. Under load an
-// instance takes half of what is free beyond that part, and returns it when the part is
-// needed. Connections unused for idleTimeout are returned in any case.
+// Without load it is one per member plus a spare, at most the fair share: the budget divided by
+// one more than the holders, which leaves a share for the next instance. Under load it grows
+// to the fair share and, by half of the free connections in excess of a fair share, beyond it;
+// it shrinks again when less than a fair share is free. Connections unused for idleTimeout are
+// released in any case.
 func desiredConnections(p shareState) int {
-	fair := max(1, p.Budget/(p.Holders+1))
-	base := min(p.Members+1, fair)
+	fairShare := max(1, p.Budget/(p.Holders+1))
+	base := min(p.Members+1, fairShare)
 	if !p.Settled {
 		base = min(base, max(1, p.Budget/(assumedHolders+1)))
 	}
@@ -39,12 +40,12 @@
 	switch {
 	case p.Own < base:
 		want = base
-	case p.RequestsWaiting && p.Own < fair:
-		want = fair
-	case p.RequestsWaiting && p.Free > fair:
-		want = p.Own + (p.Free-fair+1)/2
-	case p.Own > fair && p.Free < fair:
-		want = max(fair, p.Own-(fair-p.Free))
+	case p.RequestsWaiting && p.Own < fairShare:
+		want = fairShare
+	case p.RequestsWaiting && p.Free > fairShare:
+		want = p.Own + (p.Free-fairShare+1)/2
+	case p.Own > fairShare && p.Free < fairShare:
+		want = max(fairShare, p.Own-(fairShare-p.Free))
 	case !p.RequestsWaiting && p.PeakComplete && p.Own > max(base, p.Peak):
 		want = max(base, p.Peak)
 	}
--- a/internal/allocator/ledger.go
+++ b/internal/allocator/ledger.go
@@ -89,7 +89,7 @@
 	return text
 }
 
-// decodeLedger decodes a ledger; no text is an empty one.
+// decodeLedger decodes a ledger. An empty text yields an empty ledger.
 func decodeLedger(text []byte) (Ledger, error) {
 	var l Ledger
 	if len(text) == 0 {
--- a/internal/dispatcher/reasons.go
+++ b/internal/dispatcher/reasons.go
@@ -6,7 +6,7 @@
 	"github.com/oriolegw/oriolegw/internal/messenger"
 )
 
-// Reason is the stable name of why a statement was refused or retried. It appears in logs,
+// Reason is the stable name of the cause of a refusal or retry. It appears in logs,
 // metrics and replies to callers.
 type Reason string
 
--- a/internal/dispatcher/session.go
+++ b/internal/dispatcher/session.go
@@ -82,8 +82,8 @@
 	c := s.server.Configuration()
 	if c == nil {
 		// The time without a configuration so far is the estimate of how long it will last.
-		again := min(max(time.Since(s.server.started), minRetryAfter), maxRetryAfter)
-		s.replyStart(s.refuse("session", "", messenger.CodeBusy, ReasonNoConfiguration, retryDetail(ReasonNoConfiguration, again)))
+		retryAfter := min(max(time.Since(s.server.started), minRetryAfter), maxRetryAfter)
+		s.replyStart(s.refuse("session", "", messenger.CodeBusy, ReasonNoConfiguration, retryDetail(ReasonNoConfiguration, retryAfter)))
 		return false
 	}
 	if _, reply, ok := s.authorize("session", ""); !ok {
@@ -111,9 +111,9 @@
 	return s.refuse("statement", q.ID, messenger.CodeMalformed, reasonForCode(messenger.CodeMalformed), detail)
 }
 
-// retryDetail says that nothing has run, and when to retry.
-func retryDetail(reason Reason, again time.Duration) string {
-	return fmt.Sprintf("%s, not run, retry in %d ms", reason, again.Milliseconds())
+// retryDetail returns the text of a refusal: nothing has run, and when to retry.
+func retryDetail(reason Reason, retryAfter time.Duration) string {
+	return fmt.Sprintf("%s, not run, retry in %d ms", reason, retryAfter.Milliseconds())
 }
 
 // nextStatement reads the next statement. It is false when the session ends: the caller
@@ -142,12 +142,12 @@
 // logDisconnect logs how a caller disconnected, except for a regular close outside a
 // transaction.
 func (s *session) logDisconnect(err error) {
-	cut := !errors.Is(err, io.EOF)
-	if !cut && s.state == messenger.StateIdle {
+	broken := !errors.Is(err, io.EOF)
+	if !broken && s.state == messenger.StateIdle {
 		return
 	}
 	outcome := "caller-left-in-transaction"
-	if cut {
+	if broken {
 		outcome = "caller-cut"
 		s.server.count(CountDisconnected)
 	}
--- a/internal/dispatcher/transaction.go
+++ b/internal/dispatcher/transaction.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// finishTransaction closes the transaction, whatever its outcome.
+// finishTransaction closes the transaction, regardless of its outcome.
 func (s *session) finishTransaction(r messenger.Reply) messenger.Reply {
 	s.endTransaction()
 	s.state = messenger.StateIdle
--- a/internal/gossiper/exchange.go
+++ b/internal/gossiper/exchange.go
@@ -49,7 +49,7 @@
 // duePeers returns the peers that are due, the most overdue first.
 func (s *Slice) duePeers(now time.Time) []*peer {
 	var out []*peer
-	for _, p := range s.targets {
+	for _, p := range s.polledPeers {
 		if !p.inFlight && !now.Before(p.due) {
 			out = append(out, p)
 		}
@@ -83,7 +83,7 @@
 	}}
 }
 
-// repair exchanges with a random peer, to learn its version.
+// repair starts an exchange with a random peer, to compare configuration versions.
 func (s *Slice) repair(now time.Time) []controller.Action {
 	if now.Before(s.nextRepair) || len(s.members) < 2 {
 		return nil
--- a/internal/gossiper/planner.go
+++ b/internal/gossiper/planner.go
@@ -71,7 +71,7 @@
 
 func (s *Slice) setPeers(shards map[string]map[uint32]bool, intervals map[string]time.Duration) {
 	old := s.peers
-	s.peers, s.targets = map[string]*peer{}, nil
+	s.peers, s.polledPeers = map[string]*peer{}, nil
 	for _, i := range s.members {
 		if i.Name == s.Self.Name {
 			continue
@@ -96,7 +96,7 @@
 		p.shards, p.interval = list, intervals[i.Name]
 		s.peers[i.Name] = p
 		if len(list) > 0 {
-			s.targets = append(s.targets, p)
+			s.polledPeers = append(s.polledPeers, p)
 		}
 	}
 }
--- a/internal/gossiper/slice.go
+++ b/internal/gossiper/slice.go
@@ -35,8 +35,8 @@
 	// peersPerZone is how many observers per other zone an observer polls, so that the failure
 	// of one doesn't lose its zone's vote on a suspicion.
 	peersPerZone = 2
-	// announceFanOut is how many peers receive an announcement. Each that did not know it
-	// forwards it to as many; repair reaches the rest.
+	// announceFanOut is how many peers receive an announcement. A peer to which it is
+	// new forwards it to as many; repair reaches the others.
 	announceFanOut = 4
 
 	// maxDocuments is how many versions of the document are kept to decode the reports of peers
@@ -80,8 +80,8 @@
 		suspected map[[2]string]bool
 
 		peers map[string]*peer
-		// targets are the peers to exchange with periodically.
-		targets           []*peer
+		// polledPeers are the peers to exchange with periodically.
+		polledPeers       []*peer
 		newestObservation map[[2]string]time.Time
 		byteBudget        float64
 		lastTick          time.Time
--- a/internal/launcher/launcher_test.go
+++ b/internal/launcher/launcher_test.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// entryRefreshPolls is the number of polls of the group, 20 ms each, after which the
-// members' entries are restored if another writer has changed them.
+// entryRefreshPolls is the number of polls of the group after which the members' entries are
+// restored if another writer has changed them.
 const entryRefreshPolls = 60
 
 // refreshEntries reads the current entries under the members' keys.
@@ -222,7 +222,7 @@
 	return i
 }
 
-// loadSettings returns nextSettings; nil stands for invalid settings.
+// loadSettings returns nextSettings; nil simulates invalid settings.
 func (i *instance) loadSettings() (*loader.EdgeSettings, error) {
 	if s := i.nextSettings.Load(); s != nil {
 		return s, nil
--- a/internal/pooler/closing.go
+++ b/internal/pooler/closing.go
@@ -16,8 +16,8 @@
 	// stuckAfter is how long a target may take to end a session before its slot no longer
 	// counts as available.
 	stuckAfter = 500 * time.Millisecond
-	// terminateAfter is when a target is asked, on a new connection, to terminate a session
-	// that it has not ended; terminateInterval is how often.
+	// terminateAfter is the time after which a closed session that the target has not ended
+	// is terminated over a new connection; terminateInterval is the interval of attempts.
 	terminateAfter    = time.Second
 	terminateInterval = time.Second
 )
--- a/internal/pooler/control.go
+++ b/internal/pooler/control.go
@@ -172,7 +172,7 @@
 	return n
 }
 
-// handToControl gives a returned connection to a control statement that waits for its target.
+// handToControl passes a returned connection to a control statement that waits for its target.
 // Otherwise control statements would starve while all connections are busy, and replica
 // positions would become stale.
 func (p *Pool) handToControl(c *Conn) bool {
--- a/internal/pooler/maintenance.go
+++ b/internal/pooler/maintenance.go
@@ -8,10 +8,10 @@
 
 const (
 	maintainInterval = 100 * time.Millisecond
-	// maxIdleTime closes unused connections to endpoints that are not wanted.
+	// maxIdleTime is the idle time after which connections to unwanted endpoints are closed.
 	maxIdleTime = time.Minute
 	// maxAge limits a connection's age, since a target's memory for a session grows. maxAgeStep
-	// staggers the ends.
+	// staggers the limit by connection.
 	maxAge     = 30 * time.Minute
 	maxAgeStep = 10 * time.Second
 )
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -315,7 +315,7 @@
 	p.notifyChanged()
 }
 
-// Return gives a connection back; broken ones are closed.
+// Return returns a connection to the pool, which closes it if it is broken.
 func (p *Pool) Return(c *Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/ranker/ranker.go
+++ b/internal/ranker/ranker.go
@@ -1,5 +1,5 @@
-// Package ranker orders instances for a key by rendezvous hashing: instances that know the
-// same list agree on the order without communication.
+// Package ranker orders instances for a key by rendezvous hashing: instances with the same list
+// compute the same order without communication.
 package ranker
 
 import (
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -24,7 +24,7 @@
 	maxBeginAge = time.Second
 )
 
-// attempt is the state of a request while targets are tried.
+// attempt is the state of one request over all its attempts at targets.
 type attempt struct {
 	session       *Session
 	request       *request
--- a/internal/relayer/exchange.go
+++ b/internal/relayer/exchange.go
@@ -83,8 +83,8 @@
 )
 
 const (
-	// maxConnStatements limits the prepared statements per connection, since each takes about
-	// 10 KB of the target's memory. Clients share statements of equal text.
+	// maxConnStatements limits the prepared statements per connection, since each takes
+	// memory at the target. Clients share statements of equal text.
 	maxConnStatements = 500
 	// writeTimeout bounds sending a request to a target that does not read.
 	writeTimeout = 10 * time.Second
--- a/internal/retrier/retrier.go
+++ b/internal/retrier/retrier.go
@@ -5,11 +5,11 @@
 
 const (
 	// DefaultRatio is the number of retries that each first attempt allows. It bounds the
-	// extra load on a target that fails everything to 10%.
+	// additional load on a target on which all requests fail.
 	DefaultRatio = 0.1
 	// DefaultReserve is the number of retries that an instance may make beyond that, so
-	// that a group with little traffic gets its requests in flight retried when a target
-	// is lost.
+	// that requests in flight are retried when a target of a group with little traffic
+	// fails.
 	DefaultReserve = 12
 )
 
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// While every request fails, retries add about a tenth to the load, however long it lasts.
+// While every request fails, retries increase the load by at most about DefaultRatio.
 func TestRetryRatioIsBounded(t *testing.T) {
 	b := &retrier.Budget{}
 	retries := 0
--- a/internal/router/decision_log.go
+++ b/internal/router/decision_log.go
@@ -32,7 +32,7 @@
 	}
 )
 
-// decisionLogCapacity is the number of decisions kept, about 40 KB.
+// decisionLogCapacity bounds the memory of a DecisionLog.
 const decisionLogCapacity = 256
 
 // Add records a decision, overwriting the oldest.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -145,9 +145,9 @@
 // instance from alternating between replicas and reopening connections.
 func (r Request) memberAt(k, members int) int { return PreferredMember(r.PreferenceSeed, k, members) }
 
-// PreferredMember returns the member at index k of an instance's order. Instances differ in both the
-// start and the direction: with the start alone, the member behind the primary would be the
-// first replica for two thirds of them.
+// PreferredMember returns the member at index k of an instance's order. Instances differ in both
+// the start and the direction of the order: if only the start differed, most instances would
+// prefer the same replica, the member after the primary.
 func PreferredMember(seed uint64, k, members int) int {
 	n := uint64(members)
 	first := int(seed % n)
--- a/internal/summarizer/page.go
+++ b/internal/summarizer/page.go
@@ -26,7 +26,7 @@
 const (
 	plotWidth, plotHeight = 24 * vg.Centimeter, 8 * vg.Centimeter
 	timeFormat            = "15:04:05.000"
-	// maxCauseRows bounds the table of causes; the rest are rare ones.
+	// maxCauseRows bounds the table of causes, which omits the rarest.
 	maxCauseRows = 60
 )
 
--- a/internal/summarizer/summarizer.go
+++ b/internal/summarizer/summarizer.go
@@ -16,7 +16,8 @@
 )
 
 const (
-	// maxLatencyMillis is the largest value that histograms record; statements end sooner.
+	// maxLatencyMillis is the largest value that histograms record. Statements time out
+	// earlier.
 	maxLatencyMillis = 60_000
 	// histogramDigits is the number of significant digits in histograms.
 	histogramDigits = 2
@@ -28,7 +29,7 @@
 	// Report is the summary of a log.
 	Report struct {
 		From, To time.Time
-		// Failures counts the statements that failed for good, by second since From.
+		// Failures counts the statements that ended in failure, by second since From.
 		Failures map[int]int
 		// Series holds event counts by name and second since From.
 		Series map[string]map[int]int
