--- a/cmd/oriolegw-fleet/faults.go
+++ b/cmd/oriolegw-fleet/faults.go
@@ -90,12 +90,12 @@
 			time.Sleep(recoveryTime)
 		}
 	}
-	return d.stopEntries()
+	return d.stopInstances()
 }
 
-// stopEntries shuts down one instance gracefully and kills another. Sessions
+// stopInstances shuts down one instance gracefully and kills another. Sessions
 // continue on the remaining one.
-func (d *demonstration) stopEntries() error {
+func (d *demonstration) stopInstances() error {
 	leaving, crashing := &d.fleet.Instances[2], &d.fleet.Instances[1]
 	fmt.Printf("%s: graceful shutdown\n", leaving.Name)
 	if err := d.fleet.Terminate(leaving); err != nil {
--- a/internal/acceptor/limiter.go
+++ b/internal/acceptor/limiter.go
@@ -18,7 +18,8 @@
 	// dropped when its start-up has ended.
 	workLimiter chan struct{}
 
-	// signer signs for one start-up, within the limit of startUpWork.
+	// signer is the private key for the TLS handshake of one start-up. Signing is limited by
+	// startUpWork.
 	signer struct {
 		crypto.Signer
 		ctx context.Context
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -79,7 +79,7 @@
 	SourceOperator Source = "operator"
 )
 
-// peerSignalTTL limits how long a peer's signal counts, since a peer that died cannot
+// peerSignalTTL limits how long a peer's signal counts, since a crashed peer cannot
 // withdraw it. By then every instance has read the instance list and the configuration.
 const peerSignalTTL = 10 * time.Minute
 
--- a/internal/loader/edge.go
+++ b/internal/loader/edge.go
@@ -26,8 +26,8 @@
 	// StoreAddress and PromotionAddress are the addresses of the platform's key-value store and
 	// promotion service. An empty PromotionAddress disables failover.
 	StoreAddress, PromotionAddress string
-	// Cores is the CPU quota in cores; 0 if unknown. Instances with more cores take more of
-	// the work that a few instances do for all.
+	// Cores is the CPU quota in cores; 0 if unknown. Instances with more cores do more
+	// of the tasks that a few instances perform for the whole fleet.
 	Cores float64
 	// MaxApplyDelay is the maximum delay until a configuration change applies.
 	MaxApplyDelay time.Duration
--- a/internal/messenger/messenger.go
+++ b/internal/messenger/messenger.go
@@ -12,7 +12,7 @@
 // Kind classifies a statement.
 type Kind uint8
 
-// Kinds from KindRead to KindExecute and the transaction kinds come from callers; those from
+// Kinds from KindRead to KindExecute and the transaction kinds come from clients; those from
 // KindReset on are sent to members by the proxy itself.
 const (
 	KindUnknown Kind = iota
@@ -87,7 +87,7 @@
 	CodeUnknownDatabase
 	// CodeMalformed: the message is invalid, or invalid in the current state.
 	CodeMalformed
-	// CodeDenied: the caller's credentials are unknown.
+	// CodeDenied: the client's credentials are unknown.
 	CodeDenied
 	// CodeTooLarge: the message exceeds the size limit.
 	CodeTooLarge
@@ -119,17 +119,17 @@
 }
 
 type (
-	// Start opens a caller's session.
+	// Start opens a client's session.
 	Start struct {
 		Database string
-		// Key is the digest of the caller's credential; HasKey is false if there is none.
+		// Key is the digest of the client's credential; HasKey is false if there is none.
 		Key    identifier.Key
 		HasKey bool
 	}
 
-	// Statement is a caller's request.
+	// Statement is a client's request.
 	Statement struct {
-		// ID is the caller's request ID, forwarded to members unchanged.
+		// ID is the client's request ID, forwarded to members unchanged.
 		ID   string
 		Kind Kind
 		// Text is the original statement text.
@@ -143,7 +143,7 @@
 
 	// Command is a statement sent to a member.
 	Command struct {
-		// ID is the caller's request ID, empty for the proxy's own commands.
+		// ID is the client's request ID, empty for the proxy's own commands.
 		ID   string
 		Kind Kind
 		// After, if set, is the log position that the member must have reached.
@@ -218,15 +218,15 @@
 		AllAnswered() bool
 	}
 
-	// StatementReader reads a caller's messages.
+	// StatementReader reads a client's messages.
 	StatementReader interface {
 		Start() (Start, error)
-		// Statement returns io.EOF when the caller ends the session.
+		// Statement returns io.EOF when the client ends the session.
 		Statement() (Statement, error)
 		Buffered() bool
 	}
 
-	// CallerCodec implements the protocol spoken with callers.
+	// CallerCodec implements the protocol spoken with clients.
 	CallerCodec interface {
 		Statements(from io.Reader) StatementReader
 		AppendStarted(b []byte, r Reply) []byte
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -25,8 +25,8 @@
 	// with the number of groups (docs/CAPACITY.md).
 	maxPollsPerSecond = 100
 	// idlePollsPerSecond and fallbackPollsPerSecond limit the polls of idle groups and of
-	// groups polled as a fallback. The latter keeps an instance cut off from many
-	// observers from neglecting the groups that others rely on it to poll.
+	// groups polled as a fallback. The latter ensures that an instance partitioned from many
+	// observers still polls the groups that it observes for others.
 	idlePollsPerSecond     = 25
 	fallbackPollsPerSecond = 15
 
--- a/internal/reporter/state.go
+++ b/internal/reporter/state.go
@@ -22,7 +22,7 @@
 		Groups  []GroupState
 	}
 
-	// GroupState is the state of a group as the instance knows it.
+	// GroupState is the instance's view of a group.
 	GroupState struct {
 		Service string
 		Term    uint64
@@ -34,7 +34,7 @@
 		Members                     []MemberState
 	}
 
-	// MemberState is the state of a target as the instance knows it.
+	// MemberState is the instance's view of a target.
 	MemberState struct {
 		Name     string
 		Address  string
--- a/internal/standin/failer/failer.go
+++ b/internal/standin/failer/failer.go
@@ -35,7 +35,7 @@
 )
 
 type (
-	// Scenario configures a run. Only Fault is required.
+	// Scenario configures a run. Only Inject is required.
 	Scenario struct {
 		Plan stager.Plan
 		// Inject injects a fault into the primary of the first service.
--- a/internal/standin/failer/failer_test.go
+++ b/internal/standin/failer/failer_test.go
@@ -39,9 +39,9 @@
 	return r
 }
 
-func restart(f *stager.Fleet, p *stager.Target) { f.RestartTarget(p) }
-func thaw(_ *stager.Fleet, p *stager.Target)    { p.Faults.Unfreeze() }
-func heal(f *stager.Fleet, _ *stager.Target)    { f.Network.HealAll() }
+func restart(f *stager.Fleet, p *stager.Target)  { f.RestartTarget(p) }
+func unfreeze(_ *stager.Fleet, p *stager.Target) { p.Faults.Unfreeze() }
+func heal(f *stager.Fleet, _ *stager.Target)     { f.Network.HealAll() }
 
 func partitionZone(f *stager.Fleet, p *stager.Target) {
 	for _, z := range f.Plan.Zones {
@@ -97,14 +97,14 @@
 		{"crash", nil, failer.Crash, restart, 2 * time.Second},
 		{"crash while replicas lag", withStreamLag(20 * time.Millisecond), failer.Crash, restart, 2 * time.Second},
 		{"woken with the answer in hand", nil, delayResponses, nil, 4 * time.Second},
-		{"freeze", nil, failer.Freeze, thaw, 4 * time.Second},
+		{"freeze", nil, failer.Freeze, unfreeze, 4 * time.Second},
 		{"partitioned from all", nil, failer.PartitionFromAll, heal, 4 * time.Second},
 		{"partitioned from replicas only", nil, failer.PartitionFromReplicas, heal, 4 * time.Second},
 		{"availability zone partitioned", nil, partitionZone, heal, 4 * time.Second},
 		{"crash with the store down", withStoreFaults(down), failer.Crash, restart, 2 * time.Second},
 		{"crash with the store slow", withStoreFaults(slow), failer.Crash, restart, 800 * time.Millisecond},
 		{"crash with the store's responses lost", withStoreFaults(loseResponses), failer.Crash, restart, 2 * time.Second},
-		{"freeze with the store down", withStoreFaults(down), failer.Freeze, thaw, 4 * time.Second},
+		{"freeze with the store down", withStoreFaults(down), failer.Freeze, unfreeze, 4 * time.Second},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/standin/failer/gap_test.go
+++ b/internal/standin/failer/gap_test.go
@@ -59,7 +59,7 @@
 		maxGap time.Duration
 	}{
 		{"crash", failer.Crash, restart, 2 * time.Second},
-		{"freeze", failer.Freeze, thaw, 4 * time.Second},
+		{"freeze", failer.Freeze, unfreeze, 4 * time.Second},
 		{"cut", failer.PartitionFromAll, heal, 4 * time.Second},
 		{"planned", failer.AnnounceLeaving, nil, 200 * time.Millisecond},
 	}
--- a/internal/standin/groupsimulator/group.go
+++ b/internal/standin/groupsimulator/group.go
@@ -28,14 +28,15 @@
 	Group struct {
 		Name string
 		Net  *netsimulator.Net
-		// ReplicationDelay is the replication delay, Lag the delay before a replica applies what it
-		// received, Promotion the time a promotion takes.
+		// ReplicationDelay is the time until a replica receives an entry, ApplyLag the time until it
+		// then applies the entry, PromotionDelay the time a promotion takes.
 		ReplicationDelay, ApplyLag, PromotionDelay time.Duration
-		// MaxConnections is the connection limit of a member, Work the time a statement takes.
+		// MaxConnections is the connection limit of a member, StatementTime the execution time of a
+		// statement.
 		MaxConnections int
 		StatementTime  time.Duration
-		// Slots limits the statements that a member runs at a time (0: no limit) and Queue
-		// those that wait. Handshake is how long a new connection occupies a slot.
+		// Slots limits the statements that a member runs at a time (0: no limit) and
+		// MaxQueued those that wait. HandshakeTime is how long a new connection occupies a slot.
 		Slots, MaxQueued int
 		HandshakeTime    time.Duration
 
@@ -69,15 +70,15 @@
 		terminated bool
 		// startedMillis is the start time in Unix milliseconds.
 		startedMillis int64
-		// replicationDelay overrides the group's Travel when set.
+		// replicationDelay overrides the group's ReplicationDelay when set.
 		replicationDelay time.Duration
-		// applyLag overrides the group's Lag when set.
+		// applyLag overrides the group's ApplyLag when set.
 		applyLag time.Duration
 		// unreachableSources holds the IDs of members it can't replicate from.
 		unreachableSources map[string]bool
-		// writeResponsesToDrop is the number of coming writes that run without a response.
+		// writeResponsesToDrop is the number of next writes that run without a response.
 		writeResponsesToDrop int
-		// readResponsesToDrop is the number of coming reads that run without a response, on
+		// readResponsesToDrop is the number of next reads that run without a response, on
 		// connections that stay open.
 		readResponsesToDrop int
 		openConns           int
@@ -137,7 +138,7 @@
 	return m
 }
 
-// MarkLeaving marks a member as leaving; Gone terminates it.
+// MarkLeaving marks a member as leaving; Terminate terminates it.
 func (g *Group) MarkLeaving(id string) { g.updateMember(id, func(m *Member) { m.leaving = true }) }
 
 // Terminate terminates a member and discards its log.
@@ -184,7 +185,7 @@
 	g.updateMember(id, func(m *Member) { m.replicationDelay = delay })
 }
 
-// UnblockReplication ends Isolate.
+// UnblockReplication ends the effect of BlockReplication.
 func (g *Group) UnblockReplication(id string) {
 	g.updateMember(id, func(m *Member) { m.unreachableSources = map[string]bool{} })
 }
@@ -302,7 +303,7 @@
 	return slices.Clone(g.violations)
 }
 
-// Promote makes a member the primary of the next term after the Promotion delay, with the
+// Promote makes a member the primary of the next term after PromotionDelay, with the
 // log it has received by then. It has no effect on a member that is primary already.
 func (g *Group) Promote(id string) error {
 	g.mutex.Lock()
--- a/internal/standin/measurer/customers.go
+++ b/internal/standin/measurer/customers.go
@@ -23,8 +23,8 @@
 	// customersWarmup precedes the measured customersDuration.
 	customersWarmup   = 10 * time.Second
 	customersDuration = 10 * time.Second
-	// smallWriteInterval is the number of requests per write.
-	smallWriteInterval = 5
+	// requestsPerWrite is the number of a client's requests per write.
+	requestsPerWrite = 5
 )
 
 type (
@@ -53,9 +53,9 @@
 	}
 )
 
-// MeasureFairness runs a small customer's clients beside those of a large customer with the
-// same share, which send requests without pause; large is their number per instance.
-func MeasureFairness(ctx context.Context, p stager.Plan, large int) (*FairnessResult, error) {
+// MeasureFairness runs clients of a small and a large customer with equal shares. On each
+// instance the large customer has largeClients, which send requests without pause.
+func MeasureFairness(ctx context.Context, p stager.Plan, largeClients int) (*FairnessResult, error) {
 	p.Services = p.Services[:1]
 	p.Services[0].Customers = []configurer.Customer{
 		{Name: largeUser, Share: 1, Users: []string{largeUser}}, {Name: smallUser, Share: 1, Users: []string{smallUser}},
@@ -72,14 +72,14 @@
 		fleet: f, service: p.Services[0].Name, measureFrom: time.Now().Add(customersWarmup),
 		results: map[string]*CustomerResult{largeUser: {}, smallUser: {}},
 	}
-	r.run(ctx, large)
+	r.run(ctx, largeClients)
 	return &FairnessResult{
 		Small: *r.results[smallUser], Large: *r.results[largeUser],
 		PeakConnections: f.Members[0].Counter.Peak(), ConnectionBudget: p.Services[0].Connections,
 	}, nil
 }
 
-func (r *fairnessRun) run(ctx context.Context, large int) {
+func (r *fairnessRun) run(ctx context.Context, largeClients int) {
 	ctx, cancel := context.WithTimeout(ctx, customersWarmup+customersDuration)
 	defer cancel()
 	done := make(chan struct{})
@@ -88,13 +88,13 @@
 		running++
 		number := running
 		go func() {
-			r.runCaller(ctx, e, user, pause, number)
+			r.runClient(ctx, e, user, pause, number)
 			done <- struct{}{}
 		}()
 	}
 	for _, e := range r.fleet.Instances {
 		start(e, smallUser, smallThinkTime)
-		for range large {
+		for range largeClients {
 			start(e, largeUser, 0)
 		}
 	}
@@ -103,8 +103,8 @@
 	}
 }
 
-// runCaller sends one client's requests; after a refusal it waits the retry-after time.
-func (r *fairnessRun) runCaller(ctx context.Context, e *stager.Instance, user string, pause time.Duration, number int) {
+// runClient sends one client's requests; after a refusal it waits the retry-after time.
+func (r *fairnessRun) runClient(ctx context.Context, e *stager.Instance, user string, pause time.Duration, number int) {
 	c, err := r.fleet.ConnectAs(ctx, e, user, r.service, nil)
 	if err != nil {
 		return
@@ -112,7 +112,7 @@
 	defer c.PgConn().Conn().Close()
 	for k := 0; ctx.Err() == nil; k++ {
 		sql := "SELECT value FROM ledger WHERE key = 'a'"
-		if k%smallWriteInterval == 0 {
+		if k%requestsPerWrite == 0 {
 			sql = fmt.Sprintf("INSERT INTO ledger (key, value) VALUES ('%s-%s-%d-%d', 'x')", user, e.Name, number, k)
 		}
 		started := time.Now()
--- a/internal/standin/measurer/customers_test.go
+++ b/internal/standin/measurer/customers_test.go
@@ -9,11 +9,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// largeCallers is the number of the large customer's clients per instance, for over 20
-// times the small customer's load.
-const largeCallers = 12
+// largeClients is the number of the large customer's clients per instance. Their load is over
+// 20 times the small customer's.
+const largeClients = 12
 
-// Compares a small customer alone with the same beside a large one; run by make measure only.
+// Compares a small customer's latencies with and without the load of a large customer.
 func TestCustomerFairness(t *testing.T) {
 	if !*measureAll {
 		t.Skip("run by make measure only")
@@ -24,7 +24,7 @@
 			p.Seed = 1
 			alone, err := measurer.MeasureFairness(ctx, p, 0)
 			must.NoError(t, err)
-			shared, err := measurer.MeasureFairness(ctx, p, largeCallers)
+			shared, err := measurer.MeasureFairness(ctx, p, largeClients)
 			must.NoError(t, err)
 			time.Sleep(time.Minute) // lets drivers and peers close their connections
 			printFigures(shared.Figures(d.name, alone))
--- a/internal/standin/measurer/measurer_test.go
+++ b/internal/standin/measurer/measurer_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// runFailovers runs the seeds in sequence, each in its own bubble.
+// runFailovers runs the seeds in sequence, each in its own synctest bubble.
 func runFailovers(t *testing.T, d deployment, failure measurer.Failure, store string, n uint64) {
 	t.Run(d.name+"/"+failure.Name+"/store-"+store, func(t *testing.T) {
 		t.Parallel()
--- a/internal/standin/mesher/performer.go
+++ b/internal/standin/mesher/performer.go
@@ -124,7 +124,7 @@
 func (n *Node) exchange(a gossiper.Exchange) {
 	m, requestedAt := n.mesh, n.mesh.Now
 	m.Totals.Exchanges++
-	// The sender is sent once per connection; the peer remembers it.
+	// Only the first request of a connection contains the sender; the peer stores it.
 	sender := a.Request.Sender
 	if a.Request.Run != 0 {
 		a.Request.Sender = nil
--- a/internal/standin/netsimulator/conn.go
+++ b/internal/standin/netsimulator/conn.go
@@ -75,8 +75,8 @@
 	d.changed = make(chan struct{})
 }
 
-// passed reports whether the deadline has passed.
-func (d *deadline) passed() bool {
+// expired reports whether the deadline has passed.
+func (d *deadline) expired() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return !d.at.IsZero() && !time.Now().Before(d.at)
@@ -184,7 +184,7 @@
 
 // Write implements net.Conn. As on a socket, it writes nothing after the deadline.
 func (c *conn) Write(p []byte) (int, error) {
-	if c.writeDeadline.passed() {
+	if c.writeDeadline.expired() {
 		return 0, os.ErrDeadlineExceeded
 	}
 	s := c.out
--- a/internal/standin/replicator/counter.go
+++ b/internal/standin/replicator/counter.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Counter counts the open sessions of several members.
+// SessionCounter counts the open sessions of several members.
 type SessionCounter struct {
 	mutex      sync.Mutex
 	open, peak int
--- a/internal/standin/replicator/faults.go
+++ b/internal/standin/replicator/faults.go
@@ -9,7 +9,7 @@
 // Faults injects faults into a member, also while it runs.
 type Faults struct {
 	mutex              sync.Mutex
-	thawed             chan struct{} // nil while not frozen
+	unfrozen           chan struct{} // nil while not frozen
 	replayLag          time.Duration
 	streamLag          time.Duration
 	statementDelay     time.Duration
@@ -26,8 +26,8 @@
 func (f *Faults) Freeze() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.thawed == nil {
-		f.thawed = make(chan struct{})
+	if f.unfrozen == nil {
+		f.unfrozen = make(chan struct{})
 	}
 }
 
@@ -35,9 +35,9 @@
 func (f *Faults) Unfreeze() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.thawed != nil {
-		close(f.thawed)
-		f.thawed = nil
+	if f.unfrozen != nil {
+		close(f.unfrozen)
+		f.unfrozen = nil
 	}
 }
 
@@ -79,7 +79,7 @@
 // result that has more.
 func (f *Faults) TruncateNextResult(rows int) { f.set(func() { f.truncateAfterRows = rows }) }
 
-// takeExtraResponse returns and resets the fault set by StrayNext.
+// takeExtraResponse returns and resets the fault set by SendExtraResponse.
 func (f *Faults) takeExtraResponse() (delay time.Duration, due bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -87,8 +87,8 @@
 	return f.extraResponseDelay, due
 }
 
-// takeTruncation returns and resets the row limit set by CutNext, or 0 if the result is no longer
-// than the limit.
+// takeTruncation returns and resets the row limit set by TruncateNextResult, or 0 if the result does
+// not exceed it.
 func (f *Faults) takeTruncation(rows int) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -112,7 +112,7 @@
 	return get()
 }
 
-// takeDroppedResponse reports and resets the fault set by LoseNextAnswer.
+// takeDroppedResponse reports and resets the fault set by DropNextResponse.
 func (f *Faults) takeDroppedResponse() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -125,7 +125,7 @@
 func (f *Faults) waitWhileFrozen(ctx context.Context) error {
 	for {
 		f.mutex.Lock()
-		c := f.thawed
+		c := f.unfrozen
 		f.mutex.Unlock()
 		if c == nil {
 			return ctx.Err()
--- a/internal/standin/replicator/session.go
+++ b/internal/standin/replicator/session.go
@@ -260,7 +260,7 @@
 	return nil
 }
 
-// sendReady reports changed parameters and sends ReadyForQuery. With LoseNextAnswer, it closes the
+// sendReady reports changed parameters and sends ReadyForQuery. With DropNextResponse, it closes the
 // connection instead, after the commit.
 func (s *session) sendReady() error {
 	m := s.member
--- a/internal/standin/replicator/statements.go
+++ b/internal/standin/replicator/statements.go
@@ -316,13 +316,13 @@
 	return result{Columns: []column{{"pg_advisory_lock", oidText}}, Rows: [][]string{{""}}, Tag: "SELECT 1"}
 }
 
-// runRemember changes a setting in a function call, which only the command tag shows.
+// runRemember simulates a function that changes a setting; only its command tag, SET, shows this.
 func runRemember(_ context.Context, s *session, a []string) result {
 	s.settings["remembered"] = a[0]
 	return result{Columns: []column{{"value", oidText}}, Rows: [][]string{{a[0]}}, Tag: "SET"}
 }
 
-// runRelease writes a row in a function called by SELECT.
+// runRelease simulates a function that writes a row, called by SELECT.
 func runRelease(_ context.Context, s *session, a []string) result {
 	s.stage(Op{Table: "ledger", Key: a[0], Value: "1", Add: true})
 	return result{Columns: []column{{"value", oidText}}, Rows: [][]string{{a[0]}}, Tag: "SELECT 1"}
--- a/internal/standin/soaker/faults.go
+++ b/internal/standin/soaker/faults.go
@@ -48,7 +48,7 @@
 				p.Faults.Freeze()
 			}
 		},
-		Revert: func(s *Soak, _ int) { s.thawTargets() },
+		Revert: func(s *Soak, _ int) { s.unfreezeTargets() },
 	},
 	{
 		Code: "F03", Title: "primary is cut off from its replicas only",
@@ -140,7 +140,7 @@
 	s.fleet.Network.Partition(e.IP, "platform")
 }
 
-func (s *Soak) thawTargets() {
+func (s *Soak) unfreezeTargets() {
 	for _, t := range s.fleet.Members {
 		t.Faults.Unfreeze()
 	}
@@ -204,7 +204,7 @@
 	s.reverts.Wait()
 	s.fleet.Network.HealAll()
 	s.fleet.Store.SetFaults(func(f *storer.Faults) { *f = storer.Faults{} })
-	s.thawTargets()
+	s.unfreezeTargets()
 	for _, t := range s.fleet.Members {
 		t.Faults.SetReplayLag(0)
 		t.Faults.SetStreamLag(0)
--- a/internal/standin/stager/stager.go
+++ b/internal/standin/stager/stager.go
@@ -39,12 +39,12 @@
 		// InstancesPerZone is the number of instances in each zone; 0 means 1, a negative
 		// number none.
 		InstancesPerZone int
-		// ZoneLatency is the one-way delay between zones, CallerLatency that
+		// ZoneLatency is the one-way delay between zones, ClientLatency that
 		// between clients and instances.
 		ZoneLatency, ClientLatency time.Duration
 		// Jitter is the maximum random addition to each delay.
 		Jitter time.Duration
-		// ConnectTime, Work and Slots are the targets' time to accept a connection,
+		// ConnectTime, ExecutionTime and Slots are the targets' time to accept a connection,
 		// execution time of a statement and number of concurrent statements.
 		ConnectTime, ExecutionTime time.Duration
 		Slots                      int
--- a/pkg/refuser/reasons.go
+++ b/pkg/refuser/reasons.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The reasons. Add the code of a removed reason to Retired.
+// The reasons. Add the code of a removed reason to RetiredCodes.
 var (
 	NoService = &Reason{
 		Code: "OR101", Name: "no-service", Since: "0.1", SQLState: "3D000", Outcome: NotRun, Fatal: true,
@@ -171,5 +171,5 @@
 	BadPassword, TooManyCallers, EncryptionRequired, BadStartUp, StartUpTimeout, NoReplication,
 }
 
-// Retired lists the codes of removed reasons, which must not be reused.
+// RetiredCodes lists the codes of removed reasons, which must not be reused.
 var RetiredCodes = []string{}
