--- a/cmd/oriolegw-edge/main.go
+++ b/cmd/oriolegw-edge/main.go
@@ -1,4 +1,4 @@
-// Command oriolegw-edge runs an entry instance on the users' platform.
+// Command oriolegw-edge runs an entry instance on the hosting platform.
 package main
 
 import (
@@ -32,7 +32,7 @@
 func main() {
 	file := flag.String("settings", os.Getenv(settingsVariable), "the settings `file` (JSON with comments); the default is $"+settingsVariable)
 	flag.Usage = func() {
-		fmt.Fprint(flag.CommandLine.Output(), "oriolegw-edge is an entry instance of the proxy on the users' platform.\n\nUsage: oriolegw-edge [-settings FILE]\n\n")
+		fmt.Fprint(flag.CommandLine.Output(), "oriolegw-edge is an entry instance of the proxy on the hosting platform.\n\nUsage: oriolegw-edge [-settings FILE]\n\n")
 		flag.PrintDefaults()
 	}
 	flag.Parse()
@@ -57,19 +57,19 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
 
-	journal := logwriter.New(os.Stdout)
-	journal.Instance = s.Name
-	journalCtx, stopJournal := context.WithCancel(context.Background())
-	journalEnded := make(chan error, 1)
-	go func() { journalEnded <- journal.Run(journalCtx) }()
+	logs := logwriter.New(os.Stdout)
+	logs.Instance = s.Name
+	logCtx, stopLog := context.WithCancel(context.Background())
+	logEnded := make(chan error, 1)
+	go func() { logEnded <- logs.Run(logCtx) }()
 	defer func() {
-		stopJournal()
-		<-journalEnded
+		stopLog()
+		<-logEnded
 	}()
 	n := networker.TCP{}
 	promotions := (&platform.PromotionClient{Address: s.PromotionAddress, Network: n, LeaseHolder: s.Name}).Open()
 	i := &launcher.Instance{
-		Settings: s, Network: n, Journal: journal, Clock: launcher.Boottime, Shutdown: shutdown,
+		Settings: s, Network: n, LogWriter: logs, Clock: launcher.Boottime, Shutdown: shutdown,
 		Reload: reload, LoadSettings: func() (*loader.EdgeSettings, error) { return loader.LoadEdgeSettings(file) },
 		Platform: launcher.Platform{
 			Store:              (&platform.Store{Address: s.StoreAddress, Network: n}).Open(),
--- a/cmd/oriolegw-fleet/bench.go
+++ b/cmd/oriolegw-fleet/bench.go
@@ -42,7 +42,7 @@
 	b.samples = map[string][]float64{}
 	endpoints := []endpoint{
 		{"direct", b.fleet.Members[0].Address, b.fleet.Members[0].PID},
-		{"proxy", b.fleet.Entries[0].Address, b.fleet.Entries[0].PID},
+		{"proxy", b.fleet.Instances[0].Address, b.fleet.Instances[0].PID},
 	}
 	for range benchRounds {
 		for _, target := range endpoints {
@@ -86,13 +86,13 @@
 }
 
 func (b *bench) runLoad(ctx context.Context, target endpoint, workers int, d time.Duration, writes float64) (*loadtester.Report, error) {
-	e := &loadtester.LoadTest{
+	t := &loadtester.LoadTest{
 		Addresses: []string{target.address}, Workers: workers, Duration: d, Writes: writes, Keys: benchKeys,
 		Connect: func(ctx context.Context, address, _ string) (*pgx.Conn, error) {
 			return pgx.Connect(ctx, "postgres://crew@"+address+"/"+starter.ServiceName+"?sslmode=disable")
 		},
 	}
-	r, err := e.Run(ctx)
+	r, err := t.Run(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/oriolegw-fleet/demonstration.go
+++ b/cmd/oriolegw-fleet/demonstration.go
@@ -44,7 +44,7 @@
 
 // connect opens a session on an instance, with the token unless that is empty.
 func (d *demonstration) connect(ctx context.Context, entry int, token string) (*pgx.Conn, error) {
-	e := d.fleet.Entries[entry%len(d.fleet.Entries)]
+	e := d.fleet.Instances[entry%len(d.fleet.Instances)]
 	c, err := pgx.ParseConfig("postgres://crew@" + e.Address + "/" + starter.ServiceName + "?sslmode=disable")
 	if err != nil {
 		return nil, errors.Wrap(err, "parse connection string")
@@ -136,7 +136,7 @@
 
 // fetchState returns the state from the first instance's status page.
 func (d *demonstration) fetchState(ctx context.Context) (reporter.State, error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.fleet.Entries[0].PagesAddress+reporter.PathStatus, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.fleet.Instances[0].PagesAddress+reporter.PathStatus, nil)
 	if err != nil {
 		return reporter.State{}, errors.Wrap(err, "create request")
 	}
--- a/cmd/oriolegw-fleet/faults.go
+++ b/cmd/oriolegw-fleet/faults.go
@@ -33,7 +33,7 @@
 	}
 	ended := make(chan result, 1)
 	go func() {
-		r, err := d.experiment().Run(load)
+		r, err := d.loadTest().Run(load)
 		ended <- result{r, err}
 	}()
 	faultErr := d.injectFaults(ctx)
@@ -49,8 +49,8 @@
 	return d.showPrimary(ctx)
 }
 
-func (d *demonstration) experiment() *loadtester.LoadTest {
-	e := &loadtester.LoadTest{
+func (d *demonstration) loadTest() *loadtester.LoadTest {
+	t := &loadtester.LoadTest{
 		Workers: 6, Duration: maxLoadTime, Writes: 0.1, OwnKeyReads: 0.5, Keys: 1000, RoamProbability: 0.01, CarryToken: true, Seed: 1,
 		Connect: func(ctx context.Context, address, token string) (*pgx.Conn, error) {
 			c, err := pgx.ParseConfig("postgres://crew@" + address + "/" + starter.ServiceName + "?sslmode=disable")
@@ -63,10 +63,10 @@
 			return pgx.ConnectConfig(ctx, c)
 		},
 	}
-	for _, p := range d.fleet.Entries {
-		e.Addresses = append(e.Addresses, p.Address)
+	for _, p := range d.fleet.Instances {
+		t.Addresses = append(t.Addresses, p.Address)
 	}
-	return e
+	return t
 }
 
 func (d *demonstration) injectFaults(ctx context.Context) error {
@@ -96,7 +96,7 @@
 // stopEntries shuts down one instance gracefully and kills another. Sessions
 // continue on the remaining one.
 func (d *demonstration) stopEntries() error {
-	leaving, crashing := &d.fleet.Entries[2], &d.fleet.Entries[1]
+	leaving, crashing := &d.fleet.Instances[2], &d.fleet.Instances[1]
 	fmt.Printf("%s: graceful shutdown\n", leaving.Name)
 	if err := d.fleet.Terminate(leaving); err != nil {
 		return err
--- a/cmd/oriolegw-fleet/main.go
+++ b/cmd/oriolegw-fleet/main.go
@@ -76,7 +76,7 @@
 	if err := o.fleet.WriteDescription(o.describeFile); err != nil {
 		return err
 	}
-	for _, e := range o.fleet.Entries {
+	for _, e := range o.fleet.Instances {
 		fmt.Printf("%s: postgres://crew@%s/%s?sslmode=disable  pages http://%s/status?format=text\n", e.Name, e.Address, starter.ServiceName, e.PagesAddress)
 	}
 	fmt.Printf("Addresses and fault commands: %s\nInterrupt to stop the fleet.\n", o.describeFile)
--- a/cmd/oriolegw-load/main.go
+++ b/cmd/oriolegw-load/main.go
@@ -21,36 +21,37 @@
 
 const (
 	exitUsage = 2
-	// passwordVariable is the environment variable with the password: a flag would be visible in process lists.
+	// passwordVariable is the environment variable with the password: a flag would be visible in
+	// process lists.
 	passwordVariable = "PGPASSWORD"
 )
 
-// options holds the flags; resolve completes the experiment from them.
+// options holds the flags; resolve completes the load test from them.
 type options struct {
-	experiment             loadtester.LoadTest
+	loadTest               loadtester.LoadTest
 	addresses, kinds       string
 	service, user, sslMode string
 }
 
 func declareFlags(f *flag.FlagSet) *options {
 	o := &options{}
-	e := &o.experiment
+	t := &o.loadTest
 	f.StringVar(&o.addresses, "addresses", "127.0.0.1:17030,127.0.0.1:17031,127.0.0.1:17032", "addresses to connect to, `ip:port,ip:port`")
 	f.StringVar(&o.service, "service", "lockers", "the `name` of the service")
 	f.StringVar(&o.user, "user", "crew", "the user `name`; the password is taken from $"+passwordVariable)
 	f.StringVar(&o.sslMode, "sslmode", "disable", "disable, require, verify-ca or verify-full")
-	f.IntVar(&e.Workers, "workers", 8, "number of concurrent clients")
-	f.Float64Var(&e.Rate, "rate", 0, "requests per second, with random arrivals; 0 sends each request after the previous response")
-	f.IntVar(&e.Count, "count", 0, "stop after this many requests; 0 is no limit")
-	f.DurationVar(&e.Duration, "duration", 10*time.Second, "stop after this time; 0 is no limit")
-	f.Float64Var(&e.Writes, "writes", 0.1, "fraction of requests that write")
+	f.IntVar(&t.Workers, "workers", 8, "number of concurrent clients")
+	f.Float64Var(&t.Rate, "rate", 0, "requests per second, with random arrivals; 0 sends each request after the previous response")
+	f.IntVar(&t.Count, "count", 0, "stop after this many requests; 0 is no limit")
+	f.DurationVar(&t.Duration, "duration", 10*time.Second, "stop after this time; 0 is no limit")
+	f.Float64Var(&t.Writes, "writes", 0.1, "fraction of requests that write")
 	f.StringVar(&o.kinds, "kinds", "", "kinds of reads with weights, `kind=weight,kind=weight`")
-	f.Float64Var(&e.OwnKeyReads, "own", 0.5, "fraction of reads of the session's own key")
-	f.IntVar(&e.Keys, "keys", 1000, "number of shared keys")
-	f.Float64Var(&e.Skew, "skew", 0, "Zipf exponent of the distribution of shared keys, above 1; 0 is uniform")
-	f.Float64Var(&e.RoamProbability, "roam", 0, "probability that a session moves to the next address after a request")
-	f.BoolVar(&e.CarryToken, "token", true, "send the session token when a session moves")
-	f.Uint64Var(&e.Seed, "seed", 1, "random seed, also part of the names of the sessions' own keys")
+	f.Float64Var(&t.OwnKeyReads, "own", 0.5, "fraction of reads of the session's own key")
+	f.IntVar(&t.Keys, "keys", 1000, "number of shared keys")
+	f.Float64Var(&t.Skew, "skew", 0, "Zipf exponent of the distribution of shared keys, above 1; 0 is uniform")
+	f.Float64Var(&t.RoamProbability, "roam", 0, "probability that a session moves to the next address after a request")
+	f.BoolVar(&t.CarryToken, "token", true, "send the session token when a session moves")
+	f.Uint64Var(&t.Seed, "seed", 1, "random seed, also part of the names of the sessions' own keys")
 	f.Usage = func() {
 		fmt.Fprint(f.Output(), "oriolegw-load is a load generator. It prints its results, one per line, and exits with 1\nif a read missed an acknowledged write of its own session, or showed a write that ran more\noften than acknowledged.\n\nUsage: oriolegw-load [FLAGS]\n\n")
 		f.PrintDefaults()
@@ -73,7 +74,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	r, err := o.experiment.Run(ctx)
+	r, err := o.loadTest.Run(ctx)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "oriolegw-load:", err)
 		os.Exit(1)
@@ -85,12 +86,12 @@
 	}
 }
 
-// resolve parses the list flags, completes the experiment and validates it.
+// resolve parses the list flags, completes the load test and validates it.
 func (o *options) resolve(arguments []string) error {
 	if len(arguments) > 0 {
 		return errors.Errorf("unexpected argument %q", arguments[0])
 	}
-	o.experiment.Addresses = strings.Split(o.addresses, ",")
+	o.loadTest.Addresses = strings.Split(o.addresses, ",")
 	for _, k := range strings.Split(o.kinds, ",") {
 		if k == "" {
 			continue
@@ -100,10 +101,10 @@
 		if err != nil {
 			return errors.Errorf("kinds: %q is not of the form kind=weight", k)
 		}
-		o.experiment.Kinds = append(o.experiment.Kinds, loadtester.ReadKind{Name: name, Weight: n})
+		o.loadTest.Kinds = append(o.loadTest.Kinds, loadtester.ReadKind{Name: name, Weight: n})
 	}
-	o.experiment.Connect = o.connect
-	return o.experiment.Check()
+	o.loadTest.Connect = o.connect
+	return o.loadTest.Check()
 }
 
 func (o *options) connect(ctx context.Context, address, token string) (*pgx.Conn, error) {
--- a/cmd/oriolegw/main.go
+++ b/cmd/oriolegw/main.go
@@ -55,12 +55,12 @@
 		<-ended
 	}()
 	n := networker.TCP{}
-	register := &reporter.Registry{}
-	metrics, closer := register.NewScope(map[string]string{reporter.TagInstance: s.Name})
+	registry := &reporter.Registry{}
+	metrics, closer := registry.NewScope(map[string]string{reporter.TagInstance: s.Name})
 	defer closer.Close()
 	i := &runner.Instance{
 		Events:   events,
-		Settings: s, Network: n, Metrics: metrics, Register: register,
+		Settings: s, Network: n, Metrics: metrics, Registry: registry,
 		Log:       log.With(log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)), "ts", log.DefaultTimestampUTC),
 		Store:     (&storer.Client{Address: s.PlatformAddress, Network: n}).Open(),
 		Instances: (&lister.Client{Address: s.PlatformAddress, Network: n}).Open(),
--- a/cmd/oriolegwctl/customers.go
+++ b/cmd/oriolegwctl/customers.go
@@ -13,7 +13,7 @@
 )
 
 func prepareCustomers(f *flag.FlagSet, t *terminal) func(context.Context, []string) error {
-	instances := f.String("instances", "", "the metrics `addresses` of entry instances on the users' platform, separated by commas")
+	instances := f.String("instances", "", "the metrics `addresses` of entry instances on the hosting platform, separated by commas")
 	customer := f.String("customer", "", "print only the customer of this `name`")
 	return func(ctx context.Context, arguments []string) error {
 		if err := errors.Join(requireFlags("instances", *instances), requireArguments(arguments, 0, "none")); err != nil {
--- a/cmd/oriolegwctl/main.go
+++ b/cmd/oriolegwctl/main.go
@@ -63,21 +63,21 @@
 	{"status", "-instances ADDRESS,ADDRESS", "show the state of instances", prepareStatus},
 	{"drain", "-platform ADDRESS -service NAME -member NAME | -instance ADDRESS", "drain a target or an instance", prepareDrain},
 	{"switch", "-platform ADDRESS -service NAME -instance ADDRESS", "perform a planned switchover of a group's primary", prepareSwitch},
-	{"settings", "[-running FILE] FILE", "validate the settings of an entry instance on the users' platform, and show when changes take effect", prepareSettings},
+	{"settings", "[-running FILE] FILE", "validate the settings of an entry instance on the hosting platform, and show when changes take effect", prepareSettings},
 	{"explain", "[-log FILE] ID", "explain the outcome of a request from the logs of entry instances", prepareExplain},
 	{"report", "[-o FILE] LOG...", "write an HTML report with plots and tables from the logs of entry instances", prepareReport},
-	{"customers", "-instances ADDRESS,ADDRESS [-customer NAME]", "show customers of entry instances on the users' platform: rate limit, usage, connections, refusals", prepareCustomers},
+	{"customers", "-instances ADDRESS,ADDRESS [-customer NAME]", "show customers of entry instances on the hosting platform: rate limit, usage, connections, refusals", prepareCustomers},
 	{"verifier", "", "read a password from standard input and print its verifier for the document", prepareVerifier},
 }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	t := &terminal{in: os.Stdin, out: os.Stdout, err: os.Stderr, network: networker.TCP{}, openStore: openGatewayStore}
+	t := &terminal{in: os.Stdin, out: os.Stdout, err: os.Stderr, network: networker.TCP{}, openStore: openPlatformStore}
 	os.Exit(run(ctx, t, os.Args[1:]))
 }
 
-func openGatewayStore(address string) (storer.Store, func()) {
+func openPlatformStore(address string) (storer.Store, func()) {
 	g := (&storer.Client{Address: address, Network: networker.TCP{}}).Open()
 	return g, g.Close
 }
--- a/internal/acceptor/acceptor.go
+++ b/internal/acceptor/acceptor.go
@@ -37,8 +37,8 @@
 const acceptRetryDelay = 50 * time.Millisecond
 
 type (
-	// Greeter accepts clients. Set the exported fields, then call Run.
-	Greeter struct {
+	// Acceptor accepts clients. Set the exported fields, then call Run.
+	Acceptor struct {
 		Address string
 		Network networker.Network
 		Log     log.Logger
@@ -49,7 +49,7 @@
 		Cancel func(ctx context.Context, pid, secret uint32)
 		// Authentication is the authentication method; if empty, all clients are refused.
 		Authentication loader.Authentication
-		// EncryptionMode says whether TLS is off, allowed or required; TLS has the certificate.
+		// EncryptionMode is whether TLS is off, allowed or required; TLS has the certificate.
 		EncryptionMode loader.EncryptionMode
 		TLS            *tls.Config
 		// Verifier returns the password verifier of a user, empty for an unknown one.
@@ -69,7 +69,7 @@
 )
 
 // Run accepts clients until the context ends, then waits for their sessions.
-func (g *Greeter) Run(ctx context.Context) error {
+func (g *Acceptor) Run(ctx context.Context) error {
 	g.defaults()
 	l, err := g.listen()
 	if err != nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-func (g *Greeter) defaults() {
+func (g *Acceptor) defaults() {
 	if g.Limits.Callers == 0 {
 		g.Limits.Callers = loader.DefaultCallers
 	}
@@ -113,13 +113,13 @@
 	}
 }
 
-func (g *Greeter) count(name string) {
+func (g *Acceptor) count(name string) {
 	if g.Count != nil {
 		g.Count(name)
 	}
 }
 
-func (g *Greeter) listen() (net.Listener, error) {
+func (g *Acceptor) listen() (net.Listener, error) {
 	l, err := g.Network.Listen(g.Address)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for clients")
@@ -135,7 +135,7 @@
 
 // StopAccepting closes the listener, so that load balancers and drivers connect to another
 // instance. Existing sessions continue.
-func (g *Greeter) StopAccepting() {
+func (g *Acceptor) StopAccepting() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.stopped = true
@@ -145,21 +145,21 @@
 }
 
 // Callers returns the number of connected clients.
-func (g *Greeter) Callers() int {
+func (g *Acceptor) Callers() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.connected
 }
 
 // addClient counts a new client and returns the number now connected.
-func (g *Greeter) addClient() int {
+func (g *Acceptor) addClient() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.connected++
 	return g.connected
 }
 
-func (g *Greeter) removeClient() {
+func (g *Acceptor) removeClient() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.connected--
@@ -185,7 +185,7 @@
 	}
 }
 
-func (g *Greeter) serve(ctx context.Context, conn net.Conn, number int) error {
+func (g *Acceptor) serve(ctx context.Context, conn net.Conn, number int) error {
 	defer conn.Close()
 	if number > g.Limits.Callers+maxExcessClients {
 		g.count(countRefused + refuser.TooManyCallers.Name)
@@ -198,7 +198,7 @@
 	deadline := time.Now().Add(g.Limits.AuthenticationTimeout)
 	_ = conn.SetReadDeadline(deadline)
 	_ = conn.SetWriteDeadline(deadline.Add(refusalTimeout))
-	s := &startUp{greeter: g, conn: conn, overLimit: number > g.Limits.Callers}
+	s := &startUp{acceptor: g, conn: conn, overLimit: number > g.Limits.Callers}
 	defer func() { _ = s.conn.Close() }() // sends the TLS closing alert if TLS was started
 	startUpCtx, cancel := context.WithTimeout(ctx, g.Limits.AuthenticationTimeout)
 	defer cancel()
--- a/internal/acceptor/acceptor_test.go
+++ b/internal/acceptor/acceptor_test.go
@@ -16,7 +16,7 @@
 	"github.com/oriolegw/oriolegw/internal/acceptor"
 	"github.com/oriolegw/oriolegw/internal/loader"
 	"github.com/oriolegw/oriolegw/internal/relayer"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/oriolegw/oriolegw/pkg/refuser"
 	"github.com/shoenig/test/must"
 )
@@ -28,27 +28,27 @@
 
 type harness struct {
 	*testing.T
-	greeter    *acceptor.Greeter
-	client     *wirer.Host
+	acceptor   *acceptor.Acceptor
+	client     *netsimulator.Host
 	parameters map[string]string
 }
 
-// runGreeter runs a greeter on virtual time. Its clients complete the start-up but get no session.
-func runGreeter(t *testing.T, change func(*acceptor.Greeter), run func(*harness)) {
+// runAcceptor runs an acceptor on virtual time. Its clients complete the start-up but get no session.
+func runAcceptor(t *testing.T, change func(*acceptor.Acceptor), run func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		n := wirer.New(1)
+		n := netsimulator.New(1)
 		s := &harness{T: t, client: n.Host("10.0.0.2", "a")}
-		s.greeter = &acceptor.Greeter{
+		s.acceptor = &acceptor.Acceptor{
 			Address: address, Network: n.Host("10.0.0.1", "a"), Log: log.NewNopLogger(), Authentication: loader.AuthenticationTrust,
 			Open: func(p map[string]string) (*relayer.Session, *refuser.Refusal) {
 				s.parameters = p
 				return nil, refuser.New(accepted, "start-up complete")
 			},
 		}
-		change(s.greeter)
+		change(s.acceptor)
 		stopped := make(chan error, 1)
-		go func() { stopped <- s.greeter.Run(ctx) }()
+		go func() { stopped <- s.acceptor.Run(ctx) }()
 		synctest.Wait()
 		run(s)
 		cancel()
@@ -56,29 +56,29 @@
 	})
 }
 
-func (s *harness) dial() net.Conn {
-	s.Helper()
-	c, err := s.client.Dial(s.Context(), address)
-	must.NoError(s.T, err)
+func (h *harness) dial() net.Conn {
+	h.Helper()
+	c, err := h.client.Dial(h.Context(), address)
+	must.NoError(h.T, err)
 	return c
 }
 
 // requireRefusal checks that the connection ends with the given refusal.
-func (s *harness) requireRefusal(c net.Conn, want *refuser.Reason) {
-	s.Helper()
+func (h *harness) requireRefusal(c net.Conn, want *refuser.Reason) {
+	h.Helper()
 	f := pgproto3.NewFrontend(c, c)
 	for {
 		m, err := f.Receive()
-		must.NoError(s.T, err)
+		must.NoError(h.T, err)
 		e, ok := m.(*pgproto3.ErrorResponse)
 		if !ok {
 			continue
 		}
 		code, _, _ := refuser.Parse(e.Hint)
-		must.Eq(s.T, want.Code, code, must.Sprint(e.Detail))
-		must.Eq(s.T, want.SQLState, e.Code)
+		must.Eq(h.T, want.Code, code, must.Sprint(e.Detail))
+		must.Eq(h.T, want.SQLState, e.Code)
 		_, err = c.Read(make([]byte, 1))
-		must.ErrorIs(s.T, err, io.EOF)
+		must.ErrorIs(h.T, err, io.EOF)
 		return
 	}
 }
@@ -137,7 +137,7 @@
 		"repeated TLS request": {bytes.Repeat(encode(&pgproto3.SSLRequest{}), 3), refuser.BadStartUp, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			runGreeter(t, func(*acceptor.Greeter) {}, func(s *harness) {
+			runAcceptor(t, func(*acceptor.Acceptor) {}, func(s *harness) {
 				conn := s.dial()
 				_, err := conn.Write(c.stream)
 				must.NoError(s, err)
@@ -160,7 +160,7 @@
 		`-c oriole.kind=past\ sheets -c search_path=a\\`: "past sheets",
 	} {
 		t.Run(options, func(t *testing.T) {
-			runGreeter(t, func(*acceptor.Greeter) {}, func(s *harness) {
+			runAcceptor(t, func(*acceptor.Acceptor) {}, func(s *harness) {
 				conn := s.dial()
 				_, err := conn.Write(startUp(pgproto3.ProtocolVersion30, userParameters("options", options)))
 				must.NoError(s, err)
@@ -174,7 +174,7 @@
 // A client that sends nothing or single bytes is refused at the start-up timeout and no longer
 // counts as connected.
 func TestSlowStartUp(t *testing.T) {
-	runGreeter(t, func(g *acceptor.Greeter) { g.Limits.AuthenticationTimeout = 2 * time.Second }, func(s *harness) {
+	runAcceptor(t, func(g *acceptor.Acceptor) { g.Limits.AuthenticationTimeout = 2 * time.Second }, func(s *harness) {
 		conn := s.dial()
 		start := time.Now()
 		for range 3 {
@@ -185,13 +185,13 @@
 		s.requireRefusal(conn, refuser.StartUpTimeout)
 		must.Eq(s, 2*time.Second, time.Since(start))
 		synctest.Wait()
-		must.Eq(s, 0, s.greeter.Callers())
+		must.Eq(s, 0, s.acceptor.Callers())
 	})
 }
 
 // A client above the limit is refused; after another disconnects, the next one is served.
 func TestTooManyCallers(t *testing.T) {
-	runGreeter(t, func(g *acceptor.Greeter) { g.Limits.Callers = 1 }, func(s *harness) {
+	runAcceptor(t, func(g *acceptor.Acceptor) { g.Limits.Callers = 1 }, func(s *harness) {
 		first, second := s.dial(), s.dial()
 		synctest.Wait()
 		_, err := second.Write(startUp(pgproto3.ProtocolVersion30, userParameters()))
@@ -208,7 +208,7 @@
 
 // With TLS required, an unencrypted start-up is refused without a password request.
 func TestEncryptionRequired(t *testing.T) {
-	runGreeter(t, func(g *acceptor.Greeter) { g.EncryptionMode = loader.EncryptionRequire }, func(s *harness) {
+	runAcceptor(t, func(g *acceptor.Acceptor) { g.EncryptionMode = loader.EncryptionRequire }, func(s *harness) {
 		conn := s.dial()
 		_, err := conn.Write(startUp(pgproto3.ProtocolVersion30, userParameters()))
 		must.NoError(s, err)
@@ -218,10 +218,10 @@
 
 // After StopAccepting new connections fail, while a connected client is still served.
 func TestStopAccepting(t *testing.T) {
-	runGreeter(t, func(*acceptor.Greeter) {}, func(s *harness) {
+	runAcceptor(t, func(*acceptor.Acceptor) {}, func(s *harness) {
 		conn := s.dial()
 		synctest.Wait()
-		s.greeter.StopAccepting()
+		s.acceptor.StopAccepting()
 		_, err := s.client.Dial(s.Context(), address)
 		must.Error(s, err)
 		_, err = conn.Write(startUp(pgproto3.ProtocolVersion30, userParameters()))
@@ -230,22 +230,23 @@
 	})
 }
 
-// Arbitrary input gets a response or a closed connection, and the greeter keeps serving others.
+// FuzzStartUp checks that any input gets a response or a closed connection, and that other
+// clients are still served.
 func FuzzStartUp(f *testing.F) {
 	f.Add(startUp(pgproto3.ProtocolVersion30, userParameters()))
 	f.Add(append(encode(&pgproto3.SSLRequest{}), startUp(pgproto3.ProtocolVersion30, userParameters("options", `-c a=\`))...))
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
 	f.Add(requestCode(80877102))
 	f.Fuzz(func(t *testing.T, stream []byte) {
-		runGreeter(t, func(g *acceptor.Greeter) { g.Limits.AuthenticationTimeout = time.Second }, func(s *harness) {
+		runAcceptor(t, func(g *acceptor.Acceptor) { g.Limits.AuthenticationTimeout = time.Second }, func(s *harness) {
 			conn := s.dial()
 			_, err := conn.Write(stream)
 			must.NoError(s, err)
 			_, _ = io.ReadAll(conn)
-			again := s.dial()
-			_, err = again.Write(startUp(pgproto3.ProtocolVersion30, userParameters()))
+			second := s.dial()
+			_, err = second.Write(startUp(pgproto3.ProtocolVersion30, userParameters()))
 			must.NoError(s, err)
-			s.requireRefusal(again, accepted)
+			s.requireRefusal(second, accepted)
 		})
 	})
 }
--- a/internal/acceptor/authenticate.go
+++ b/internal/acceptor/authenticate.go
@@ -15,7 +15,7 @@
 
 // authenticate authenticates the client by the configured method.
 func (s *startUp) authenticate(ctx context.Context, user string) *refuser.Refusal {
-	switch s.greeter.Authentication {
+	switch s.acceptor.Authentication {
 	case loader.AuthenticationTrust:
 		return nil
 	case loader.AuthenticationPassword:
@@ -50,7 +50,7 @@
 }
 
 func (s *startUp) passwordMatches(ctx context.Context, user, password string) bool {
-	v, err := verifier.Parse(s.greeter.Verifier(user))
+	v, err := verifier.Parse(s.acceptor.Verifier(user))
 	if err != nil {
 		v = unknownUserVerifier
 	}
--- a/internal/acceptor/limiter.go
+++ b/internal/acceptor/limiter.go
@@ -35,13 +35,13 @@
 var errStartUpEnded = errors.New("start-up ended while waiting for CPU time")
 
 // run runs the work once it is admitted. It returns false if the context ended first.
-func (g workLimiter) run(ctx context.Context, work func()) bool {
+func (l workLimiter) run(ctx context.Context, work func()) bool {
 	select {
-	case g <- struct{}{}:
+	case l <- struct{}{}:
 	case <-ctx.Done():
 		return false
 	}
-	defer func() { <-g }()
+	defer func() { <-l }()
 	if ctx.Err() != nil { // both cases of the select were ready
 		return false
 	}
--- a/internal/acceptor/start.go
+++ b/internal/acceptor/startup.go
@@ -36,9 +36,9 @@
 
 // startUp carries out the start-up of one client connection.
 type startUp struct {
-	greeter *Greeter
-	conn    net.Conn
-	backend *pgproto3.Backend
+	acceptor *Acceptor
+	conn     net.Conn
+	backend  *pgproto3.Backend
 	// overLimit is set for a client above the limit, which receives only a refusal.
 	overLimit bool
 	// encrypted is set once TLS is active. encryptionRequests counts declined requests.
@@ -55,7 +55,7 @@
 		return nil, s.refuse(refusal)
 	}
 	if m == nil {
-		s.greeter.count(CountCancels)
+		s.acceptor.count(CountCancels)
 		return nil, nil
 	}
 	parameters, refusal := s.validate(m)
@@ -65,7 +65,7 @@
 	if refusal := s.authenticate(ctx, parameters[parameterUser]); refusal != nil {
 		return nil, s.refuse(refusal)
 	}
-	session, refusal := s.greeter.Open(parameters)
+	session, refusal := s.acceptor.Open(parameters)
 	if refusal != nil {
 		return nil, s.refuse(refusal)
 	}
@@ -92,8 +92,8 @@
 		case *pgproto3.StartupMessage:
 			return m, nil
 		case *pgproto3.CancelRequest:
-			if s.greeter.Cancel != nil && len(m.SecretKey) == cancelKeyBytes {
-				s.greeter.Cancel(ctx, m.ProcessID, binary.BigEndian.Uint32(m.SecretKey))
+			if s.acceptor.Cancel != nil && len(m.SecretKey) == cancelKeyBytes {
+				s.acceptor.Cancel(ctx, m.ProcessID, binary.BigEndian.Uint32(m.SecretKey))
 			}
 			return nil, nil
 		case *pgproto3.SSLRequest:
@@ -132,7 +132,7 @@
 // startTLS performs the TLS handshake. It replaces the backend, so that plaintext that was
 // already buffered, possibly injected by an attacker, is discarded.
 func (s *startUp) startTLS(ctx context.Context) *refuser.Refusal {
-	if s.greeter.TLS == nil || s.greeter.EncryptionMode == loader.EncryptionOff {
+	if s.acceptor.TLS == nil || s.acceptor.EncryptionMode == loader.EncryptionOff {
 		return s.declineEncryption()
 	}
 	if s.encrypted {
@@ -141,7 +141,7 @@
 	if _, err := s.conn.Write([]byte("S")); err != nil {
 		return receiveRefusal(err)
 	}
-	c := tls.Server(s.conn, s.greeter.TLS)
+	c := tls.Server(s.conn, s.acceptor.TLS)
 	if err := c.HandshakeContext(ctx); err != nil {
 		return receiveRefusal(errors.Wrap(err, "TLS"))
 	}
@@ -165,8 +165,8 @@
 	}
 	switch r := strings.ToLower(parameters[parameterReplication]); {
 	case s.overLimit:
-		return nil, refuser.New(refuser.TooManyCallers, "limit %d", s.greeter.Limits.Callers)
-	case s.greeter.EncryptionMode == loader.EncryptionRequire && !s.encrypted:
+		return nil, refuser.New(refuser.TooManyCallers, "limit %d", s.acceptor.Limits.Callers)
+	case s.acceptor.EncryptionMode == loader.EncryptionRequire && !s.encrypted:
 		return nil, refuser.New(refuser.EncryptionRequired, "use sslmode=require or stricter")
 	case parameters[parameterUser] == "":
 		return nil, refuser.New(refuser.BadStartUp, "no user given")
@@ -236,8 +236,8 @@
 
 // refuse sends a refusal to the client and returns it as an error.
 func (s *startUp) refuse(r *refuser.Refusal) error {
-	s.greeter.count(countRefused + r.Reason.Name)
-	s.greeter.count(CountFailed)
+	s.acceptor.count(countRefused + r.Reason.Name)
+	s.acceptor.count(CountFailed)
 	s.backend.Send(&pgproto3.ErrorResponse{
 		Severity: "FATAL", SeverityUnlocalized: "FATAL", Code: r.Reason.SQLState,
 		Message: r.Reason.Code + " " + r.Reason.Title, Detail: r.Detail, Hint: r.Hint(),
--- a/internal/accountant/accountant.go
+++ b/internal/accountant/accountant.go
@@ -43,8 +43,8 @@
 	// Active reports whether customers are configured, Limits returns the limits of all customers.
 	Active func() bool
 	Limits func() map[string]identifier.Limit
-	// CurrentAccountant returns the accountant's address, "" if unknown; self is set if this instance is the
-	// accountant.
+	// CurrentAccountant returns the accountant's address, "" if unknown; self is set if this
+	// instance is the accountant.
 	CurrentAccountant func() (address string, self bool)
 	// NoteFailed is called with the address of an instance that did not reply.
 	NoteFailed func(address string)
@@ -136,11 +136,11 @@
 func (a *Accountant) report(ctx context.Context) {
 	sent := a.Clock()
 	r := a.Meter.NextReport(sent)
-	x, ok := a.send(ctx, r)
+	reply, ok := a.send(ctx, r)
 	if !ok {
 		return
 	}
-	a.Meter.HandleReply(sent, x)
+	a.Meter.HandleReply(sent, reply)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	close(a.replied)
@@ -186,8 +186,8 @@
 			attempt = limiter.LastAttempt
 		}
 		next := a.nextReply()
-		v, retryAfter := a.Meter.Decide(a.Clock(), customer, limit, attempt)
-		switch v {
+		decision, retryAfter := a.Meter.Decide(a.Clock(), customer, limit, attempt)
+		switch decision {
 		case limiter.Admit:
 			return nil
 		case limiter.Refuse:
@@ -222,5 +222,6 @@
 	return nil
 }
 
-// UndoAdmit takes back an admitted operation that has not run. It implements lender.Pool's UndoAdmit.
+// UndoAdmit takes back an admitted operation that has not run. It implements lender.Pool's
+// UndoAdmit.
 func (a *Accountant) UndoAdmit(customer string) { a.Meter.Undo(a.Clock(), customer) }
--- a/internal/accountant/page.go
+++ b/internal/accountant/page.go
@@ -19,9 +19,9 @@
 		PerSecond, Burst float64
 		// Keys is the number of the customer's API keys.
 		Keys int
-		// IsAccountant is set if this instance is the accountant. Then Used is the number of operations in
-		// the limiter's window, Available can be leased now, Leased is outstanding, and Demand is
-		// the requested operations per second on all instances.
+		// IsAccountant is set if this instance is the accountant. Then Used is the number of
+		// operations in the limiter's window, Available can be leased now, Leased is outstanding,
+		// and Demand is the requested operations per second on all instances.
 		IsAccountant                    bool
 		Used, Available, Leased, Demand float64
 		// Connections is the number of this instance's connections for the customer.
--- a/internal/admitter/gate.go
+++ b/internal/admitter/gate.go
@@ -29,7 +29,7 @@
 
 	// ConnectionRequest describes the connection that a request needs.
 	ConnectionRequest struct {
-		Place pooler.Endpoint
+		Endpoint pooler.Endpoint
 		// User is the caller's user, which determines the customer.
 		User  string
 		Class Class
@@ -78,19 +78,19 @@
 
 // Borrow waits until the request is admitted and lends it a connection. The error is a
 // *refuser.Refusal if the request was refused, or an error of the pool.
-func (g *Gate) Borrow(ctx context.Context, o ConnectionRequest) (*pooler.Conn, error) {
-	id, err := g.awaitAdmission(ctx, o)
+func (g *Gate) Borrow(ctx context.Context, r ConnectionRequest) (*pooler.Conn, error) {
+	id, err := g.awaitAdmission(ctx, r)
 	if err != nil {
 		return nil, err
 	}
-	c, err := g.Pool.Borrow(ctx, o.Place)
+	c, err := g.Pool.Borrow(ctx, r.Endpoint)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if err != nil {
 		g.notify(g.queue.Finish(time.Now(), id, Outcome{Failed: true}))
 		return nil, err
 	}
-	if o.Class == ClassTransaction {
+	if r.Class == ClassTransaction {
 		g.Pool.MarkInTransaction(c)
 	}
 	g.checkouts[c] = checkout{id: id, since: time.Now()}
@@ -115,7 +115,7 @@
 func (g *Gate) DropIdle() { g.Pool.DropIdle() }
 
 // awaitAdmission waits until the request is admitted or refused.
-func (g *Gate) awaitAdmission(ctx context.Context, o ConnectionRequest) (uint64, error) {
+func (g *Gate) awaitAdmission(ctx context.Context, r ConnectionRequest) (uint64, error) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(maxWait)
@@ -125,7 +125,7 @@
 	id, decision := g.nextID, make(chan *refuser.Refusal, 1)
 	g.waiters[id] = decision
 	g.notify(g.queue.Enqueue(time.Now(), Request{
-		ID: id, Customer: g.users[o.User], Class: o.Class, Target: o.Place.Address, Deadline: deadline,
+		ID: id, Customer: g.users[r.User], Class: r.Class, Target: r.Endpoint.Address, Deadline: deadline,
 	}))
 	g.mutex.Unlock()
 	timer := time.NewTimer(min(time.Until(deadline), maxWait))
--- a/internal/admitter/queue.go
+++ b/internal/admitter/queue.go
@@ -327,7 +327,7 @@
 			shares += d.share
 		}
 	}
-	part := max(float64(q.Capacity)*c.share/shares, 0.1)
+	connections := max(float64(q.Capacity)*c.share/shares, 0.1)
 	var ahead time.Duration
 	for i := range c.classQueues {
 		n := len(c.classQueues[i].requests)
@@ -336,7 +336,7 @@
 		}
 		ahead += time.Duration(n) * q.costEstimate(Class(i))
 	}
-	return scale(ahead, 1/part)
+	return scale(ahead, 1/connections)
 }
 
 // withRetryAfter sets a refusal's retry hint: when the backlog is gone, plus up to half of
--- a/internal/admitter/simulate_test.go
+++ b/internal/admitter/simulate_test.go
@@ -91,8 +91,8 @@
 }
 
 // submitPeriodically schedules requests at a fixed interval.
-func (s *simulation) submitPeriodically(from, to, pace time.Duration, customer string, class admitter.Class) {
-	for at := from; at < to; at += pace {
+func (s *simulation) submitPeriodically(from, to, interval time.Duration, customer string, class admitter.Class) {
+	for at := from; at < to; at += interval {
 		s.submit(at, customer, class, "primary")
 	}
 }
--- a/internal/allocator/allocator.go
+++ b/internal/allocator/allocator.go
@@ -59,7 +59,7 @@
 	Slice struct {
 		// Instance is the name of this instance.
 		Instance string
-		// Random gives names that were never used, and spreads calls.
+		// Random generates unique names, and jitter for calls.
 		Random *rand.Rand
 
 		process      string
--- a/internal/allocator/allocator_test.go
+++ b/internal/allocator/allocator_test.go
@@ -24,26 +24,26 @@
 }
 
 func newFixture() *fixture {
-	p := &fixture{slice: &Slice{Instance: "entry-1", Random: rand.New(rand.NewPCG(1, 1))}, now: epoch}
-	p.step(configurer.Activated{Version: 1, Document: &configurer.Document{Services: []configurer.Service{{
+	f := &fixture{slice: &Slice{Instance: "entry-1", Random: rand.New(rand.NewPCG(1, 1))}, now: epoch}
+	f.step(configurer.Activated{Version: 1, Document: &configurer.Document{Services: []configurer.Service{{
 		Name: group, Connections: 20, Members: []configurer.Member{{Name: "m1", Address: "a1"}, {Name: "m2", Address: "a2"}},
 	}}}})
-	return p
+	return f
 }
 
-func (p *fixture) step(e controller.Event) []controller.Action { return p.slice.Step(p.now, e) }
+func (f *fixture) step(e controller.Event) []controller.Action { return f.slice.Step(f.now, e) }
 
-func (p *fixture) application() string { return p.slice.services[group].application }
+func (f *fixture) application() string { return f.slice.services[group].application }
 
 // reportHeld reports how many connections the pool holds under its current share.
-func (p *fixture) reportHeld(held int) {
-	p.step(Load{Service: group, Use: pooler.Usage{Share: p.slice.services[group].poolShare, Held: held}})
+func (f *fixture) reportHeld(held int) {
+	f.step(Load{Service: group, Use: pooler.Usage{Share: f.slice.services[group].poolShare, Held: held}})
 }
 
 // readLedgerWithOwn supplies a ledger in which the slice holds n connections.
-func (p *fixture) readLedgerWithOwn(n int, revision int64, others ...Holder) []controller.Action {
-	l := Ledger{Holders: others}.withHolder(Holder{Instance: "entry-1", Process: p.slice.process, Application: p.application(), Connections: n})
-	return p.step(ledgerRead{service: group, ledger: l, revision: revision})
+func (f *fixture) readLedgerWithOwn(n int, revision int64, others ...Holder) []controller.Action {
+	l := Ledger{Holders: others}.withHolder(Holder{Instance: "entry-1", Process: f.slice.process, Application: f.application(), Connections: n})
+	return f.step(ledgerRead{service: group, ledger: l, revision: revision})
 }
 
 func findAction[T controller.Action](actions []controller.Action) (found T, ok bool) {
@@ -81,60 +81,60 @@
 // The ledger must not fall before the pool, under its new limit, reports that the connection is
 // closed: another instance could open one more.
 func TestPoolShrinksBeforeLedger(t *testing.T) {
-	p := newFixture()
-	a := p.readLedgerWithOwn(2, 7, nineHolders()...)
-	must.Eq(t, 1, p.slice.services[group].poolShare.Connections)
+	f := newFixture()
+	a := f.readLedgerWithOwn(2, 7, nineHolders()...)
+	must.Eq(t, 1, f.slice.services[group].poolShare.Connections)
 	mustNotDo[writeLedger](t, a)
 
-	p.reportHeld(2)
-	mustNotDo[writeLedger](t, p.readLedgerWithOwn(2, 7, nineHolders()...))
+	f.reportHeld(2)
+	mustNotDo[writeLedger](t, f.readLedgerWithOwn(2, 7, nineHolders()...))
 	t.Run("a report from before the limit", func(t *testing.T) {
-		p.step(Load{Service: group, Use: pooler.Usage{Share: pooler.Share{Connections: 2, Application: p.application(), Version: 1}, Held: 0}})
-		mustNotDo[writeLedger](t, p.readLedgerWithOwn(2, 7, nineHolders()...))
+		f.step(Load{Service: group, Use: pooler.Usage{Share: pooler.Share{Connections: 2, Application: f.application(), Version: 1}, Held: 0}})
+		mustNotDo[writeLedger](t, f.readLedgerWithOwn(2, 7, nineHolders()...))
 	})
-	p.reportHeld(1)
-	w := mustDo[writeLedger](t, p.readLedgerWithOwn(2, 7, nineHolders()...))
+	f.reportHeld(1)
+	w := mustDo[writeLedger](t, f.readLedgerWithOwn(2, 7, nineHolders()...))
 	must.Eq(t, 19, w.ledger.Total())
 }
 
 // After an unanswered write of a lower share, the pool's limit stays low and the write is
 // repeated until the ledger has changed.
 func TestUnansweredWriteKeepsPoolLimitLow(t *testing.T) {
-	p := newFixture()
-	p.readLedgerWithOwn(2, 7, nineHolders()...)
-	p.reportHeld(1)
-	mustDo[writeLedger](t, p.readLedgerWithOwn(2, 7, nineHolders()...))
-	p.step(ledgerWritten{service: group, err: storer.ErrUnavailable})
-	a := p.readLedgerWithOwn(2, 7) // the others have left, so connections are free
+	f := newFixture()
+	f.readLedgerWithOwn(2, 7, nineHolders()...)
+	f.reportHeld(1)
+	mustDo[writeLedger](t, f.readLedgerWithOwn(2, 7, nineHolders()...))
+	f.step(ledgerWritten{service: group, err: storer.ErrUnavailable})
+	a := f.readLedgerWithOwn(2, 7) // the others have left, so connections are free
 	mustNotDo[PoolLimit](t, a)
 	must.Eq(t, 1, mustDo[writeLedger](t, a).ledger.Total())
-	a = p.readLedgerWithOwn(2, 8)
+	a = f.readLedgerWithOwn(2, 8)
 	must.Eq(t, 2, mustDo[PoolLimit](t, a).Share.Connections)
 }
 
 // A holder whose key is missing is evicted only after missingTimeout, since it may be about to
 // register again after an outage of the store.
 func TestMissingHolderIsEvictedAfterTimeout(t *testing.T) {
-	p := newFixture()
+	f := newFixture()
 	other := Holder{Instance: "other", Process: "other/1", Application: "other/x", Connections: 2}
-	p.readLedgerWithOwn(4, 7, other)
-	p.reportHeld(0)
-	p.readLedgerWithOwn(3, 7, other)
-	c := mustDo[checkProcess](t, p.readLedgerWithOwn(3, 8, other))
+	f.readLedgerWithOwn(4, 7, other)
+	f.reportHeld(0)
+	f.readLedgerWithOwn(3, 7, other)
+	c := mustDo[checkProcess](t, f.readLedgerWithOwn(3, 8, other))
 	notLive := processChecked{service: group, process: c.process}
-	mustNotDo[Evict](t, p.step(notLive))
-	p.now = p.now.Add(missingTimeout - time.Second)
-	mustNotDo[Evict](t, p.step(notLive))
-	p.step(processChecked{service: group, process: c.process, live: true})
-	mustNotDo[Evict](t, p.step(notLive))
-	p.now = p.now.Add(missingTimeout)
-	e := mustDo[Evict](t, p.step(notLive))
+	mustNotDo[Evict](t, f.step(notLive))
+	f.now = f.now.Add(missingTimeout - time.Second)
+	mustNotDo[Evict](t, f.step(notLive))
+	f.step(processChecked{service: group, process: c.process, live: true})
+	mustNotDo[Evict](t, f.step(notLive))
+	f.now = f.now.Add(missingTimeout)
+	e := mustDo[Evict](t, f.step(notLive))
 	must.Eq(t, Evict{Service: group, Application: "other/x", Addresses: []string{"a1", "a2"}}, e)
 
 	t.Run("a member has not ended all", func(t *testing.T) {
-		mustNotDo[writeLedger](t, p.step(Evicted{Service: group, Application: "other/x", Err: errSessionsRemain}))
+		mustNotDo[writeLedger](t, f.step(Evicted{Service: group, Application: "other/x", Err: errSessionsRemain}))
 	})
-	w := mustDo[writeLedger](t, p.step(Evicted{Service: group, Application: "other/x"}))
+	w := mustDo[writeLedger](t, f.step(Evicted{Service: group, Application: "other/x"}))
 	_, left := w.ledger.find("other/x")
 	must.False(t, left)
 }
@@ -142,10 +142,10 @@
 // An instance that finds itself evicted stops using its old name at once and requests a share
 // under a new one.
 func TestEvictedInstanceUsesNewName(t *testing.T) {
-	p := newFixture()
-	p.readLedgerWithOwn(2, 7)
-	old := p.application()
-	a := p.step(ledgerRead{service: group, revision: 9})
+	f := newFixture()
+	f.readLedgerWithOwn(2, 7)
+	old := f.application()
+	a := f.step(ledgerRead{service: group, revision: 9})
 	must.Eq(t, 0, mustDo[PoolLimit](t, a).Share.Connections)
 	w := mustDo[writeLedger](t, a)
 	must.NotEq(t, old, w.ledger.Holders[0].Application)
@@ -154,22 +154,22 @@
 // The share of an earlier process of the same instance is taken back without waiting for its
 // lease.
 func TestPredecessorIsEvictedAtOnce(t *testing.T) {
-	p := newFixture()
+	f := newFixture()
 	old := Holder{Instance: "entry-1", Process: "entry-1/old", Application: "entry-1/old-x", Connections: 2}
-	a := p.step(ledgerRead{service: group, ledger: Ledger{Holders: []Holder{old}}, revision: 7})
+	a := f.step(ledgerRead{service: group, ledger: Ledger{Holders: []Holder{old}}, revision: 7})
 	must.Eq(t, "entry-1/old-x", mustDo[Evict](t, a).Application)
 }
 
 // A name refused by a target but still in the ledger, after an incomplete eviction, is released
 // once the pool holds nothing.
 func TestRevokedNameIsReleased(t *testing.T) {
-	p := newFixture()
-	p.readLedgerWithOwn(2, 7)
-	p.step(Load{Service: group, Use: pooler.Usage{Share: p.slice.services[group].poolShare, Held: 1, Revoked: true}})
-	a := p.readLedgerWithOwn(2, 7)
+	f := newFixture()
+	f.readLedgerWithOwn(2, 7)
+	f.step(Load{Service: group, Use: pooler.Usage{Share: f.slice.services[group].poolShare, Held: 1, Revoked: true}})
+	a := f.readLedgerWithOwn(2, 7)
 	must.Eq(t, 0, mustDo[PoolLimit](t, a).Share.Connections)
-	p.step(Load{Service: group, Use: pooler.Usage{Share: p.slice.services[group].poolShare, Held: 0, Revoked: true}})
-	must.Eq(t, 0, mustDo[writeLedger](t, p.readLedgerWithOwn(2, 7)).ledger.Total())
+	f.step(Load{Service: group, Use: pooler.Usage{Share: f.slice.services[group].poolShare, Held: 0, Revoked: true}})
+	must.Eq(t, 0, mustDo[writeLedger](t, f.readLedgerWithOwn(2, 7)).ledger.Total())
 }
 
 func TestDesiredConnections(t *testing.T) {
--- a/internal/allocator/budget_test.go
+++ b/internal/allocator/budget_test.go
@@ -179,7 +179,7 @@
 
 func (f *fleet) pauseInstance(e *stager.Instance) {
 	for _, zone := range append([]string{"platform", "callers"}, f.Plan.Zones...) {
-		f.Network.Cut(e.IP, zone)
+		f.Network.Partition(e.IP, zone)
 	}
 }
 
@@ -190,7 +190,7 @@
 		f.startClients(1)
 		time.Sleep(5 * time.Second)
 		for _, z := range []string{"b", "c", "platform"} {
-			f.Network.Cut("a", z)
+			f.Network.Partition("a", z)
 		}
 		time.Sleep(80 * time.Second)
 		f.Network.HealAll()
@@ -243,9 +243,9 @@
 		case 2:
 			f.pauseInstance(e)
 		case 3:
-			f.Network.Cut(f.Plan.Zones[random.IntN(3)], "platform")
+			f.Network.Partition(f.Plan.Zones[random.IntN(3)], "platform")
 		case 4:
-			f.Network.Cut("a", []string{"b", "c"}[random.IntN(2)])
+			f.Network.Partition("a", []string{"b", "c"}[random.IntN(2)])
 		case 5:
 			m.Faults.Freeze()
 		case 6:
--- a/internal/canceller/table.go
+++ b/internal/canceller/table.go
@@ -40,7 +40,7 @@
 	}
 )
 
-// The PostgreSQL protocol has no reply to a cancel request, so the caller never sees these
+// The PostgreSQL protocol has no reply to a cancel request, so the client never sees these
 // errors.
 var (
 	// ErrFull means that all session numbers are in use.
@@ -86,8 +86,8 @@
 	delete(t.sessions, uint16(k.PID))
 }
 
-// Cancel cancels the request of the session with the key, here or on the instance that issued
-// it.
+// Cancel cancels the request of the session with the key, on this instance or on the one that
+// issued the key.
 func (t *Table) Cancel(ctx context.Context, k Key) error {
 	tag := uint16(k.PID >> 16)
 	if tag == t.Tag {
--- a/internal/commander/evict.go
+++ b/internal/commander/evict.go
@@ -23,8 +23,8 @@
 	parameterEvictPID = "oriole.evict-pid"
 	parameterActivity = "oriole.activity"
 
-	// The results of AskActivity: the session runs a statement, is idle, or does not
-	// exist.
+	// ActivityRunning and the others are the results of SessionActivity: the session runs a
+	// statement, is idle, or does not exist.
 	ActivityRunning = "active"
 	ActivityIdle    = "idle"
 	ActivityAbsent  = "absent"
@@ -71,7 +71,7 @@
 }
 
 // Ping checks over a new connection that a target responds, by sending an SSLRequest. It
-// returns ErrUnreachable when nothing listens at the address and ErrSilent on a timeout.
+// returns ErrUnreachable when nothing listens at the address and ErrTimeout on a timeout.
 // The request needs no session and so no connection slot of the target.
 func Ping(ctx context.Context, n networker.Network, address string) error {
 	if err := probe(ctx, n, address); err != nil {
--- a/internal/commander/postgres.go
+++ b/internal/commander/postgres.go
@@ -26,8 +26,8 @@
 	ErrUnreachable = errors.New("target unreachable")
 	// ErrTimeout means that no response arrived in time, on a new connection either.
 	ErrTimeout = errors.New("target did not respond")
-	// ErrNoConnection means that this instance had no free connection for the command. It says
-	// nothing about the health of the target.
+	// ErrNoConnection means that this instance had no free connection for the command. It doesn't
+	// indicate a target failure.
 	ErrNoConnection = errors.New("all connections are busy")
 )
 
@@ -176,9 +176,9 @@
 	return r.status, r.err
 }
 
-// executePooled runs a control statement on a connection of Source.
+// executePooled runs a control statement on a connection of Pooled.
 func (p *Postgres) executePooled(ctx context.Context, address, sql string) (Status, error) {
-	rows, err := p.Pooled(ctx, address, sql, urgency(ctx, sql))
+	rows, err := p.Pooled(ctx, address, sql, priority(ctx, sql))
 	var refusal *pgconn.PgError
 	switch {
 	case errors.As(err, &refusal):
@@ -194,8 +194,8 @@
 }
 
 // awaitResult waits for the first response and starts the hedged attempt when it is due.
-func (l *targetConn) awaitResult(results chan result, start func(*conn), inFlight *int) result {
-	hedged := l.conn == nil
+func (t *targetConn) awaitResult(results chan result, start func(*conn), inFlight *int) result {
+	hedged := t.conn == nil
 	hedge := time.NewTimer(hedgeDelay)
 	defer hedge.Stop()
 	for {
@@ -203,11 +203,11 @@
 		case r := <-results:
 			*inFlight--
 			if r.err == nil || errors.Is(r.err, ErrRefused) {
-				l.replace(r.conn)
+				t.replace(r.conn)
 				return r
 			}
-			if r.conn == l.conn {
-				l.replace(nil)
+			if r.conn == t.conn {
+				t.replace(nil)
 			}
 			if *inFlight == 0 && hedged {
 				return r
@@ -226,11 +226,11 @@
 }
 
 // replace closes the persistent connection, if it is another, and sets the new one.
-func (l *targetConn) replace(c *conn) {
-	if l.conn != nil && l.conn != c {
-		_ = l.conn.Close()
+func (t *targetConn) replace(c *conn) {
+	if t.conn != nil && t.conn != c {
+		_ = t.conn.Close()
 	}
-	l.conn = c
+	t.conn = c
 }
 
 // attempt runs a control statement on one connection, a new one for nil.
@@ -336,11 +336,11 @@
 	if s.Replayed, err = orderer.Parse(string(row[4])); err != nil {
 		return Status{}, errors.Wrap(err, "replayed")
 	}
-	heard, err := strconv.ParseInt(string(row[7]), 10, 64)
+	age, err := strconv.ParseInt(string(row[7]), 10, 64)
 	if err != nil {
-		return Status{}, errors.Wrap(err, "heard")
+		return Status{}, errors.Wrap(err, "last message age")
 	}
-	s.LastMessageAge = time.Duration(heard) * time.Millisecond
+	s.LastMessageAge = time.Duration(age) * time.Millisecond
 	followers := map[string]string{}
 	if err := json.Unmarshal(row[5], &followers); err != nil {
 		return Status{}, errors.Wrap(err, "followers")
--- a/internal/commander/urgency.go
+++ b/internal/commander/priority.go
@@ -6,7 +6,7 @@
 	// Priority is the priority of a control statement when it waits for a connection.
 	Priority int
 
-	urgencyKey struct{}
+	priorityKey struct{}
 )
 
 const (
@@ -20,18 +20,18 @@
 
 // WithClientWaiting marks status requests as ones that a client waits for.
 func WithClientWaiting(ctx context.Context) context.Context {
-	return context.WithValue(ctx, urgencyKey{}, ClientWaiting)
+	return context.WithValue(ctx, priorityKey{}, ClientWaiting)
 }
 
 // WithFailover marks status requests as part of a failover or switchover.
 func WithFailover(ctx context.Context) context.Context {
-	return context.WithValue(ctx, urgencyKey{}, Failover)
+	return context.WithValue(ctx, priorityKey{}, Failover)
 }
 
-func urgency(ctx context.Context, sql string) Priority {
+func priority(ctx context.Context, sql string) Priority {
 	if sql != statusQuery {
 		return Failover
 	}
-	u, _ := ctx.Value(urgencyKey{}).(Priority)
+	u, _ := ctx.Value(priorityKey{}).(Priority)
 	return u
 }
--- a/internal/concentrator/concentrator_test.go
+++ b/internal/concentrator/concentrator_test.go
@@ -45,7 +45,7 @@
 
 // Guards against an uneven distribution of groups, and against a removed instance changing the
 // holders of other groups.
-func TestHolders(t *testing.T) {
+func TestRankHolders(t *testing.T) {
 	var all []concentrator.Candidate
 	for n := range 14 {
 		all = append(all, concentrator.Candidate{Name: fmt.Sprintf("edge-a-%d", n)})
@@ -65,7 +65,7 @@
 
 // Guards against a ranking that overloads small instances or that takes an unknown CPU limit for a
 // large one.
-func TestHoldersWeightedBySize(t *testing.T) {
+func TestRankHoldersWeightedBySize(t *testing.T) {
 	const smallMillicores, largeMillicores, groups = 192, 800, 20
 	var sized, unsized []concentrator.Candidate
 	millicores := map[string]int{}
--- a/internal/configurer/check.go
+++ b/internal/configurer/check.go
@@ -11,16 +11,16 @@
 // Limits of a document. They catch wrong units and typing errors, and bound the memory of an
 // instance.
 const (
-	maxServices    = 10000
-	maxUsers       = 10000
-	maxMembers     = 15
-	maxConnections = 10000
-	maxSlots       = 10000
-	maxHold        = time.Minute
-	maxRules       = 100
-	maxAge         = 24 * time.Hour
-	maxCustomers   = 1000
-	maxShare       = 1000
+	maxServices     = 10000
+	maxUsers        = 10000
+	maxMembers      = 15
+	maxConnections  = 10000
+	maxSlots        = 10000
+	maxFailoverWait = time.Minute
+	maxRules        = 100
+	maxAge          = 24 * time.Hour
+	maxCustomers    = 1000
+	maxShare        = 1000
 )
 
 // Check decodes a document and reports all its problems; the document is valid only if there
@@ -50,15 +50,15 @@
 	checkAddress, checkService, checkUser func(inspector.Node, string)
 }
 
-func (c *reader) readService(n inspector.Node) Service {
+func (r *reader) readService(n inspector.Node) Service {
 	var s Service
 	var members inspector.Node
 	n.Object(
-		inspector.Required("name", func(n inspector.Node) { s.Name = n.Name(); c.checkService(n, s.Name) }),
-		inspector.Required("members", func(n inspector.Node) { members = n; s.Members = c.readMembers(n) }),
+		inspector.Required("name", func(n inspector.Node) { s.Name = n.Name(); r.checkService(n, s.Name) }),
+		inspector.Required("members", func(n inspector.Node) { members = n; s.Members = r.readMembers(n) }),
 		inspector.Required("connections", func(n inspector.Node) { s.Connections = n.Int(1, maxConnections) }),
 		inspector.Required("slots", func(n inspector.Node) { s.Slots = n.Int(0, maxSlots) }),
-		inspector.Optional("hold-ms", func(n inspector.Node) { s.FailoverWait = n.Milliseconds(0, maxHold) }),
+		inspector.Optional("hold-ms", func(n inspector.Node) { s.FailoverWait = n.Milliseconds(0, maxFailoverWait) }),
 		inspector.Optional("reader-rules", func(n inspector.Node) { s.Rules = readRules(n) }),
 		inspector.Optional("customers", func(n inspector.Node) { s.Customers = readCustomers(n) }),
 	)
@@ -66,14 +66,14 @@
 	return s
 }
 
-func (c *reader) readMembers(n inspector.Node) []Member {
+func (r *reader) readMembers(n inspector.Node) []Member {
 	var out []Member
 	unique := inspector.Unique("member")
 	n.Elements(1, maxMembers, func(n inspector.Node) {
 		var m Member
 		n.Object(
 			inspector.Required("name", func(n inspector.Node) { m.Name = n.Name(); unique(n, m.Name) }),
-			inspector.Required("address", func(n inspector.Node) { m.Address = n.Address(); c.checkAddress(n, m.Address) }),
+			inspector.Required("address", func(n inspector.Node) { m.Address = n.Address(); r.checkAddress(n, m.Address) }),
 			inspector.Required("availability-zone", func(n inspector.Node) { m.Zone = n.Name() }),
 			inspector.Optional("leaving", func(n inspector.Node) { m.Leaving = n.Bool() }),
 		)
@@ -130,10 +130,10 @@
 	return out
 }
 
-func (c *reader) readUser(n inspector.Node) User {
+func (r *reader) readUser(n inspector.Node) User {
 	var u User
 	n.Object(
-		inspector.Required("name", func(n inspector.Node) { u.Name = n.Text(); c.checkUser(n, u.Name) }),
+		inspector.Required("name", func(n inspector.Node) { u.Name = n.Text(); r.checkUser(n, u.Name) }),
 		inspector.Required("password-verifier", func(n inspector.Node) {
 			u.Verifier = n.Text()
 			if _, err := verifier.Parse(u.Verifier); err != nil && u.Verifier != "" {
--- a/internal/configurer/check_test.go
+++ b/internal/configurer/check_test.go
@@ -87,7 +87,7 @@
 	must.Eq(t, time.Duration(0), d.Services[0].FailoverWait)
 }
 
-// Any input must yield either problems or a document that survives a round trip.
+// FuzzCheck checks that any input yields either problems or a document that survives a round trip.
 func FuzzCheck(f *testing.F) {
 	f.Add([]byte(minimalDocument))
 	f.Add(sample(f, "keyhold-document.json"))
--- a/internal/configurer/difference.go
+++ b/internal/configurer/patch.go
@@ -9,7 +9,7 @@
 )
 
 type (
-	// Patch transforms one text into another. Peers exchange differences because documents
+	// Patch transforms one text into another. Peers exchange patches because documents
 	// are large and most changes small.
 	Patch struct {
 		Steps []Step
@@ -34,7 +34,7 @@
 )
 
 // ErrPatchMismatch means that a patch does not fit its base.
-var ErrPatchMismatch = errors.New("difference does not fit its base")
+var ErrPatchMismatch = errors.New("patch does not fit its base")
 
 // splitChunks splits a text after lines selected by their checksums.
 func splitChunks(text []byte) [][]byte {
@@ -54,7 +54,7 @@
 	return out
 }
 
-// MakePatch returns the difference that transforms base into next.
+// MakePatch returns the patch that transforms base into next.
 func MakePatch(base, next []byte) Patch {
 	offsets := map[string]int{}
 	offset := 0
@@ -88,18 +88,18 @@
 }
 
 // Size returns the approximate encoded size in bytes.
-func (d Patch) Size() int {
-	n := len(d.Sum)
-	for _, s := range d.Steps {
+func (p Patch) Size() int {
+	n := len(p.Sum)
+	for _, s := range p.Steps {
 		n += stepOverheadBytes + len(s.Text)
 	}
 	return n
 }
 
-// Apply returns the text that the difference transforms base into.
-func (d Patch) Apply(base []byte) ([]byte, error) {
+// Apply returns the text that the patch transforms base into.
+func (p Patch) Apply(base []byte) ([]byte, error) {
 	var out []byte
-	for _, s := range d.Steps {
+	for _, s := range p.Steps {
 		if len(s.Text) > 0 {
 			out = append(out, s.Text...)
 			continue
@@ -109,7 +109,7 @@
 		}
 		out = append(out, base[s.From:s.To]...)
 	}
-	if sha256.Sum256(out) != d.Sum {
+	if sha256.Sum256(out) != p.Sum {
 		return nil, errors.Wrap(ErrPatchMismatch, "checksum mismatch")
 	}
 	return out, nil
--- a/internal/configurer/difference_test.go
+++ b/internal/configurer/patch_test.go
@@ -11,16 +11,15 @@
 )
 
 func encodedDocument(services int) []byte {
-	d := &configurer.Document{}
+	p := &configurer.Document{}
 	for i := range services {
-		d.Services = append(d.Services, configurer.Service{Name: fmt.Sprintf("service-%d", i), Connections: 60, Members: service("m1", "m2", "m3").Members})
+		p.Services = append(p.Services, configurer.Service{Name: fmt.Sprintf("service-%d", i), Connections: 60, Members: service("m1", "m2", "m3").Members})
 	}
-	return configurer.Encode(d)
+	return configurer.Encode(p)
 }
 
-// Applying the difference must yield the new document, and small changes must yield small
-// differences.
-func TestDifference(t *testing.T) {
+// Applying the patch must yield the new document, and small changes must yield small patches.
+func TestPatch(t *testing.T) {
 	base := encodedDocument(200)
 	for _, c := range []struct {
 		name string
@@ -35,17 +34,17 @@
 		{"nothing", nil, 100},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := configurer.MakePatch(base, c.next)
-			got, err := d.Apply(base)
+			p := configurer.MakePatch(base, c.next)
+			got, err := p.Apply(base)
 			must.NoError(t, err)
 			must.Eq(t, string(c.next), string(got))
-			must.LessEq(t, c.most, d.Size())
+			must.LessEq(t, c.most, p.Size())
 		})
 	}
 }
 
-// Applying the difference of any two texts to the first must yield the second.
-func TestDifferenceOfRandomTexts(t *testing.T) {
+// Applying the patch between any two texts to the first must yield the second.
+func TestPatchOfRandomTexts(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	line := func() []byte { return []byte(fmt.Sprintf("line %d\n", random.IntN(20))) }
 	for range 500 {
@@ -62,28 +61,27 @@
 	}
 }
 
-// A difference with a wrong base or invalid ranges must fail rather than yield a wrong
-// document.
-func TestDifferenceRejectsMismatch(t *testing.T) {
+// A patch with a wrong base or invalid ranges must fail rather than yield a wrong document.
+func TestPatchRejectsMismatch(t *testing.T) {
 	base := encodedDocument(10)
-	d := configurer.MakePatch(base, encodedDocument(11))
+	p := configurer.MakePatch(base, encodedDocument(11))
 	for name, bad := range map[string]func() error{
-		"other base": func() error { _, err := d.Apply(encodedDocument(9)); return err },
+		"other base": func() error { _, err := p.Apply(encodedDocument(9)); return err },
 		"base of the same length": func() error {
-			_, err := d.Apply(bytes.ReplaceAll(base, []byte(`": 60`), []byte(`": 61`)))
+			_, err := p.Apply(bytes.ReplaceAll(base, []byte(`": 60`), []byte(`": 61`)))
 			return err
 		},
-		"empty base": func() error { _, err := d.Apply(nil); return err },
+		"empty base": func() error { _, err := p.Apply(nil); return err },
 		"range too large": func() error {
-			d := d
-			d.Steps = []configurer.Step{{From: 0, To: 1 << 30}}
-			_, err := d.Apply(base)
+			p := p
+			p.Steps = []configurer.Step{{From: 0, To: 1 << 30}}
+			_, err := p.Apply(base)
 			return err
 		},
 		"range backwards": func() error {
-			d := d
-			d.Steps = []configurer.Step{{From: 9, To: 3}}
-			_, err := d.Apply(base)
+			p := p
+			p.Steps = []configurer.Step{{From: 9, To: 3}}
+			_, err := p.Apply(base)
 			return err
 		},
 	} {
--- a/internal/configurer/slice.go
+++ b/internal/configurer/slice.go
@@ -24,9 +24,9 @@
 	// watchTimeout ends a watch whose connection may be silently lost; the next watch returns
 	// missed changes.
 	watchTimeout = 10 * time.Second
-	// maxPrevious is how many earlier texts are kept as bases for differences.
+	// maxPrevious is how many earlier texts are kept as bases for patches.
 	maxPrevious = 4
-	// Backoff between store calls after failures.
+	// minBackoff and maxBackoff bound the pause between store calls after failures.
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = 4 * time.Second
 )
@@ -74,7 +74,7 @@
 	Fetch struct {
 		Address   string
 		NewerThan int64
-		// Base is the text in force, to which the peer may send a difference.
+		// Base is the text in force, to which the peer may send a patch.
 		Base []byte
 	}
 
@@ -152,7 +152,7 @@
 	case PeerVersion:
 		return s.fetchNewer(e)
 	case ReadResult:
-		return s.handleOffered(now, e)
+		return s.handleResult(now, e)
 	}
 	return nil
 }
@@ -185,7 +185,7 @@
 	return []controller.Action{Fetch{Address: e.Address, NewerThan: s.inForce, Base: s.text}}
 }
 
-func (s *Slice) handleOffered(now time.Time, e ReadResult) []controller.Action {
+func (s *Slice) handleResult(now time.Time, e ReadResult) []controller.Action {
 	out := s.apply(e)
 	if e.Source == SourcePeer {
 		s.fetching = false
@@ -221,7 +221,7 @@
 	return []controller.Action{controller.Emit{Event: Activated{Version: e.Version, Document: e.Document}}}
 }
 
-// keepText publishes the text for peers, with earlier texts as bases for differences.
+// keepText publishes the text for peers, with earlier texts as bases for patches.
 func (s *Slice) keepText(version int64, text []byte) {
 	if s.Active != nil {
 		next := &ActiveDocument{Version: version, Text: text}
@@ -234,13 +234,13 @@
 	s.inForce, s.text = version, text
 }
 
-// PatchFrom returns the difference from an older version if its text is kept and the
-// difference is less than half the size of the document.
-func (h *ActiveDocument) PatchFrom(from int64) (Patch, bool) {
-	for _, p := range h.Previous {
+// PatchFrom returns the patch from an older version if its text is kept and the patch is less
+// than half the size of the document.
+func (a *ActiveDocument) PatchFrom(from int64) (Patch, bool) {
+	for _, p := range a.Previous {
 		if p.Version == from {
-			d := MakePatch(p.Text, h.Text)
-			return d, d.Size() < len(h.Text)/2
+			d := MakePatch(p.Text, a.Text)
+			return d, d.Size() < len(a.Text)/2
 		}
 	}
 	return Patch{}, false
--- a/internal/configurer/slice_test.go
+++ b/internal/configurer/slice_test.go
@@ -12,11 +12,11 @@
 	"github.com/shoenig/test/must"
 )
 
-func offered(version int64, source configurer.Source) configurer.ReadResult {
+func readResult(version int64, source configurer.Source) configurer.ReadResult {
 	return configurer.ReadResult{Version: version, Document: &configurer.Document{}, Source: source}
 }
 
-func offeredInvalid(version int64) configurer.ReadResult {
+func invalidResult(version int64) configurer.ReadResult {
 	return configurer.ReadResult{Version: version, Err: errors.New("invalid"), Source: configurer.SourceStore}
 }
 
@@ -28,14 +28,14 @@
 		offered []configurer.ReadResult
 		want    []int64
 	}{
-		{"in order", []configurer.ReadResult{offered(3, store), offered(5, store)}, []int64{3, 5}},
-		{"late response from the store", []configurer.ReadResult{offered(5, store), offered(3, store)}, []int64{5}},
-		{"old peer", []configurer.ReadResult{offered(5, store), offered(4, peer)}, []int64{5}},
-		{"same twice", []configurer.ReadResult{offered(5, store), offered(5, peer)}, []int64{5}},
-		{"peer first", []configurer.ReadResult{offered(5, peer), offered(4, store), offered(6, store)}, []int64{5, 6}},
-		{"invalid in between", []configurer.ReadResult{offered(5, store), offeredInvalid(6), offered(7, store)}, []int64{5, 7}},
-		{"invalid at a new instance", []configurer.ReadResult{offeredInvalid(6), offered(5, peer)}, []int64{5}},
-		{"store unavailable", []configurer.ReadResult{{Err: errors.New("down"), Source: store}, offered(5, store)}, []int64{5}},
+		{"in order", []configurer.ReadResult{readResult(3, store), readResult(5, store)}, []int64{3, 5}},
+		{"late response from the store", []configurer.ReadResult{readResult(5, store), readResult(3, store)}, []int64{5}},
+		{"old peer", []configurer.ReadResult{readResult(5, store), readResult(4, peer)}, []int64{5}},
+		{"same twice", []configurer.ReadResult{readResult(5, store), readResult(5, peer)}, []int64{5}},
+		{"peer first", []configurer.ReadResult{readResult(5, peer), readResult(4, store), readResult(6, store)}, []int64{5, 6}},
+		{"invalid in between", []configurer.ReadResult{readResult(5, store), invalidResult(6), readResult(7, store)}, []int64{5, 7}},
+		{"invalid at a new instance", []configurer.ReadResult{invalidResult(6), readResult(5, peer)}, []int64{5}},
+		{"store unavailable", []configurer.ReadResult{{Err: errors.New("down"), Source: store}, readResult(5, store)}, []int64{5}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &configurer.Slice{Random: rand.New(rand.NewPCG(1, 1))}
@@ -64,9 +64,9 @@
 		want   string
 		answer configurer.ReadResult
 	}{
-		{"read-configuration", offered(3, configurer.SourceStore)},
+		{"read-configuration", readResult(3, configurer.SourceStore)},
 		{"watch-configuration", configurer.ReadResult{Err: errors.New("compacted"), Source: configurer.SourceWatch}},
-		{"read-configuration", offered(9, configurer.SourceStore)},
+		{"read-configuration", readResult(9, configurer.SourceStore)},
 		{"watch-configuration", configurer.ReadResult{Source: configurer.SourceWatch}},
 		{"watch-configuration", configurer.ReadResult{}},
 	} {
--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -28,21 +28,21 @@
 		// Member is empty when the newest term has no primary.
 		Member string
 		// Term is the term in which the member was primary.
-		Term uint64
-		On   bool
+		Term   uint64
+		Active bool
 		// Evidence describes the reason in one line.
 		Evidence string
 		// Age is the time since the last answered request was sent; negative if there is none.
 		Age time.Duration
 	}
 
-	// FailureAgreed is emitted when enough availability zones share a suspicion to act on it, and when
-	// that ends.
+	// FailureAgreed is emitted when enough availability zones share a suspicion to act on it, and
+	// when that ends.
 	FailureAgreed struct {
 		Service  string
 		Member   string
 		Term     uint64
-		On       bool
+		Active   bool
 		Evidence Evidence
 	}
 )
--- a/internal/detector/evidence.go
+++ b/internal/detector/evidence.go
@@ -15,16 +15,16 @@
 		return g.assessLeaderless(now)
 	}
 	g.leaderlessSince = time.Time{}
-	k := &g.view.Members[p]
-	if k.Failures == 0 {
+	m := &g.view.Members[p]
+	if m.Failures == 0 {
 		return g.assessStall(now, p)
 	}
 	g.stall = stall{}
-	failing := now.Sub(k.FailingSince)
+	failing := now.Sub(m.FailingSince)
 	switch {
-	case k.Failures < minFailures:
+	case m.Failures < minFailures:
 		return EvidenceNone
-	case k.Unreachable && failing >= refusedTimeout:
+	case m.Unreachable && failing >= refusedTimeout:
 		return EvidenceUnreachable
 	case failing >= silenceTimeout:
 		return EvidenceSilent
@@ -35,27 +35,27 @@
 // missesHeartbeats reports whether a replica misses the primary's heartbeats; known is false
 // without a recent status of it as a replica of this term.
 func (g *group) missesHeartbeats(now time.Time, i int) (missed, known bool) {
-	k := &g.view.Members[i]
-	if k.Failures > 0 || k.Status.Role != commander.RoleReplica || k.Status.Term != g.view.Term() || now.Sub(k.StatusAt) > maxReportAge {
+	m := &g.view.Members[i]
+	if m.Failures > 0 || m.Status.Role != commander.RoleReplica || m.Status.Term != g.view.Term() || now.Sub(m.StatusAt) > maxReportAge {
 		return false, false
 	}
-	return k.Status.LastMessageAge < 0 || k.Status.LastMessageAge >= heartbeatTimeout, true
+	return m.Status.LastMessageAge < 0 || m.Status.LastMessageAge >= heartbeatTimeout, true
 }
 
 // assessLeaderless detects a term without a primary: its promoter died, or the primary failed
 // before this instance observed it.
 func (g *group) assessLeaderless(now time.Time) Evidence {
 	var statusTimes []time.Time
-	for i, k := range g.view.Members {
+	for i, m := range g.view.Members {
 		missed, known := g.missesHeartbeats(now, i)
 		switch {
 		case known && !missed:
 			// The replica follows a primary that this instance cannot reach.
 			g.leaderlessSince = time.Time{}
 			return EvidenceNone
-		case k.Failures >= minFailures:
-		case !k.StatusAt.IsZero() && now.Sub(k.StatusAt) < maxReportAge:
-			statusTimes = append(statusTimes, k.StatusAt)
+		case m.Failures >= minFailures:
+		case !m.StatusAt.IsZero() && now.Sub(m.StatusAt) < maxReportAge:
+			statusTimes = append(statusTimes, m.StatusAt)
 		default: // unknown member, possibly the primary
 			g.leaderlessSince = time.Time{}
 			return EvidenceNone
@@ -144,12 +144,12 @@
 	}
 	failing := g.view.Members[p].FailingSince
 	suspecting, alive := map[string]bool{}, map[string]bool{}
-	for z, o := range g.zoneReports {
+	for z, r := range g.zoneReports {
 		switch {
-		case o.term != c.term || now.Sub(o.reportedAt) > maxReportAge:
-		case o.suspects:
+		case r.term != c.term || now.Sub(r.reportedAt) > maxReportAge:
+		case r.suspects:
 			suspecting[z] = true
-		case o.primaryAliveAt.After(failing) && now.Sub(o.primaryAliveAt) < maxReportAge:
+		case r.primaryAliveAt.After(failing) && now.Sub(r.primaryAliveAt) < maxReportAge:
 			alive[z] = true
 		}
 	}
@@ -177,9 +177,9 @@
 }
 
 // sorted returns the views by service name, so that results do not depend on map order.
-func (w Views) sorted() []*View {
-	out := make([]*View, 0, len(w))
-	for _, v := range w {
+func (vs Views) sorted() []*View {
+	out := make([]*View, 0, len(vs))
+	for _, v := range vs {
 		out = append(out, v)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Service.Name < out[j].Service.Name })
--- a/internal/detector/slice.go
+++ b/internal/detector/slice.go
@@ -188,7 +188,7 @@
 		g.current = next
 		if next.evidence != EvidenceNone {
 			out = append(out, g.emit(Suspected{
-				Service: g.view.Service.Name, Member: next.member, Term: next.term, On: true, Evidence: next.evidence.String(), Age: g.statusAge(now),
+				Service: g.view.Service.Name, Member: next.member, Term: next.term, Active: true, Evidence: next.evidence.String(), Age: g.statusAge(now),
 			}))
 		}
 	}
@@ -224,7 +224,7 @@
 
 func (g *group) agreedEvent(on bool) FailureAgreed {
 	c := g.current
-	return FailureAgreed{Service: g.view.Service.Name, Member: c.member, Term: c.term, On: on, Evidence: c.evidence}
+	return FailureAgreed{Service: g.view.Service.Name, Member: c.member, Term: c.term, Active: on, Evidence: c.evidence}
 }
 
 func (g *group) emit(e controller.Event) controller.Action { return controller.Emit{Event: e} }
--- a/internal/detector/slice_test.go
+++ b/internal/detector/slice_test.go
@@ -54,7 +54,7 @@
 	deliver := func(e controller.Event) {
 		for _, a := range append(s.Step(now, e), s.Step(now, controller.Tick{})...) {
 			if m, ok := a.(controller.Emit); ok {
-				if g, ok := m.Event.(detector.FailureAgreed); ok && g.On && agreed == 0 {
+				if g, ok := m.Event.(detector.FailureAgreed); ok && g.Active && agreed == 0 {
 					agreed = now.Sub(faultAt)
 				}
 			}
@@ -151,22 +151,22 @@
 // without a primary.
 func TestLeaderlessAfterSingleResponse(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		answer bool
-		agreed bool
+		name       string
+		responding bool
+		agreed     bool
 	}{
 		{"responses continue", true, true},
 		{"no free connection", false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			must.Eq(t, c.agreed, detectsLeaderless(c.answer))
+			must.Eq(t, c.agreed, detectsLeaderless(c.responding))
 		})
 	}
 }
 
 // detectsLeaderless reports whether a failure is agreed after a first response without a
-// primary; answer is whether the members keep responding.
-func detectsLeaderless(answer bool) (agreed bool) {
+// primary; responding is whether the members keep responding.
+func detectsLeaderless(responding bool) (agreed bool) {
 	s, now := &detector.Slice{Zone: "b"}, time.Unix(1000, 0)
 	service := configurer.Service{Name: "s", Members: []configurer.Member{{Name: "m-1"}, {Name: "m-2"}, {Name: "m-3"}}}
 	s.Step(now, configurer.Activated{Version: 1, Document: &configurer.Document{Services: []configurer.Service{service}}})
@@ -174,7 +174,7 @@
 		var out []controller.Action
 		for _, m := range service.Members {
 			o := observer.Observed{Service: "s", Member: m.Name, Started: now, Status: commander.Status{Role: commander.RoleFenced, Term: 2}}
-			if i > 0 && !answer {
+			if i > 0 && !responding {
 				o.Err = commander.ErrNoConnection
 			}
 			out = append(out, s.Step(now, o)...)
@@ -182,7 +182,7 @@
 		for _, a := range append(out, s.Step(now, controller.Tick{})...) {
 			if m, ok := a.(controller.Emit); ok {
 				e, ok := m.Event.(detector.FailureAgreed)
-				agreed = agreed || ok && e.On
+				agreed = agreed || ok && e.Active
 			}
 		}
 		now = now.Add(pollInterval)
--- a/internal/detector/view.go
+++ b/internal/detector/view.go
@@ -15,7 +15,8 @@
 		Status commander.Status
 		// StatusAt is when the request that returned Status was sent; zero is never.
 		StatusAt time.Time
-		// Failures counts consecutive unanswered requests; the first of them was sent at FailingSince.
+		// Failures counts consecutive unanswered requests; the first of them was sent at
+		// FailingSince.
 		Failures     int
 		FailingSince time.Time
 		// Unreachable is set when the last failed request was refused, not timed out.
@@ -33,12 +34,12 @@
 )
 
 // Apply returns the views of a newer configuration, and keeps the state of unchanged members.
-func (w Views) Apply(d *configurer.Document) Views {
+func (vs Views) Apply(d *configurer.Document) Views {
 	next := Views{}
 	for i := range d.Services {
 		s := &d.Services[i]
 		v := &View{Service: s, Members: make([]MemberState, len(s.Members))}
-		if old := w[s.Name]; old != nil {
+		if old := vs[s.Name]; old != nil {
 			for j, m := range s.Members {
 				if k := old.Index(m.Name); k >= 0 && old.Service.Members[k].Address == m.Address {
 					v.Members[j] = old.Members[k]
@@ -53,8 +54,8 @@
 // Observe processes the result of a status request. It returns nil for unknown groups and
 // members, and for observations of other instances, which neither show that this instance
 // reaches the member nor include its replication state.
-func (w Views) Observe(e observer.Observed) *View {
-	v := w[e.Service]
+func (vs Views) Observe(e observer.Observed) *View {
+	v := vs[e.Service]
 	if v == nil || e.From != "" {
 		return nil
 	}
--- a/internal/discoverer/discoverer.go
+++ b/internal/discoverer/discoverer.go
@@ -85,13 +85,13 @@
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for name, k := range d.peers {
-		if k.Address == p.Address && name != p.Name {
+	for name, s := range d.peers {
+		if s.Address == p.Address && name != p.Name {
 			delete(d.peers, name)
 		}
 	}
-	k := d.peerState(p)
-	*k = peerState{Peer: p, lastSeen: now, contacted: true}
+	s := d.peerState(p)
+	*s = peerState{Peer: p, lastSeen: now, contacted: true}
 	d.evict(p.Zone)
 }
 
@@ -103,7 +103,7 @@
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if k, ok := d.peers[p.Name]; ok && k.contacted {
+	if s, ok := d.peers[p.Name]; ok && s.contacted {
 		return
 	}
 	d.peerState(p).lastSeen = now
@@ -115,13 +115,13 @@
 	if d.peers == nil {
 		d.peers = map[string]*peerState{}
 	}
-	k, ok := d.peers[p.Name]
+	s, ok := d.peers[p.Name]
 	if !ok {
-		k = &peerState{Peer: p}
-		d.peers[p.Name] = k
+		s = &peerState{Peer: p}
+		d.peers[p.Name] = s
 		d.added++
 	}
-	return k
+	return s
 }
 
 // AddedCount returns how many peers were added since the start. Callers that cache results derived
@@ -136,15 +136,15 @@
 func (d *Discoverer) RecordFailure(now tracker.Timestamp, address string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for name, k := range d.peers {
-		if k.Address != address {
+	for name, s := range d.peers {
+		if s.Address != address {
 			continue
 		}
-		if k.failures == 0 {
-			k.failingSince = now
+		if s.failures == 0 {
+			s.failingSince = now
 		}
-		k.failures, k.failedAt = k.failures+1, now
-		if now-k.lastSeen > peerRetention {
+		s.failures, s.failedAt = s.failures+1, now
+		if now-s.lastSeen > peerRetention {
 			delete(d.peers, name)
 		}
 	}
@@ -154,11 +154,11 @@
 func (d *Discoverer) Failing(name string) (bool, tracker.Timestamp) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	k, ok := d.peers[name]
-	if !ok || k.failures == 0 {
+	s, ok := d.peers[name]
+	if !ok || s.failures == 0 {
 		return false, 0
 	}
-	return true, k.failingSince
+	return true, s.failingSince
 }
 
 // Peers returns the available peers, nearest zones first. The order within a zone is random
@@ -167,9 +167,9 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var list []Peer
-	for _, k := range d.peers {
-		if k.available(now) {
-			list = append(list, k.Peer)
+	for _, s := range d.peers {
+		if s.available(now) {
+			list = append(list, s.Peer)
 		}
 	}
 	slices.SortFunc(list, func(a, b Peer) int { return cmp.Compare(a.Name, b.Name) })
@@ -200,9 +200,9 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var list []Peer
-	for _, k := range d.peers {
-		if k.Zone == d.Self.Zone {
-			list = append(list, k.Peer)
+	for _, s := range d.peers {
+		if s.Zone == d.Self.Zone {
+			list = append(list, s.Peer)
 		}
 	}
 	slices.SortFunc(list, func(a, b Peer) int {
@@ -228,7 +228,7 @@
 	list := d.Peers(now)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	list = slices.DeleteFunc(list, func(p Peer) bool { k := d.peers[p.Name]; return k == nil || k.contacted })
+	list = slices.DeleteFunc(list, func(p Peer) bool { s := d.peers[p.Name]; return s == nil || s.contacted })
 	return list[:min(n, len(list))]
 }
 
@@ -254,8 +254,8 @@
 func (d *Discoverer) OwnZone(now tracker.Timestamp) []Peer { return d.peersWithin(now, zoneDistance) }
 
 // OwnRegion returns this instance and the available peers of its region, unordered.
-func (i *Discoverer) OwnRegion(now tracker.Timestamp) []Peer {
-	return i.peersWithin(now, regionDistance)
+func (d *Discoverer) OwnRegion(now tracker.Timestamp) []Peer {
+	return d.peersWithin(now, regionDistance)
 }
 
 // InZone returns the available instances of a zone, which may include this one, unordered.
@@ -266,9 +266,9 @@
 	if zone == d.Self.Zone {
 		list = append(list, d.Self)
 	}
-	for _, k := range d.peers {
-		if k.Zone == zone && k.available(now) {
-			list = append(list, k.Peer)
+	for _, s := range d.peers {
+		if s.Zone == zone && s.available(now) {
+			list = append(list, s.Peer)
 		}
 	}
 	return list
@@ -280,8 +280,8 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	list := []Peer{d.Self}
-	for _, k := range d.peers {
-		list = append(list, k.Peer)
+	for _, s := range d.peers {
+		list = append(list, s.Peer)
 	}
 	return list
 }
@@ -292,21 +292,21 @@
 }
 
 // peersWithin returns this instance and the available peers up to a distance.
-func (i *Discoverer) peersWithin(now tracker.Timestamp, distance int) []Peer {
-	i.mutex.Lock()
-	defer i.mutex.Unlock()
-	list := []Peer{i.Self}
-	for _, k := range i.peers {
-		if k.available(now) && i.distance(k.Peer) <= distance {
-			list = append(list, k.Peer)
+func (d *Discoverer) peersWithin(now tracker.Timestamp, distance int) []Peer {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	list := []Peer{d.Self}
+	for _, s := range d.peers {
+		if s.available(now) && d.distance(s.Peer) <= distance {
+			list = append(list, s.Peer)
 		}
 	}
 	return list
 }
 
 // available reports whether a peer is presumed to be reachable.
-func (k *peerState) available(now tracker.Timestamp) bool {
-	return k.failures < maxFailures || now-k.failedAt > unavailablePeriod
+func (s *peerState) available(now tracker.Timestamp) bool {
+	return s.failures < maxFailures || now-s.failedAt > unavailablePeriod
 }
 
 // evict removes the least recently seen peers of a zone that exceeds its limit.
@@ -314,23 +314,23 @@
 	if len(d.peers) <= maxPeersNearZone {
 		return
 	}
-	kept := maxPeersRemoteZone
+	limit := maxPeersRemoteZone
 	if d.KeepAllZones.Load() || d.distance(Peer{Zone: zone}) <= regionDistance {
-		kept = maxPeersNearZone
+		limit = maxPeersNearZone
 	}
 	var list []*peerState
-	for _, k := range d.peers {
-		if k.Zone == zone {
-			list = append(list, k)
+	for _, s := range d.peers {
+		if s.Zone == zone {
+			list = append(list, s)
 		}
 	}
-	if len(list) <= kept {
+	if len(list) <= limit {
 		return
 	}
 	slices.SortFunc(list, func(a, b *peerState) int {
 		return cmp.Or(cmp.Compare(b.lastSeen, a.lastSeen), cmp.Compare(a.Name, b.Name))
 	})
-	for _, k := range list[kept:] {
-		delete(d.peers, k.Name)
+	for _, s := range list[limit:] {
+		delete(d.peers, s.Name)
 	}
 }
--- a/internal/dispatcher/access.go
+++ b/internal/dispatcher/access.go
@@ -33,7 +33,7 @@
 	r, ok := c.Routes[s.database]
 	if !ok {
 		if c.Customers != nil && !s.hasKey {
-			// Without a database name, the key may stand in its place: keep it out of the logs.
+			// Without a database name, the key may be sent instead of it: keep it out of the logs.
 			s.database = ""
 		}
 		return access{}, s.refuse(part, id, messenger.CodeUnknownDatabase, reasonForCode(messenger.CodeUnknownDatabase), s.database, "version", c.Version), false
@@ -59,11 +59,11 @@
 	case !s.hasKey:
 		return "", false
 	}
-	holder, ok := c.Customers.ByKey(s.key)
+	account, ok := c.Customers.ByKey(s.key)
 	if !ok {
 		return "", false
 	}
-	return holder.Name, true
+	return account.Name, true
 }
 
 // checkKey reports whether the open transaction may continue: the caller's key is valid or
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -15,8 +15,8 @@
 
 	"github.com/oriolegw/oriolegw/internal/dispatcher"
 	"github.com/oriolegw/oriolegw/internal/lender"
-	"github.com/oriolegw/oriolegw/internal/standin/liner"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
+	"github.com/oriolegw/oriolegw/internal/standin/groupsimulator"
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/oriolegw/oriolegw/internal/tracker"
 	"github.com/oriolegw/oriolegw/platform"
 	"github.com/shoenig/test/must"
@@ -31,8 +31,8 @@
 type (
 	// harness is one instance in front of one group of three members.
 	harness struct {
-		net          *wirer.Net
-		group        *liner.Group
+		net          *netsimulator.Net
+		group        *groupsimulator.Group
 		server       *dispatcher.Server
 		trackedGroup *tracker.Group
 		pool         *lender.Pool
@@ -65,73 +65,73 @@
 }
 
 // runHarness runs a test against an instance and a group whose replicas apply changes after a lag.
-func runHarness(t *testing.T, lag time.Duration, test func(t *testing.T, s *harness)) {
+func runHarness(t *testing.T, lag time.Duration, test func(t *testing.T, h *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		n := wirer.New(1)
-		n.Latency = func(_, _ *wirer.Host) time.Duration { return time.Millisecond }
-		s := &harness{net: n, group: &liner.Group{
-			Name: "g", Net: n, Travel: 2 * time.Millisecond, Lag: lag, Promotion: 600 * time.Millisecond, Connections: 20, Work: 5 * time.Millisecond,
+		n := netsimulator.New(1)
+		n.Latency = func(_, _ *netsimulator.Host) time.Duration { return time.Millisecond }
+		h := &harness{net: n, group: &groupsimulator.Group{
+			Name: "g", Net: n, ReplicationDelay: 2 * time.Millisecond, ApplyLag: lag, PromotionDelay: 600 * time.Millisecond, MaxConnections: 20, StatementTime: 5 * time.Millisecond,
 		}}
-		s.group.Start(ctx, "a", "b", "c")
+		h.group.Start(ctx, "a", "b", "c")
 		begin := time.Now()
-		s.clock = func() tracker.Timestamp { return time.Since(begin) + time.Hour }
-		s.trackedGroup = &tracker.Group{Name: "g", Zone: "b", SameRegion: func(zone string) bool { return zone == "b" }}
-		s.trackedGroup.SetMembers(s.group.Registered())
+		h.clock = func() tracker.Timestamp { return time.Since(begin) + time.Hour }
+		h.trackedGroup = &tracker.Group{Name: "g", Zone: "b", SameRegion: func(zone string) bool { return zone == "b" }}
+		h.trackedGroup.SetMembers(h.group.Registrations())
 		host := n.Host("10.8.0.1", "b")
-		s.pool = &lender.Pool{Group: s.trackedGroup, Network: host, Codec: platform.LineCodec{}, ClientName: "test", Clock: s.clock}
-		s.pool.Configure(20, nil)
+		h.pool = &lender.Pool{Group: h.trackedGroup, Network: host, Codec: platform.LineCodec{}, ClientName: "test", Clock: h.clock}
+		h.pool.Configure(20, nil)
 		c := &tracker.Configuration{Version: 1, Routes: routes, TransactionIdle: time.Second}
-		b := &dispatcher.Backend{Group: s.trackedGroup, Pool: s.pool, ReportSuspect: func(string) {}}
+		b := &dispatcher.Backend{Group: h.trackedGroup, Pool: h.pool, ReportSuspect: func(string) {}}
 		none := func(dispatcher.Reason) {}
-		s.server = &dispatcher.Server{
-			Address: address, Network: host, Codec: platform.LineCodec{}, Clock: s.clock,
+		h.server = &dispatcher.Server{
+			Address: address, Network: host, Codec: platform.LineCodec{}, Clock: h.clock,
 			Configuration: func() *tracker.Configuration {
-				if s.unconfigured.Load() {
+				if h.unconfigured.Load() {
 					return nil
 				}
 				return c
 			},
 			Backend:     func(string) *dispatcher.Backend { return b },
-			LogDecision: s.recordDecision, LogServed: func(...any) {},
-			Count: func(string) {}, CountRefused: s.recordRefusal, CountRetried: none, RecordServed: func(tracker.Route, time.Duration) {},
+			LogDecision: h.recordDecision, LogServed: func(...any) {},
+			Count: func(string) {}, CountRefused: h.recordRefusal, CountRetried: none, RecordServed: func(tracker.Route, time.Duration) {},
 		}
 		var running sync.WaitGroup
-		running.Go(func() { _ = s.pool.Run(ctx) })
-		running.Go(func() { _ = s.server.Run(ctx) })
+		running.Go(func() { _ = h.pool.Run(ctx) })
+		running.Go(func() { _ = h.server.Run(ctx) })
 		defer func() {
 			cancel()
 			running.Wait()
-			s.group.Wait()
+			h.group.Wait()
 			if t.Failed() {
-				t.Log(strings.Join(s.decisions, ""))
+				t.Log(strings.Join(h.decisions, ""))
 			}
 		}()
 		time.Sleep(connectDelay)
-		test(t, s)
+		test(t, h)
 	})
 }
 
-func (s *harness) recordDecision(part string, fields ...any) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.decisions = append(s.decisions, part+" "+fmt.Sprintln(fields...))
+func (h *harness) recordDecision(part string, fields ...any) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	h.decisions = append(h.decisions, part+" "+fmt.Sprintln(fields...))
 }
 
-func (s *harness) recordRefusal(r dispatcher.Reason) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.refusals = append(s.refusals, r)
+func (h *harness) recordRefusal(r dispatcher.Reason) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	h.refusals = append(h.refusals, r)
 }
 
 // connect opens a session.
-func (s *harness) connect(t *testing.T, database string) *client {
+func (h *harness) connect(t *testing.T, database string) *client {
 	t.Helper()
-	s.clients++
-	conn, err := s.net.Host(fmt.Sprintf("10.7.0.%d", s.clients), "b").Dial(t.Context(), address)
+	h.clients++
+	conn, err := h.net.Host(fmt.Sprintf("10.7.0.%d", h.clients), "b").Dial(t.Context(), address)
 	must.NoError(t, err)
-	c := &client{t: t, conn: conn, reader: bufio.NewReader(conn), name: fmt.Sprintf("c%d", s.clients)}
+	c := &client{t: t, conn: conn, reader: bufio.NewReader(conn), name: fmt.Sprintf("c%d", h.clients)}
 	fmt.Fprintf(conn, "STARTUP %s me\r\n", database)
 	must.Eq(t, "READY I -", c.readLine())
 	return c
@@ -166,10 +166,10 @@
 }
 
 // executions counts how often the members have run statements that contain a text.
-func (s *harness) executions(text string) int {
+func (h *harness) executions(text string) int {
 	n := 0
 	for _, id := range []string{"g-1", "g-2", "g-3"} {
-		for _, r := range s.group.Ran(id) {
+		for _, r := range h.group.Executed(id) {
 			if strings.Contains(r, text) {
 				n++
 			}
@@ -180,8 +180,8 @@
 
 // A read must see the session's own previous write although replicas lag.
 func TestReadYourWrites(t *testing.T) {
-	runHarness(t, 500*time.Millisecond, func(t *testing.T, s *harness) {
-		c := s.connect(t, "own")
+	runHarness(t, 500*time.Millisecond, func(t *testing.T, h *harness) {
+		c := h.connect(t, "own")
 		for i := range 20 {
 			must.Eq(t, "I", c.query(fmt.Sprintf("PUT k v%d", i)))
 			must.Eq(t, fmt.Sprintf("v%d I", i), c.query("FETCH k"))
@@ -192,12 +192,12 @@
 
 // A read with a staleness bound is served by the replica in the instance's zone.
 func TestBoundedStalenessReadUsesReplica(t *testing.T) {
-	runHarness(t, 20*time.Millisecond, func(t *testing.T, s *harness) {
-		w := s.connect(t, "strict")
+	runHarness(t, 20*time.Millisecond, func(t *testing.T, h *harness) {
+		w := h.connect(t, "strict")
 		must.Eq(t, "I", w.query("PUT k v"))
 		time.Sleep(time.Second)
-		must.Eq(t, "v I", s.connect(t, "bounded").query("FETCH k"))
-		must.Eq(t, 1, countContaining(s.group.Ran("g-2"), "FETCH k"))
+		must.Eq(t, "v I", h.connect(t, "bounded").query("FETCH k"))
+		must.Eq(t, 1, countContaining(h.group.Executed("g-2"), "FETCH k"))
 	})
 }
 
@@ -205,16 +205,16 @@
 	return len(slices.DeleteFunc(slices.Clone(list), func(x string) bool { return !strings.Contains(x, text) }))
 }
 
-// Another member was promoted, and this instance still takes the former primary for the
+// Another member was promoted, and this instance still considers the former primary to be the
 // primary. Reads and writes there must fail rather than return stale data.
 func TestFormerPrimaryReadsAreRejected(t *testing.T) {
-	runHarness(t, 0, func(t *testing.T, s *harness) {
-		c := s.connect(t, "strict")
+	runHarness(t, 0, func(t *testing.T, h *harness) {
+		c := h.connect(t, "strict")
 		must.Eq(t, "I", c.query("PUT k old"))
-		s.group.Isolate("g-1", "g-2", "g-3")
-		must.NoError(t, s.group.Promote("g-2"))
+		h.group.BlockReplication("g-1", "g-2", "g-3")
+		must.NoError(t, h.group.Promote("g-2"))
 		time.Sleep(time.Second)
-		must.Eq(t, "g-1", s.trackedGroup.Primary())
+		must.Eq(t, "g-1", h.trackedGroup.Primary())
 		must.Eq(t, "BUSY I", c.query("FETCH k"))
 		must.Eq(t, "BUSY I", c.query("PUT k new"))
 	})
@@ -222,11 +222,11 @@
 
 // A write whose reply is lost is reported as unknown and never sent again.
 func TestLostReplyReportsUnknownOutcome(t *testing.T) {
-	runHarness(t, 0, func(t *testing.T, s *harness) {
-		c := s.connect(t, "strict")
-		s.group.LoseAnswers("g-1", 1)
+	runHarness(t, 0, func(t *testing.T, h *harness) {
+		c := h.connect(t, "strict")
+		h.group.DropWriteResponses("g-1", 1)
 		must.Eq(t, "INDOUBT I", c.query("PUT k once"))
-		must.Eq(t, 1, s.executions("PUT k once"))
+		must.Eq(t, 1, h.executions("PUT k once"))
 		must.Eq(t, "once I", c.query("FETCH k"))
 	})
 }
@@ -234,28 +234,28 @@
 // A lost reply to a commit means an unknown outcome; a connection lost earlier means a rollback.
 func TestTransactionOutcome(t *testing.T) {
 	t.Run("reply to the commit is lost", func(t *testing.T) {
-		runHarness(t, 0, func(t *testing.T, s *harness) {
-			c := s.connect(t, "strict")
+		runHarness(t, 0, func(t *testing.T, h *harness) {
+			c := h.connect(t, "strict")
 			must.Eq(t, "T", c.query("BEGIN"))
 			must.Eq(t, "T", c.query("PUT k in"))
-			s.group.LoseAnswers("g-1", 1)
+			h.group.DropWriteResponses("g-1", 1)
 			must.Eq(t, "INDOUBT I", c.query("COMMIT"))
 		})
 	})
 	t.Run("primary crashes before the commit", func(t *testing.T) {
-		runHarness(t, 0, func(t *testing.T, s *harness) {
-			c := s.connect(t, "strict")
+		runHarness(t, 0, func(t *testing.T, h *harness) {
+			c := h.connect(t, "strict")
 			must.Eq(t, "T", c.query("BEGIN"))
 			must.Eq(t, "T", c.query("PUT k in"))
-			s.group.Crash("g-1")
+			h.group.Crash("g-1")
 			must.Eq(t, "ABORTED E", c.query("PUT k more"))
 			must.Eq(t, "MALFORMED E", c.query("FETCH k"))
 			must.Eq(t, "I", c.query("ROLLBACK"))
 		})
 	})
 	t.Run("caller is idle for too long", func(t *testing.T) {
-		runHarness(t, 0, func(t *testing.T, s *harness) {
-			c := s.connect(t, "strict")
+		runHarness(t, 0, func(t *testing.T, h *harness) {
+			c := h.connect(t, "strict")
 			must.Eq(t, "T", c.query("BEGIN"))
 			must.Eq(t, "T", c.query("PUT k in"))
 			time.Sleep(2 * time.Second)
@@ -264,13 +264,13 @@
 		})
 	})
 	t.Run("caller disconnects", func(t *testing.T) {
-		runHarness(t, 0, func(t *testing.T, s *harness) {
-			c := s.connect(t, "strict")
+		runHarness(t, 0, func(t *testing.T, h *harness) {
+			c := h.connect(t, "strict")
 			must.Eq(t, "T", c.query("BEGIN"))
 			must.Eq(t, "T", c.query("PUT k in"))
 			must.NoError(t, c.conn.Close())
 			time.Sleep(time.Second)
-			must.Eq(t, "none I", s.connect(t, "strict").query("FETCH k"))
+			must.Eq(t, "none I", h.connect(t, "strict").query("FETCH k"))
 		})
 	})
 }
@@ -278,8 +278,8 @@
 // Session values and prepared statements of one session must not be visible to another on a
 // shared member connection.
 func TestSessionStateIsIsolated(t *testing.T) {
-	runHarness(t, 0, func(t *testing.T, s *harness) {
-		a, b, plain := s.connect(t, "strict"), s.connect(t, "strict"), s.connect(t, "strict")
+	runHarness(t, 0, func(t *testing.T, h *harness) {
+		a, b, plain := h.connect(t, "strict"), h.connect(t, "strict"), h.connect(t, "strict")
 		must.Eq(t, "I", a.query("SET color red"))
 		must.Eq(t, "I", b.query("SET color blue"))
 		must.Eq(t, "I", b.query("SET size big"))
@@ -297,11 +297,11 @@
 
 // Draining closes idle sessions; a session in a transaction continues to its end.
 func TestDrain(t *testing.T) {
-	runHarness(t, 0, func(t *testing.T, s *harness) {
-		idle, open := s.connect(t, "strict"), s.connect(t, "strict")
+	runHarness(t, 0, func(t *testing.T, h *harness) {
+		idle, open := h.connect(t, "strict"), h.connect(t, "strict")
 		must.Eq(t, "T", open.query("BEGIN"))
 		must.Eq(t, "T", open.query("PUT k v"))
-		s.server.CloseSessions(false)
+		h.server.CloseSessions(false)
 		_, err := idle.reader.ReadByte()
 		must.Error(t, err)
 		time.Sleep(300 * time.Millisecond)
@@ -314,15 +314,15 @@
 
 // Malformed input affects only the session that sent it.
 func TestMalformedInput(t *testing.T) {
-	runHarness(t, 0, func(t *testing.T, s *harness) {
-		good := s.connect(t, "strict")
-		bad := s.connect(t, "strict")
+	runHarness(t, 0, func(t *testing.T, h *harness) {
+		good := h.connect(t, "strict")
+		bad := h.connect(t, "strict")
 		must.Eq(t, "MALFORMED I", bad.query("NONSENSE"))
 		must.Eq(t, "MALFORMED I", bad.query("BEGIN SOMETHING"))
 		must.Eq(t, "MALFORMED I", bad.query("COMMIT"))
 		must.Eq(t, "I", bad.query("PUT k v"))
 		must.Eq(t, "v I", good.query("FETCH k"))
-		conn, err := s.net.Host("10.7.1.1", "b").Dial(t.Context(), address)
+		conn, err := h.net.Host("10.7.1.1", "b").Dial(t.Context(), address)
 		must.NoError(t, err)
 		fmt.Fprintf(conn, "STARTUP nowhere me\r\n")
 		line, err := bufio.NewReader(conn).ReadString('\n')
@@ -333,9 +333,9 @@
 
 // Every refusal and failure is counted and logged with its reason and the statement's ID.
 func TestEveryRefusalIsLogged(t *testing.T) {
-	sendStart := func(line, want string) func(t *testing.T, s *harness) {
-		return func(t *testing.T, s *harness) {
-			conn, err := s.net.Host("10.7.9.9", "b").Dial(t.Context(), address)
+	sendStart := func(line, want string) func(t *testing.T, h *harness) {
+		return func(t *testing.T, h *harness) {
+			conn, err := h.net.Host("10.7.9.9", "b").Dial(t.Context(), address)
 			must.NoError(t, err)
 			fmt.Fprint(conn, line)
 			c := &client{t: t, conn: conn, reader: bufio.NewReader(conn)}
@@ -343,9 +343,9 @@
 			must.NoError(t, conn.Close())
 		}
 	}
-	runStatements := func(want string, texts ...string) func(t *testing.T, s *harness) {
-		return func(t *testing.T, s *harness) {
-			c := s.connect(t, "strict")
+	runStatements := func(want string, texts ...string) func(t *testing.T, h *harness) {
+		return func(t *testing.T, h *harness) {
+			c := h.connect(t, "strict")
 			var last string
 			for _, text := range texts {
 				last = c.query(text)
@@ -355,46 +355,46 @@
 	}
 	cases := []struct {
 		name   string
-		setup  func(s *harness)
-		run    func(t *testing.T, s *harness)
+		setup  func(h *harness)
+		run    func(t *testing.T, h *harness)
 		reason dispatcher.Reason
 		fields []string
 	}{
-		{"no configuration", func(s *harness) { s.unconfigured.Store(true) }, sendStart("STARTUP strict me\r\n", "ERROR BUSY no-configuration, not run, retry in "), dispatcher.ReasonNoConfiguration, []string{"strict", "10.7.9.9"}},
+		{"no configuration", func(h *harness) { h.unconfigured.Store(true) }, sendStart("STARTUP strict me\r\n", "ERROR BUSY no-configuration, not run, retry in "), dispatcher.ReasonNoConfiguration, []string{"strict", "10.7.9.9"}},
 		{"malformed start message", nil, sendStart("HELLO\r\n", "ERROR MALFORMED"), "malformed", []string{"10.7.9.9"}},
 		{"unknown database", nil, sendStart("STARTUP other me\r\n", "ERROR NODB"), "unknown-database", []string{"other"}},
 		{"malformed statement", nil, runStatements("MALFORMED I", "JUMP"), "malformed", []string{"c1-1"}},
 		{"commit without a transaction", nil, runStatements("MALFORMED I", "COMMIT"), "malformed", []string{"c1-1"}},
 		{"begin inside a transaction", nil, runStatements("MALFORMED T", "BEGIN", "BEGIN"), "malformed", []string{"c1-2"}},
 		{"unknown prepared statement", nil, runStatements("MALFORMED I", "EXECUTE s1 k"), "malformed", []string{"c1-1"}},
-		{"no connection to the primary", func(s *harness) { s.group.Crash("g-1") }, runStatements("BUSY I", "PUT k v", "PUT k v"), dispatcher.ReasonNoConnection, []string{"c1-2"}},
-		{"lost reply in a transaction", nil, func(t *testing.T, s *harness) {
-			c := s.connect(t, "strict")
+		{"no connection to the primary", func(h *harness) { h.group.Crash("g-1") }, runStatements("BUSY I", "PUT k v", "PUT k v"), dispatcher.ReasonNoConnection, []string{"c1-2"}},
+		{"lost reply in a transaction", nil, func(t *testing.T, h *harness) {
+			c := h.connect(t, "strict")
 			must.Eq(t, "T", c.query("BEGIN"))
-			s.group.LoseReads("g-1", 1)
+			h.group.DropReadResponses("g-1", 1)
 			must.Eq(t, "ABORTED E", c.query("FETCH k"))
 		}, dispatcher.ReasonNoAnswer, []string{"c1-2"}},
-		{"statement after a failed one in a transaction", nil, func(t *testing.T, s *harness) {
-			c := s.connect(t, "strict")
+		{"statement after a failed one in a transaction", nil, func(t *testing.T, h *harness) {
+			c := h.connect(t, "strict")
 			must.Eq(t, "T", c.query("BEGIN"))
-			s.group.LoseReads("g-1", 1)
+			h.group.DropReadResponses("g-1", 1)
 			must.Eq(t, "ABORTED E", c.query("FETCH k"))
 			must.Eq(t, "MALFORMED E", c.query("PUT k v"))
 			must.Eq(t, "ABORTED I", c.query("COMMIT"))
 		}, dispatcher.ReasonTransactionFailed, []string{"c1-4"}},
-		{"lost reply to a write", func(s *harness) { s.group.LoseAnswers("g-1", 1) }, runStatements("INDOUBT I", "PUT k v"), dispatcher.ReasonOutcomeUnknown, []string{"c1-1"}},
+		{"lost reply to a write", func(h *harness) { h.group.DropWriteResponses("g-1", 1) }, runStatements("INDOUBT I", "PUT k v"), dispatcher.ReasonOutcomeUnknown, []string{"c1-1"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			runHarness(t, 0, func(t *testing.T, s *harness) {
+			runHarness(t, 0, func(t *testing.T, h *harness) {
 				if c.setup != nil {
-					c.setup(s)
+					c.setup(h)
 				}
-				c.run(t, s)
-				s.mutex.Lock()
-				defer s.mutex.Unlock()
-				must.SliceContains(t, s.refusals, c.reason)
-				must.True(t, slices.ContainsFunc(s.decisions, func(line string) bool {
+				c.run(t, h)
+				h.mutex.Lock()
+				defer h.mutex.Unlock()
+				must.SliceContains(t, h.refusals, c.reason)
+				must.True(t, slices.ContainsFunc(h.decisions, func(line string) bool {
 					found := strings.Contains(line, string(c.reason))
 					for _, f := range c.fields {
 						found = found && strings.Contains(line, f)
@@ -409,20 +409,20 @@
 // A reset connection is logged with its last statement, the member and whether a transaction
 // was open; that transaction is rolled back.
 func TestBrokenClientConnectionsAreLogged(t *testing.T) {
-	runHarness(t, 0, func(t *testing.T, s *harness) {
-		idle, open := s.connect(t, "own"), s.connect(t, "strict")
+	runHarness(t, 0, func(t *testing.T, h *harness) {
+		idle, open := h.connect(t, "own"), h.connect(t, "strict")
 		must.Eq(t, "I", idle.query("PUT j v"))
 		must.Eq(t, "T", open.query("BEGIN"))
 		must.Eq(t, "T", open.query("PUT k v"))
-		s.net.Kill("10.7.0.1")
-		s.net.Kill("10.7.0.2")
+		h.net.Kill("10.7.0.1")
+		h.net.Kill("10.7.0.2")
 		time.Sleep(100 * time.Millisecond)
-		s.mutex.Lock()
-		log := strings.Join(s.decisions, "")
-		s.mutex.Unlock()
+		h.mutex.Lock()
+		log := strings.Join(h.decisions, "")
+		h.mutex.Unlock()
 		must.StrContains(t, log, "session id c1-1 outcome caller-cut database own caller 10.7.0.1")
 		must.StrContains(t, log, "session id c2-2 outcome caller-cut database strict caller 10.7.0.2")
 		must.StrContains(t, log, "in-transaction true member g-1")
-		must.Eq(t, "none I", s.connect(t, "strict").query("FETCH k"))
+		must.Eq(t, "none I", h.connect(t, "strict").query("FETCH k"))
 	})
 }
--- a/internal/dispatcher/execution.go
+++ b/internal/dispatcher/execution.go
@@ -57,9 +57,9 @@
 
 // wait sleeps for the next delay, half of it random, so that statements refused together
 // are not retried together.
-func (p *busyBackoff) wait() {
-	p.delay = min(max(2*p.delay, minBusyBackoff), maxBusyBackoff)
-	time.Sleep(p.delay/2 + rand.N(p.delay/2))
+func (b *busyBackoff) wait() {
+	b.delay = min(max(2*b.delay, minBusyBackoff), maxBusyBackoff)
+	time.Sleep(b.delay/2 + rand.N(b.delay/2))
 }
 
 func (x *execution) deadline() time.Time { return x.start.Add(x.route.Timeout) }
@@ -176,8 +176,9 @@
 	return time.Now().Before(x.queueDeadline())
 }
 
-// commands returns the commands to send for the statement: first those that set up the
-// session's values and prepared statement on the connection. index is the position of the statement's command.
+// commands returns the commands to send for the statement: first those that set up the session's
+// values and prepared statement on the connection. index is the position of the statement's
+// command.
 func (x *execution) commands(c *lender.Conn, prefix, suffix []messenger.Command) (all []messenger.Command, index int) {
 	t := x.session.tx
 	setup, name := c.SessionCommands(x.session.values, x.prepared, t != nil && t.conn == c)
@@ -198,13 +199,13 @@
 	g, sentAt := x.backend.Group, time.Now()
 	g.RecordSend(c.Member)
 	replies, sent, err := c.Exchange(commands, deadline)
-	stamp := x.session.server.Clock()
+	now := x.session.server.Clock()
 	if err != nil {
-		g.RecordFailure(stamp, c.Member, true)
+		g.RecordFailure(now, c.Member, true)
 		x.backend.Pool.NoteTimeout(c)
 		return replies, sent, err
 	}
-	g.RecordResponse(stamp, c.Member, time.Since(sentAt), replies[len(replies)-1].Position)
+	g.RecordResponse(now, c.Member, time.Since(sentAt), replies[len(replies)-1].Position)
 	x.checkSessionState(c, commands, replies)
 	x.reportBusy(c, replies)
 	return replies, sent, nil
--- a/internal/dispatcher/read.go
+++ b/internal/dispatcher/read.go
@@ -41,7 +41,7 @@
 	if x.route.Rule == tracker.RulePrimary {
 		return false
 	}
-	minPosition, ok := x.backend.Group.RequiredPosition(x.arrived, x.route, x.session.floor)
+	minPosition, ok := x.backend.Group.RequiredPosition(x.arrived, x.route, x.session.lastCommit)
 	x.minPosition = minPosition
 	return ok
 }
@@ -106,7 +106,7 @@
 }
 
 // retryOrRefuse refuses an unanswered read unless it is retried. A read has no effect, so the
-// caller may be told to retry.
+// caller may retry it.
 func (x *execution) retryOrRefuse(retry bool) (messenger.Reply, bool) {
 	if retry {
 		return messenger.Reply{}, true
@@ -118,13 +118,13 @@
 // retried.
 func (x *execution) handleReadReply(c *lender.Conn, r messenger.Reply) (messenger.Reply, bool) {
 	member := c.Member
-	stamp := x.session.server.Clock()
+	now := x.session.server.Clock()
 	switch r.Code {
 	case messenger.CodeNone:
 		x.backend.Pool.Return(c)
 		return x.complete(member, r), false
 	case messenger.CodeBehind:
-		x.backend.Group.RecordLag(stamp, member, x.minPosition)
+		x.backend.Group.RecordLag(now, member, x.minPosition)
 	case messenger.CodeNotPrimary:
 		x.backend.handleNotPrimary(member)
 	case messenger.CodeUnknownStatement:
--- a/internal/dispatcher/reasons.go
+++ b/internal/dispatcher/reasons.go
@@ -30,7 +30,7 @@
 // ReasonText describes a reason for docs/DECISIONS.md.
 type ReasonText struct {
 	Reason Reason
-	// Text says what happened; Look names the log lines that show its cause.
+	// Text describes what happened; LogHint names the log lines that show its cause.
 	Text, LogHint string
 }
 
--- a/internal/dispatcher/server.go
+++ b/internal/dispatcher/server.go
@@ -53,17 +53,17 @@
 		Clock   func() tracker.Timestamp
 		// Configuration returns the version in force, nil before the first.
 		Configuration func() *tracker.Configuration
-		// ConfigurationCurrent, when set, reports whether the version in force is known to be no older
-		// than InForce.
+		// ConfigurationCurrent, when set, reports whether the version in force is known to be no
+		// older than MaxConfigurationDelay.
 		ConfigurationCurrent func() bool
 		// MaxConfigurationDelay is the time within which a configuration change must take effect.
 		MaxConfigurationDelay time.Duration
 		// Backend returns the backend of a group, creating it on first use.
 		Backend func(group string) *Backend
-		// LogDecision logs a decision; Trace logs a served statement.
+		// LogDecision logs a decision; LogServed logs a served statement.
 		LogDecision func(part string, fields ...any)
 		LogServed   func(fields ...any)
-		// Count, Refused, Retried and Served update the metrics.
+		// Count, CountRefused, CountRetried and RecordServed update the metrics.
 		Count                      func(name string)
 		CountRefused, CountRetried func(reason Reason)
 		// CountLimited, when set, is called for each operation refused by a customer's limit.
@@ -140,8 +140,8 @@
 	return len(s.active)
 }
 
-// CloseSessions closes the sessions outside a transaction or, with all, every session. A statement in
-// progress is answered first.
+// CloseSessions closes the sessions outside a transaction or, with all, every session. A statement
+// in progress is answered first.
 func (s *Server) CloseSessions(all bool) {
 	if all {
 		s.shutdownPhase.Store(phaseCloseAll)
--- a/internal/dispatcher/session.go
+++ b/internal/dispatcher/session.go
@@ -26,7 +26,7 @@
 		hasKey      bool
 		values      lender.Values
 		prepared    map[string]lender.Prepared
-		floor       tracker.LastCommit
+		lastCommit  tracker.LastCommit
 		state       messenger.State
 		tx          *transaction
 		writeBuffer []byte
@@ -172,8 +172,8 @@
 }
 
 // expireIdleTransaction rolls back a transaction that was idle for too long. The caller is
-// informed by the reply to its next statement: an unrequested message would be taken for a
-// reply.
+// informed by the reply to its next statement: the caller would mistake an unrequested message
+// for a reply.
 func (s *session) expireIdleTransaction() {
 	if s.tx == nil || s.tx.conn == nil || s.server.closesIdle() && !s.server.closesAll() {
 		return
--- a/internal/documenter/scenarios.go
+++ b/internal/documenter/scenarios.go
@@ -39,7 +39,7 @@
 	out.WriteString(scenariosHead)
 	for _, c := range player.Commands() {
 		usage := strings.ReplaceAll(strings.TrimSpace(c.Name+" "+c.Usage), "|", `\|`)
-		fmt.Fprintf(&out, "| `%s` | %s |\n", usage, c.Text)
+		fmt.Fprintf(&out, "| `%s` | %s |\n", usage, c.Description)
 	}
 	out.WriteString(faultsHead)
 	for _, f := range soaker.Faults() {
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -13,8 +13,8 @@
 )
 
 type (
-	// TargetLeaving is emitted when a target starts or stops draining. A draining
-	// target gets no new requests; a draining primary triggers a planned failover.
+	// TargetLeaving is emitted when a target starts or stops leaving. A leaving target gets
+	// no new requests; a leaving primary triggers a planned failover.
 	TargetLeaving struct {
 		Service string
 		Member  string
@@ -60,9 +60,9 @@
 	targetKey struct{ service, member string }
 
 	target struct {
-		signals   map[origin]time.Time
-		leaving   bool
-		firstHand bool
+		signals         map[origin]time.Time
+		leaving         bool
+		signaledLocally bool
 	}
 
 	origin struct {
@@ -206,18 +206,18 @@
 // update emits an event for each change: whether the target is leaving, and whether a
 // source other than a peer signals it.
 func (t *target) update(p targetKey, source string) []controller.Action {
-	leaving, firstHand := len(t.signals) > 0, false
+	leaving, signaledLocally := len(t.signals) > 0, false
 	for o := range t.signals {
-		firstHand = firstHand || o.source != SourcePeer
+		signaledLocally = signaledLocally || o.source != SourcePeer
 	}
 	var out []controller.Action
 	if leaving != t.leaving {
 		t.leaving = leaving
 		out = append(out, controller.Emit{Event: TargetLeaving{Service: p.service, Member: p.member, Leaving: leaving, Source: source}})
 	}
-	if firstHand != t.firstHand {
-		t.firstHand = firstHand
-		out = append(out, controller.Emit{Event: LocalSignal{Service: p.service, Member: p.member, Leaving: firstHand}})
+	if signaledLocally != t.signaledLocally {
+		t.signaledLocally = signaledLocally
+		out = append(out, controller.Emit{Event: LocalSignal{Service: p.service, Member: p.member, Leaving: signaledLocally}})
 	}
 	return out
 }
--- a/internal/drainer/leaver.go
+++ b/internal/drainer/instance.go
@@ -40,10 +40,10 @@
 	// CallersLeft reports the number of connected clients.
 	CallersLeft struct{ Callers int }
 
-	// Stop ends the process. Cut is the number of clients still connected at the limit.
+	// Stop ends the process. Disconnected is the number of clients still connected at the limit.
 	Stop struct{ Disconnected int }
 
-	// Stopping tells the other slices that the process stops.
+	// Stopping reports to the other slices that the process stops.
 	Stopping struct{ Disconnected int }
 )
 
@@ -70,38 +70,38 @@
 func (Stopping) EventName() string { return "instance-stopping" }
 
 // Step implements controller.Slice.
-func (l *InstanceDrainer) Step(now time.Time, e controller.Event) []controller.Action {
+func (d *InstanceDrainer) Step(now time.Time, e controller.Event) []controller.Action {
 	switch e := e.(type) {
 	case InstanceLeaving:
-		if l.phase == phaseServing {
-			l.phase, l.phaseStart = phaseUnready, now
+		if d.phase == phaseServing {
+			d.phase, d.phaseStart = phaseUnready, now
 		}
 	case CallersLeft:
-		l.remaining = e.Callers
-		if l.phase == phaseDraining && e.Callers == 0 {
-			return l.stop()
+		d.remaining = e.Callers
+		if d.phase == phaseDraining && e.Callers == 0 {
+			return d.stop()
 		}
 	case controller.Tick:
-		return l.tick(now)
+		return d.tick(now)
 	}
 	return nil
 }
 
-func (l *InstanceDrainer) tick(now time.Time) []controller.Action {
+func (d *InstanceDrainer) tick(now time.Time) []controller.Action {
 	switch {
-	case l.phase == phaseUnready && now.Sub(l.phaseStart) >= unreadyDuration:
-		l.phase, l.phaseStart = phaseDraining, now
+	case d.phase == phaseUnready && now.Sub(d.phaseStart) >= unreadyDuration:
+		d.phase, d.phaseStart = phaseDraining, now
 		return []controller.Action{StopAccepting{}}
-	case l.phase == phaseDraining && now.Sub(l.phaseStart) >= l.Limit:
-		return l.stop()
-	case l.phase == phaseDraining && now.Sub(l.lastCount) >= countInterval:
-		l.lastCount = now
+	case d.phase == phaseDraining && now.Sub(d.phaseStart) >= d.Limit:
+		return d.stop()
+	case d.phase == phaseDraining && now.Sub(d.lastCount) >= countInterval:
+		d.lastCount = now
 		return []controller.Action{CountCallers{}}
 	}
 	return nil
 }
 
-func (l *InstanceDrainer) stop() []controller.Action {
-	l.phase = phaseStopped
-	return []controller.Action{controller.Emit{Event: Stopping{Disconnected: l.remaining}}, Stop{Disconnected: l.remaining}}
+func (d *InstanceDrainer) stop() []controller.Action {
+	d.phase = phaseStopped
+	return []controller.Action{controller.Emit{Event: Stopping{Disconnected: d.remaining}}, Stop{Disconnected: d.remaining}}
 }
--- a/internal/drainer/leaver_test.go
+++ b/internal/drainer/instance_test.go
@@ -13,7 +13,7 @@
 
 // A leaving instance keeps accepting clients until the load balancer can see that it is not
 // ready, and stops when they have disconnected or at the limit.
-func TestLeaver(t *testing.T) {
+func TestInstanceDrainer(t *testing.T) {
 	const limit = 10 * time.Second
 	for _, c := range []struct {
 		name string
--- a/internal/editor/pages.go
+++ b/internal/editor/pages.go
@@ -136,15 +136,15 @@
 			Notice: "Accepted as version " + strconv.FormatInt(result.Current.Version, 10) + ".",
 		})
 	case result.Outcome == publisher.Conflict:
-		p.showRace(w, r, c, result)
+		p.showConflict(w, r, c, result)
 	default:
 		http.Error(w, "outcome unknown, the document may be in force; check the start page before publishing again: "+err.Error(), http.StatusServiceUnavailable)
 	}
 }
 
-// showRace reports that another version was published first, with its differences
+// showConflict reports that another version was published first, with its differences
 // from the copy. The copy keeps its base version and so can't be published.
-func (p *Pages) showRace(w http.ResponseWriter, r *http.Request, c WorkingCopy, result publisher.Result) {
+func (p *Pages) showConflict(w http.ResponseWriter, r *http.Request, c WorkingCopy, result publisher.Result) {
 	document, _ := c.Check()
 	p.show(w, r, http.StatusConflict, view{
 		Copy:          c,
--- a/internal/elector/decide.go
+++ b/internal/elector/decide.go
@@ -28,8 +28,8 @@
 	overloadTimeout = 800 * time.Millisecond
 	// longQueueFactor is the number of statements per slot that makes a queue long.
 	longQueueFactor = 3
-	// crowdedRatio is the share of a member's connections in use at which it is nearly full.
-	crowdedRatio = 0.9
+	// nearlyFullRatio is the share of a member's connections in use at which it is nearly full.
+	nearlyFullRatio = 0.9
 	// minRebalanceInterval separates changes made only to balance load, since each rolls back open
 	// transactions. It grows up to maxRebalanceInterval while they do not help.
 	minRebalanceInterval = 8 * time.Second
@@ -67,7 +67,7 @@
 		StalledSince, PausedSince tracker.Timestamp
 		// OverloadedSince is when the member's queue became long, 0 when it is not; CrowdedSince is
 		// when nearly all of its connections were in use.
-		OverloadedSince, CrowdedSince tracker.Timestamp
+		OverloadedSince, NearlyFullSince tracker.Timestamp
 	}
 
 	// View is the state of a group as its owner sees it.
@@ -129,7 +129,7 @@
 		return Decision{}
 	}
 	if p.ConnectionsExhausted {
-		if full(v, p) {
+		if connectionsExhausted(v, p) {
 			return Decision{Reason: ReasonOverloaded}
 		}
 		return Decision{}
@@ -143,7 +143,7 @@
 	if replicationStalled(v, p) {
 		return Decision{Reason: ReasonReplicationStalled}
 	}
-	if overloaded(v, p) || crowded(v, p) {
+	if overloaded(v, p) || nearlyFull(v, p) {
 		return Decision{Reason: ReasonOverloaded}
 	}
 	return Decision{Resume: stalePaused(v)}
@@ -159,19 +159,19 @@
 	return canOffload(v, p)
 }
 
-// crowded reports whether the primary has nearly no connections left while a replica lags too
+// nearlyFull reports whether the primary has nearly no connections left while a replica lags too
 // much for reads. The primary's queue may be short if its connections are held by idle
 // transactions.
-func crowded(v View, p *Observation) bool {
-	if p.CrowdedSince == 0 || v.Now-p.CrowdedSince < overloadTimeout {
+func nearlyFull(v View, p *Observation) bool {
+	if p.NearlyFullSince == 0 || v.Now-p.NearlyFullSince < overloadTimeout {
 		return false
 	}
 	return slices.ContainsFunc(v.Members, func(m Observation) bool { return m.ID != p.ID && m.hasSpareCapacity(v.Now) && m.lagging() }) && canOffload(v, p)
 }
 
-// full reports whether the primary has rejected connections for too long while a replica has
-// spare capacity.
-func full(v View, p *Observation) bool {
+// connectionsExhausted reports whether the primary has rejected connections for too long while a
+// replica has spare capacity.
+func connectionsExhausted(v View, p *Observation) bool {
 	return v.Now-p.FailedSince >= overloadTimeout && v.Now-v.ProcessStart > deadConnectionTimeout && canOffload(v, p)
 }
 
--- a/internal/elector/decide_test.go
+++ b/internal/elector/decide_test.go
@@ -80,10 +80,10 @@
 			v.Members[2].Status.LagMillis = 40000
 		}, elector.ReasonNone},
 		{"no connections left, a replica lags", func(v *elector.View) {
-			v.Members[0].CrowdedSince = now - time.Second
+			v.Members[0].NearlyFullSince = now - time.Second
 			v.Members[2].Status.LagMillis = 5000
 		}, elector.ReasonOverloaded},
-		{"no connections left, no replica lags", func(v *elector.View) { v.Members[0].CrowdedSince = now - time.Second }, elector.ReasonNone},
+		{"no connections left, no replica lags", func(v *elector.View) { v.Members[0].NearlyFullSince = now - time.Second }, elector.ReasonNone},
 		{"all overloaded", func(v *elector.View) {
 			v.Members[0].OverloadedSince = now - time.Second
 			v.Members[1].Status.Busy, v.Members[2].Status.Busy = 9, 9
--- a/internal/elector/departed.go
+++ b/internal/elector/departed.go
@@ -17,14 +17,14 @@
 // restarted.
 func (sv *Supervisor) lastPrimaryComplete() bool {
 	found := false
-	for id, l := range sv.members {
+	for id, m := range sv.members {
 		if isFormerIncarnation(id) {
 			continue
 		}
-		if !l.Answered || max(l.Status.Term, l.Status.Received.Term) > sv.lastLeader.Term {
+		if !m.Answered || max(m.Status.Term, m.Status.Received.Term) > sv.lastLeader.Term {
 			return false
 		}
-		found = found || id == sv.lastLeader.ID && l.StartTime == sv.lastLeader.StartTime
+		found = found || id == sv.lastLeader.ID && m.StartTime == sv.lastLeader.StartTime
 	}
 	return found
 }
@@ -33,19 +33,19 @@
 // primary held after they left. Until then they may hold the only copy of a commit.
 func (sv *Supervisor) excludeDeparted() {
 	now, primaryComplete := sv.Clock(), sv.lastPrimaryComplete()
-	for id, l := range sv.members {
-		if l.Answered && sv.excluded[id] {
+	for id, m := range sv.members {
+		if m.Answered && sv.excluded[id] {
 			sv.include(id)
 		}
-		departed := l.departed || isFormerIncarnation(id)
-		if sv.excluded[id] || !departed && (l.Answered || sv.registered[id] || !sv.announcedLeave[id]) {
-			l.departedAt = 0
+		departed := m.departed || isFormerIncarnation(id)
+		if sv.excluded[id] || !departed && (m.Answered || sv.registered[id] || !sv.announcedLeave[id]) {
+			m.departedAt = 0
 			continue
 		}
-		if l.departedAt == 0 {
-			l.departedAt = now
+		if m.departedAt == 0 {
+			m.departedAt = now
 		}
-		if by := sv.coveredBy(l.departedAt); by != "" {
+		if by := sv.coveredBy(m.departedAt); by != "" {
 			sv.exclude(id, by)
 		} else if primaryComplete && isFormerIncarnation(id) {
 			sv.exclude(id, sv.lastLeader.ID)
@@ -74,17 +74,17 @@
 // handleRestart treats a restarted member as new. Its former incarnation counts as a missing
 // member until a replica is known to hold everything it may have acknowledged; a former
 // primary's commits are on a replica already.
-func (sv *Supervisor) handleRestart(l *memberState) {
-	sv.Log("event", "member-restarted", "group", sv.Group.Name, "member", l.ID, "before", l.StartTime, "led", l.ID == sv.primary)
-	l.close()
-	l.departed = true
-	delete(sv.resumePendingUntil, l.ID)
-	if l.ID == sv.primary || sv.SynchronousReplicas() == 0 {
+func (sv *Supervisor) handleRestart(m *memberState) {
+	sv.Log("event", "member-restarted", "group", sv.Group.Name, "member", m.ID, "before", m.StartTime, "led", m.ID == sv.primary)
+	m.close()
+	m.departed = true
+	delete(sv.resumePendingUntil, m.ID)
+	if m.ID == sv.primary || sv.SynchronousReplicas() == 0 {
 		return
 	}
-	id := incarnationID(l.Member)
-	sv.formerIncarnations[id] = l.Address
-	sv.members[id] = &memberState{departed: true, Observation: Observation{Member: sv.missingMember(id, l.Address)}}
+	id := incarnationID(m.Member)
+	sv.formerIncarnations[id] = m.Address
+	sv.members[id] = &memberState{departed: true, Observation: Observation{Member: sv.missingMember(id, m.Address)}}
 }
 
 // include reverses exclude for a member that has returned.
--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -55,8 +55,8 @@
 		ColdStart bool
 		// Groups lists the configured groups.
 		Groups func() []string
-		// AcquireRank, when set, returns how many instances try to acquire a group before this one. last is
-		// the previous owner, "" if there was none.
+		// AcquireRank, when set, returns how many instances try to acquire a group before this one.
+		// last is the previous owner, "" if there was none.
 		AcquireRank func(group, last string) int
 		// StoreReachable, when set, reports whether the store responds.
 		StoreReachable func() bool
@@ -84,11 +84,11 @@
 	groupOwnership struct {
 		record storer.Pair
 		held   bool
-		// invalid is set while the record cannot be parsed or names no owner. The group then counts as
-		// vacant.
+		// invalid is set while the record cannot be parsed or names no owner. The group then counts
+		// as vacant.
 		invalid bool
-		// promotionUnanswered is set while a promotion sent with the newest fencing token may still be
-		// executed.
+		// promotionUnanswered is set while a promotion sent with the newest fencing token may still
+		// be executed.
 		promotionUnanswered bool
 		// acquireAt is when this instance tries to acquire the group, 0 if not scheduled.
 		acquireAt tracker.Timestamp
@@ -117,12 +117,12 @@
 	record struct {
 		Owner string `json:"holder"`
 		// Lease is the lease that the record is bound to.
-		Lease      int64             `json:"lease"`
-		Members    map[string]string `json:"members"`
-		Open       bool              `json:"order-open"`
-		Leader     string            `json:"leader"`
-		LeaderBorn int64             `json:"leader-born"`
-		Term       uint64            `json:"term"`
+		Lease            int64             `json:"lease"`
+		Members          map[string]string `json:"members"`
+		PromotionPending bool              `json:"order-open"`
+		Leader           string            `json:"leader"`
+		LeaderStartTime  int64             `json:"leader-born"`
+		Term             uint64            `json:"term"`
 	}
 )
 
--- a/internal/elector/elector_test.go
+++ b/internal/elector/elector_test.go
@@ -30,27 +30,27 @@
 
 func startInstanceWithStoreCheck(ctx context.Context, m *storer.Memory, name string, clock func() tracker.Timestamp, rank func(group, last string) int, storeReachable func() bool) *testInstance {
 	ctx, cancel := context.WithCancel(ctx)
-	h := &testInstance{cancel: cancel, done: make(chan error, 2)}
-	h.elector = &elector.Elector{
+	i := &testInstance{cancel: cancel, done: make(chan error, 2)}
+	i.elector = &elector.Elector{
 		Store: m, Clock: clock, Name: name, Groups: func() []string { return []string{"g"} }, AcquireRank: rank, StoreReachable: storeReachable,
 		Supervise: func(ctx context.Context, _ string, o *elector.Ownership) error {
-			h.ownership.Store(o)
+			i.ownership.Store(o)
 			<-ctx.Done()
 			return ctx.Err()
 		},
 		Log: func(...any) {},
 	}
-	go func() { h.done <- h.elector.Run(ctx) }()
+	go func() { i.done <- i.elector.Run(ctx) }()
 	w := &watcher.Watcher{
 		Source: m, MaxPropagationDelay: 3 * time.Second, Clock: clock, OwnershipPrefix: elector.OwnershipPrefix, ConfigurationKey: "configuration", MemberPrefix: "member/",
-		OnMembers: func([]tracker.Member) {}, OnOwnership: h.elector.HandleRecord, Log: func(...any) {},
+		OnMembers: func([]tracker.Member) {}, OnOwnership: i.elector.HandleRecord, Log: func(...any) {},
 	}
-	go func() { h.done <- w.Run(ctx) }()
-	return h
+	go func() { i.done <- w.Run(ctx) }()
+	return i
 }
 
-func (h *testInstance) owns() bool {
-	o := h.ownership.Load()
+func (i *testInstance) owns() bool {
+	o := i.ownership.Load()
 	return o != nil && o.Holds(0)
 }
 
@@ -64,9 +64,9 @@
 		time.Sleep(3 * time.Second)
 		defer func() {
 			cancel()
-			for _, h := range []*testInstance{a, b} {
-				<-h.done
-				<-h.done
+			for _, i := range []*testInstance{a, b} {
+				<-i.done
+				<-i.done
 			}
 		}()
 		scenario(t, m, a, b)
@@ -126,12 +126,12 @@
 			o = b.ownership.Load()
 		}
 		leader := elector.Leadership{ID: "m", StartTime: 7, Term: 3}
-		fence, err := o.NextFencingToken(t.Context(), elector.State{Members: map[string]string{"m": "10.0.0.1:1"}, PromotionPending: true, Leader: leader})
+		token, err := o.NextFencingToken(t.Context(), elector.State{Members: map[string]string{"m": "10.0.0.1:1"}, PromotionPending: true, Leader: leader})
 		must.NoError(t, err)
 		m.SetFaults(func(f *storer.Faults) { f.Down = true })
 		again, err := o.NextFencingToken(t.Context(), elector.State{PromotionPending: true})
 		must.NoError(t, err)
-		must.Eq(t, fence, again)
+		must.Eq(t, token, again)
 		o.MarkPromotionUnanswered()
 		_, err = o.NextFencingToken(t.Context(), elector.State{PromotionPending: true})
 		must.Error(t, err)
@@ -197,11 +197,11 @@
 	for _, value := range []string{"nonsense", "{}", `{"holder": 7}`} {
 		t.Run(value, func(t *testing.T) {
 			runTwoInstances(t, func(t *testing.T, m *storer.Memory, a, b *testInstance) {
-				h, other := a, b
+				owner, other := a, b
 				if b.owns() {
-					h, other = b, a
+					owner, other = b, a
 				}
-				_, err := h.ownership.Load().NextFencingToken(t.Context(), elector.State{Members: map[string]string{"g-1": "10.0.0.1:1"}})
+				_, err := owner.ownership.Load().NextFencingToken(t.Context(), elector.State{Members: map[string]string{"g-1": "10.0.0.1:1"}})
 				must.NoError(t, err)
 				now, err := m.Get(t.Context(), elector.OwnershipPrefix+"g")
 				must.NoError(t, err)
@@ -210,9 +210,9 @@
 				must.NoError(t, err)
 				must.True(t, ok)
 				time.Sleep(time.Second)
-				must.True(t, h.owns())
+				must.True(t, owner.owns())
 				must.Eq(t, []string{"g-1"}, other.elector.RecordedMembers("g"))
-				h.cancel()
+				owner.cancel()
 				time.Sleep(4 * time.Second)
 				must.True(t, other.owns())
 				must.Eq(t, map[string]string{"g-1": "10.0.0.1:1"}, other.ownership.Load().State().Members)
--- a/internal/elector/furthest.go
+++ b/internal/elector/furthest.go
@@ -36,9 +36,9 @@
 // checkNotRestarted returns an error if a member has restarted during the change: the log that
 // was read may be gone, and acknowledged commits with it.
 func checkNotRestarted(members []*memberState) error {
-	for _, l := range members {
-		if l.departed {
-			return errors.Wrapf(errMemberRestarted, "%s", l.ID)
+	for _, m := range members {
+		if m.departed {
+			return errors.Wrapf(errMemberRestarted, "%s", m.ID)
 		}
 	}
 	return nil
@@ -48,8 +48,8 @@
 func (sv *Supervisor) pauseAll(ctx context.Context, members []*memberState, next uint64) error {
 	results := make([]error, len(members))
 	var requests sync.WaitGroup
-	for i, l := range members {
-		requests.Go(func() { results[i] = sv.pauseMember(ctx, l, next) })
+	for i, m := range members {
+		requests.Go(func() { results[i] = sv.pauseMember(ctx, m, next) })
 	}
 	requests.Wait()
 	for _, err := range results {
@@ -60,15 +60,15 @@
 	return nil
 }
 
-func (sv *Supervisor) pauseMember(ctx context.Context, l *memberState, next uint64) error {
-	s, err := sv.command(ctx, l, messenger.Command{Kind: messenger.KindPause, Term: next})
+func (sv *Supervisor) pauseMember(ctx context.Context, m *memberState, next uint64) error {
+	s, err := sv.command(ctx, m, messenger.Command{Kind: messenger.KindPause, Term: next})
 	if err != nil {
-		return errors.Wrapf(err, "pause %s", l.ID)
+		return errors.Wrapf(err, "pause %s", m.ID)
 	}
-	l.applyStatus(sv.Clock(), s)
-	sv.Log("event", "paused", "group", sv.Group.Name, "member", l.ID, "term", next, "position", s.Received, "paused-for", s.PausedFor)
+	m.applyStatus(sv.Clock(), s)
+	sv.Log("event", "paused", "group", sv.Group.Name, "member", m.ID, "term", next, "position", s.Received, "paused-for", s.PausedFor)
 	if s.PausedFor != next {
-		return errors.Errorf("pause %s: it is paused for term %d, not %d", l.ID, s.PausedFor, next)
+		return errors.Errorf("pause %s: it is paused for term %d, not %d", m.ID, s.PausedFor, next)
 	}
 	return nil
 }
@@ -84,8 +84,8 @@
 	}
 	first.applyStatus(sv.Clock(), s)
 	var furthest orderer.Position
-	for _, l := range replicas[1:] {
-		furthest = orderer.Max(furthest, l.Status.Received)
+	for _, m := range replicas[1:] {
+		furthest = orderer.Max(furthest, m.Status.Received)
 	}
 	if s.Received.AtLeast(furthest) {
 		return nil
@@ -93,9 +93,9 @@
 	if err := sv.pauseMember(ctx, first, c.term); err != nil {
 		return err
 	}
-	for _, l := range replicas[1:] {
-		if l.Status.Received.Compare(c.candidate.Status.Received) > 0 {
-			c.candidate = l
+	for _, m := range replicas[1:] {
+		if m.Status.Received.Compare(c.candidate.Status.Received) > 0 {
+			c.candidate = m
 		}
 	}
 	return nil
--- a/internal/elector/ownership.go
+++ b/internal/elector/ownership.go
@@ -8,11 +8,11 @@
 // This file holds the methods that a supervisor calls on an owned group.
 
 // Holds reports whether the ownership is certain to last for the given time.
-func (o *Ownership) Holds(more time.Duration) bool {
+func (o *Ownership) Holds(d time.Duration) bool {
 	e := o.elector
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.ownership(o.group).held && e.Clock()+more+leaseSafetyMargin < e.leaseExpiry
+	return e.ownership(o.group).held && e.Clock()+d+leaseSafetyMargin < e.leaseExpiry
 }
 
 // State returns the group's last recorded state.
@@ -21,7 +21,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	r := decodeOrEmpty(e.ownership(o.group).record.Value)
-	return State{Members: r.Members, PromotionPending: r.Open, Leader: Leadership{ID: r.Leader, StartTime: r.LeaderBorn, Term: r.Term}}
+	return State{Members: r.Members, PromotionPending: r.PromotionPending, Leader: Leadership{ID: r.Leader, StartTime: r.LeaderStartTime, Term: r.Term}}
 }
 
 // NextFencingToken records the group's state and returns the record's new revision as the
@@ -34,8 +34,8 @@
 	e.mutex.Unlock()
 	old := p.Revision
 	r := decodeOrEmpty(p.Value)
-	r.Members, r.Open = s.Members, s.PromotionPending
-	r.Leader, r.LeaderBorn, r.Term = s.Leader.ID, s.Leader.StartTime, s.Leader.Term
+	r.Members, r.PromotionPending = s.Members, s.PromotionPending
+	r.Leader, r.LeaderStartTime, r.Term = s.Leader.ID, s.Leader.StartTime, s.Leader.Term
 	p.Value = e.encode(r, lease)
 	now, ok, err := e.Store.Swap(ctx, p, lease)
 	if err != nil {
--- a/internal/elector/primary_change.go
+++ b/internal/elector/primary_change.go
@@ -57,8 +57,8 @@
 	// dataLossRisk is why the replicas might lack an acknowledged commit, nil when they do not.
 	dataLossRisk error
 	// term is the term of the new primary.
-	term  uint64
-	fence int64
+	term         uint64
+	fencingToken int64
 }
 
 // changePrimary promotes a member that holds every acknowledged commit.
@@ -71,7 +71,7 @@
 	if err != nil {
 		return "", err
 	}
-	fence, err := sv.NextFencingToken(ctx, State{Members: sv.memberAddresses(), PromotionPending: true, Leader: sv.lastLeader})
+	token, err := sv.NextFencingToken(ctx, State{Members: sv.memberAddresses(), PromotionPending: true, Leader: sv.lastLeader})
 	if err != nil {
 		return "", errors.Wrap(err, "fence")
 	}
@@ -82,7 +82,7 @@
 			return "", err
 		}
 	}
-	c.fence = fence
+	c.fencingToken = token
 	if err := sv.selectCandidate(ctx, c); err != nil {
 		return "", err
 	}
@@ -125,8 +125,8 @@
 }
 
 // eligible reports whether a member could catch up with a demoted primary.
-func (sv *Supervisor) eligible(l *memberState) bool {
-	return l.Answered && !l.Leaving && l.PausedSince == 0 && !l.stalled(sv.Clock())
+func (sv *Supervisor) eligible(m *memberState) bool {
+	return m.Answered && !m.Leaving && m.PausedSince == 0 && !m.stalled(sv.Clock())
 }
 
 // selectCandidate picks a member that holds every acknowledged commit.
@@ -201,10 +201,10 @@
 	var list []*memberState
 	for _, m := range v.Members {
 		term = max(term, m.Status.Term, m.Status.Received.Term)
-		l := sv.members[m.ID]
+		state := sv.members[m.ID]
 		// A demoted primary is a replica like the others.
 		if (m.ID != v.Primary || m.Answered && !m.Status.Primary) && !sv.excluded[m.ID] {
-			list = append(list, l)
+			list = append(list, state)
 		}
 	}
 	slices.SortFunc(list, func(a, b *memberState) int {
@@ -231,12 +231,12 @@
 	if sv.SynchronousReplicas() == 0 {
 		return nil
 	}
-	for _, l := range replicas {
-		if !l.Answered {
-			return errors.Wrapf(errReplicaUnreachable, "%s", l.ID)
+	for _, m := range replicas {
+		if !m.Answered {
+			return errors.Wrapf(errReplicaUnreachable, "%s", m.ID)
 		}
-		if sv.Clock() < sv.resumePendingUntil[l.ID] {
-			return errors.Wrapf(errResumePending, "%s", l.ID)
+		if sv.Clock() < sv.resumePendingUntil[m.ID] {
+			return errors.Wrapf(errResumePending, "%s", m.ID)
 		}
 	}
 	return nil
@@ -245,9 +245,9 @@
 // memberAddresses maps the members that are not excluded to their addresses.
 func (sv *Supervisor) memberAddresses() map[string]string {
 	all := map[string]string{}
-	for id, l := range sv.members {
+	for id, m := range sv.members {
 		if !sv.excluded[id] {
-			all[id] = l.Address
+			all[id] = m.Address
 		}
 	}
 	return all
@@ -287,8 +287,8 @@
 // sendPromotion sends the promotion order.
 func (sv *Supervisor) sendPromotion(ctx context.Context, c *primaryChange) error {
 	sv.orderedAt, sv.promotionPending = sv.Clock(), true
-	err := sv.Promote(ctx, sv.Group.Name, c.candidate.ID, c.fence)
-	sv.Log("event", "promotion-ordered", "group", sv.Group.Name, "member", c.candidate.ID, "term", c.term, "fence", c.fence, "outcome", outcome(err))
+	err := sv.Promote(ctx, sv.Group.Name, c.candidate.ID, c.fencingToken)
+	sv.Log("event", "promotion-ordered", "group", sv.Group.Name, "member", c.candidate.ID, "term", c.term, "fence", c.fencingToken, "outcome", outcome(err))
 	if err != nil && !sv.Refused(err) {
 		sv.MarkPromotionUnanswered()
 	}
@@ -309,8 +309,8 @@
 // recordPromotion updates the state after a successful promotion.
 func (sv *Supervisor) recordPromotion(c *primaryChange, ordered bool) {
 	sv.primary = c.candidate.ID
-	for _, l := range sv.members {
-		l.StalledSince = 0
+	for _, m := range sv.members {
+		m.StalledSince = 0
 	}
 	if ordered {
 		sv.promotionPending, sv.recordOutdated = false, true
@@ -325,14 +325,14 @@
 	if p == nil || !p.Answered || !p.Status.Primary || !sv.Holds(minRemainingLease) {
 		return
 	}
-	fence, err := sv.NextFencingToken(ctx, State{Members: sv.memberAddresses(), PromotionPending: true, Leader: sv.lastLeader})
+	token, err := sv.NextFencingToken(ctx, State{Members: sv.memberAddresses(), PromotionPending: true, Leader: sv.lastLeader})
 	if err != nil {
 		sv.Log("event", "order-not-closed", "group", sv.Group.Name, "cause", err)
 		return
 	}
 	sv.fencedAt = sv.Clock()
-	err = sv.Promote(ctx, sv.Group.Name, p.ID, fence)
-	sv.Log("event", "order-closed", "group", sv.Group.Name, "primary", p.ID, "fence", fence, "outcome", outcome(err))
+	err = sv.Promote(ctx, sv.Group.Name, p.ID, token)
+	sv.Log("event", "order-closed", "group", sv.Group.Name, "primary", p.ID, "fence", token, "outcome", outcome(err))
 	if err == nil || sv.Refused(err) {
 		sv.promotionPending, sv.recordOutdated = false, true
 		return
@@ -343,15 +343,15 @@
 // resume makes a paused replica receive the log again. An unanswered command may take effect
 // during a later change, so changes are deferred until that is ruled out.
 func (sv *Supervisor) resume(ctx context.Context, id string) {
-	l := sv.members[id]
-	if l == nil || !sv.Holds(minRemainingLease) {
+	m := sv.members[id]
+	if m == nil || !sv.Holds(minRemainingLease) {
 		return
 	}
-	s, err := sv.commandOnNewConnection(ctx, l, messenger.Command{Kind: messenger.KindResume})
+	s, err := sv.commandOnNewConnection(ctx, m, messenger.Command{Kind: messenger.KindResume})
 	sv.Log("event", "resumed", "group", sv.Group.Name, "member", id, "outcome", outcome(err))
 	if err != nil {
 		sv.resumePendingUntil[id] = sv.Clock() + lateCommandWindow
 		return
 	}
-	l.applyStatus(sv.Clock(), s)
+	m.applyStatus(sv.Clock(), s)
 }
--- a/internal/elector/primary_change_test.go
+++ b/internal/elector/primary_change_test.go
@@ -13,8 +13,8 @@
 	"github.com/oriolegw/oriolegw/internal/elector"
 	"github.com/oriolegw/oriolegw/internal/lender"
 	"github.com/oriolegw/oriolegw/internal/messenger"
-	"github.com/oriolegw/oriolegw/internal/standin/liner"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
+	"github.com/oriolegw/oriolegw/internal/standin/groupsimulator"
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/oriolegw/oriolegw/internal/tracker"
 	"github.com/oriolegw/oriolegw/platform"
 	"github.com/shoenig/test/must"
@@ -22,8 +22,8 @@
 
 // harness is a group under write load, with a supervisor that owns it.
 type harness struct {
-	group     *liner.Group
-	net       *wirer.Net
+	group     *groupsimulator.Group
+	net       *netsimulator.Net
 	ownership *fakeOwnership
 	clock     func() tracker.Timestamp
 	// synchronous is the number of replicas that hold each commit, as reported to the supervisor.
@@ -45,7 +45,7 @@
 	// delay is the response time of the store.
 	delay time.Duration
 	mutex sync.Mutex
-	fence int64
+	token int64
 	state elector.State
 }
 
@@ -56,9 +56,9 @@
 	time.Sleep(delay)
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.fence++
+	o.token++
 	o.state = f
-	return o.fence, nil
+	return o.token, nil
 }
 
 // update changes the ownership under its mutex.
@@ -74,40 +74,40 @@
 	return o.state
 }
 
-func (s *harness) log(fields ...any) {
+func (h *harness) log(fields ...any) {
 	event := fmt.Sprint(fields[1])
-	s.mutex.Lock()
-	s.events = append(s.events, fmt.Sprintln(fields...))
-	f := s.onLog
-	s.mutex.Unlock()
+	h.mutex.Lock()
+	h.events = append(h.events, fmt.Sprintln(fields...))
+	f := h.onLog
+	h.mutex.Unlock()
 	if f != nil {
 		f(event)
 	}
 }
 
-func (s *harness) newSupervisor(host *wirer.Host, clock func() tracker.Timestamp) *elector.Supervisor {
-	s.tracked = &tracker.Group{Name: s.group.Name, Zone: "a", SameRegion: func(string) bool { return false }}
-	s.tracked.SetMembers(s.group.Registered())
+func (h *harness) newSupervisor(host *netsimulator.Host, clock func() tracker.Timestamp) *elector.Supervisor {
+	h.tracked = &tracker.Group{Name: h.group.Name, Zone: "a", SameRegion: func(string) bool { return false }}
+	h.tracked.SetMembers(h.group.Registrations())
 	return &elector.Supervisor{
-		Group: s.tracked,
-		Clock: clock, Codec: platform.LineCodec{}, Members: s.group.Registered,
+		Group: h.tracked,
+		Clock: clock, Codec: platform.LineCodec{}, Members: h.group.Registrations,
 		Connect: func(ctx context.Context, m tracker.Member) (*lender.Conn, error) {
 			return lender.Connect(ctx, host, platform.LineCodec{}, m, "keeper")
 		},
 		Holds:            func(time.Duration) bool { return true },
-		NextFencingToken: s.ownership.NextFencingToken, State: s.ownership.State, MarkPromotionUnanswered: func() {},
-		Promote:             func(_ context.Context, _, id string, _ int64) error { return s.group.Promote(id) },
+		NextFencingToken: h.ownership.NextFencingToken, State: h.ownership.State, MarkPromotionUnanswered: func() {},
+		Promote:             func(_ context.Context, _, id string, _ int64) error { return h.group.Promote(id) },
 		Refused:             func(error) bool { return true },
-		SynchronousReplicas: func() int { return s.synchronous }, ConnectionLimit: func() int { return s.group.Connections }, PrimaryChanged: func() {}, Log: s.log,
+		SynchronousReplicas: func() int { return h.synchronous }, ConnectionLimit: func() int { return h.group.MaxConnections }, PrimaryChanged: func() {}, Log: h.log,
 	}
 }
 
 // notifyOn returns a channel that receives whenever the supervisor logs an event.
-func (s *harness) notifyOn(event string) <-chan struct{} {
+func (h *harness) notifyOn(event string) <-chan struct{} {
 	seen := make(chan struct{}, 8)
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.onLog = func(logged string) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	h.onLog = func(logged string) {
 		if logged == event {
 			seen <- struct{}{}
 		}
@@ -116,71 +116,72 @@
 }
 
 // startSupervisor starts a supervisor.
-func (s *harness) startSupervisor(ctx context.Context) {
+func (h *harness) startSupervisor(ctx context.Context) {
 	supervisorCtx, stop := context.WithCancel(ctx)
-	k, done := s.newSupervisor(s.net.Host("10.8.1.1", "a"), s.clock), make(chan error, 1)
-	s.ctx, s.stop, s.done = ctx, stop, done
+	k, done := h.newSupervisor(h.net.Host("10.8.1.1", "a"), h.clock), make(chan error, 1)
+	h.ctx, h.stop, h.done = ctx, stop, done
 	go func() { done <- k.Run(supervisorCtx) }()
 }
 
-// replaceSupervisor replaces the supervisor by that of another owner, which knows the recorded state.
-func (s *harness) replaceSupervisor() {
-	s.stop()
-	<-s.done
-	s.startSupervisor(s.ctx)
+// replaceSupervisor replaces the supervisor by that of another owner, which knows the recorded
+// state.
+func (h *harness) replaceSupervisor() {
+	h.stop()
+	<-h.done
+	h.startSupervisor(h.ctx)
 }
 
 // runScenario runs a group with writers, a supervisor and a scenario.
-func runScenario(t *testing.T, scenario func(t *testing.T, s *harness)) {
+func runScenario(t *testing.T, scenario func(t *testing.T, h *harness)) {
 	t.Helper()
-	runScenarioWith(t, &liner.Group{Connections: 20, Work: time.Millisecond}, scenario)
+	runScenarioWith(t, &groupsimulator.Group{MaxConnections: 20, StatementTime: time.Millisecond}, scenario)
 }
 
 // runScenarioWith is runScenario with the given group.
-func runScenarioWith(t *testing.T, group *liner.Group, scenario func(t *testing.T, s *harness)) {
+func runScenarioWith(t *testing.T, group *groupsimulator.Group, scenario func(t *testing.T, h *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		net := wirer.New(1)
-		net.Latency = func(_, _ *wirer.Host) time.Duration { return time.Millisecond }
-		s := &harness{net: net, synchronous: 1, ownership: &fakeOwnership{}, group: group}
-		group.Name, group.Net, group.Travel, group.Promotion = "g", net, 12*time.Millisecond, 600*time.Millisecond
-		s.group.Start(ctx, "a", "b", "c")
+		net := netsimulator.New(1)
+		net.Latency = func(_, _ *netsimulator.Host) time.Duration { return time.Millisecond }
+		h := &harness{net: net, synchronous: 1, ownership: &fakeOwnership{}, group: group}
+		group.Name, group.Net, group.ReplicationDelay, group.PromotionDelay = "g", net, 12*time.Millisecond, 600*time.Millisecond
+		h.group.Start(ctx, "a", "b", "c")
 		begin := time.Now()
 		clock := func() tracker.Timestamp { return time.Since(begin) }
-		s.clock = clock
+		h.clock = clock
 		var running sync.WaitGroup
 		for i := range 3 {
-			h := net.Host(fmt.Sprintf("10.8.0.%d", i+1), "a")
-			running.Go(func() { writeLoop(ctx, s.group, h) })
+			host := net.Host(fmt.Sprintf("10.8.0.%d", i+1), "a")
+			running.Go(func() { writeLoop(ctx, h.group, host) })
 		}
-		s.startSupervisor(ctx)
+		h.startSupervisor(ctx)
 		defer func() {
 			cancel()
-			<-s.done
+			<-h.done
 			running.Wait()
-			s.group.Wait()
+			h.group.Wait()
 			if t.Failed() {
-				t.Log(strings.Join(s.events, "\n"))
+				t.Log(strings.Join(h.events, "\n"))
 			}
 		}()
-		scenario(t, s)
-		must.SliceEmpty(t, s.group.Violations())
-		must.Greater(t, 100, s.group.Acknowledged())
+		scenario(t, h)
+		must.SliceEmpty(t, h.group.Violations())
+		must.Greater(t, 100, h.group.Acknowledged())
 	})
 }
 
 // writeLoop writes to the current primary until the context ends.
-func writeLoop(ctx context.Context, g *liner.Group, h *wirer.Host) {
+func writeLoop(ctx context.Context, g *groupsimulator.Group, host *netsimulator.Host) {
 	for n := 0; ctx.Err() == nil; {
-		id, _ := g.Leader()
-		c := connect(ctx, g, h, id)
+		id, _ := g.Primary()
+		c := connect(ctx, g, host, id)
 		if c == nil {
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
 		for ; ctx.Err() == nil; n++ {
-			put := messenger.Command{ID: fmt.Sprintf("%s-%d", h.IP, n), Kind: messenger.KindWrite, Text: fmt.Sprintf("PUT k%d v", n)}
+			put := messenger.Command{ID: fmt.Sprintf("%s-%d", host.IP, n), Kind: messenger.KindWrite, Text: fmt.Sprintf("PUT k%d v", n)}
 			replies, _, err := c.Exchange([]messenger.Command{put}, time.Now().Add(200*time.Millisecond))
 			if err != nil || replies[0].Code != messenger.CodeNone {
 				break
@@ -191,12 +192,12 @@
 	}
 }
 
-func connect(ctx context.Context, g *liner.Group, h *wirer.Host, id string) *lender.Conn {
-	for _, m := range g.Registered() {
+func connect(ctx context.Context, g *groupsimulator.Group, host *netsimulator.Host, id string) *lender.Conn {
+	for _, m := range g.Registrations() {
 		if m.ID == id {
 			dial, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 			defer cancel()
-			if c, err := lender.Connect(dial, h, platform.LineCodec{}, m, "writer"); err == nil {
+			if c, err := lender.Connect(dial, host, platform.LineCodec{}, m, "writer"); err == nil {
 				return c
 			}
 		}
@@ -204,29 +205,29 @@
 	return nil
 }
 
-func (s *harness) leader() string {
-	id, _ := s.group.Leader()
+func (h *harness) leader() string {
+	id, _ := h.group.Primary()
 	return id
 }
 
 // A leaving primary is replaced before it ends.
 func TestPrimaryLeaves(t *testing.T) {
-	runScenario(t, func(t *testing.T, s *harness) {
+	runScenario(t, func(t *testing.T, h *harness) {
 		time.Sleep(2 * time.Second)
-		s.group.Leave("g-1")
+		h.group.MarkLeaving("g-1")
 		time.Sleep(3 * time.Second)
-		must.NotEq(t, "g-1", s.leader())
+		must.NotEq(t, "g-1", h.leader())
 	})
 }
 
 // After a crash of the primary, the new one holds every acknowledged write.
 func TestPrimaryCrashes(t *testing.T) {
-	runScenario(t, func(t *testing.T, s *harness) {
+	runScenario(t, func(t *testing.T, h *harness) {
 		time.Sleep(2 * time.Second)
-		s.group.Crash("g-1")
+		h.group.Crash("g-1")
 		time.Sleep(3 * time.Second)
-		must.NotEq(t, "g-1", s.leader())
-		must.NotEq(t, "", s.leader())
+		must.NotEq(t, "g-1", h.leader())
+		must.NotEq(t, "", h.leader())
 	})
 }
 
@@ -235,16 +236,16 @@
 func TestReplicaJoinsDuringChange(t *testing.T) {
 	for _, after := range []time.Duration{0, 300 * time.Millisecond, 560 * time.Millisecond, 590 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
-			runScenario(t, func(t *testing.T, s *harness) {
+			runScenario(t, func(t *testing.T, h *harness) {
 				time.Sleep(2 * time.Second)
-				ordered := s.notifyOn("promotion-ordered")
-				s.group.Leave("g-1")
+				ordered := h.notifyOn("promotion-ordered")
+				h.group.MarkLeaving("g-1")
 				<-ordered
 				time.Sleep(after)
-				s.group.Join("g-4", "a", "10.9.1.4")
-				s.group.Near("g-4", time.Millisecond)
+				h.group.Join("g-4", "a", "10.9.1.4")
+				h.group.SetReplicationDelay("g-4", time.Millisecond)
 				time.Sleep(3 * time.Second)
-				must.NotEq(t, "g-1", s.leader())
+				must.NotEq(t, "g-1", h.leader())
 			})
 		})
 	}
@@ -252,54 +253,54 @@
 
 // Guards against promoting a stalled replica after the only one that followed has left.
 func TestOnlySyncedReplicaLeaves(t *testing.T) {
-	runScenario(t, func(t *testing.T, s *harness) {
+	runScenario(t, func(t *testing.T, h *harness) {
 		time.Sleep(2 * time.Second)
-		s.group.Leave("g-3")
-		s.group.Isolate("g-2", "g-1")
+		h.group.MarkLeaving("g-3")
+		h.group.BlockReplication("g-2", "g-1")
 		time.Sleep(8 * time.Second)
-		s.group.Gone("g-3")
+		h.group.Terminate("g-3")
 		time.Sleep(time.Second)
-		s.group.Leave("g-1")
+		h.group.MarkLeaving("g-1")
 		time.Sleep(4 * time.Second)
-		s.group.Rejoin("g-2")
+		h.group.UnblockReplication("g-2")
 		time.Sleep(4 * time.Second)
-		must.Eq(t, "g-2", s.leader())
+		must.Eq(t, "g-2", h.leader())
 	})
 }
 
 // A leaving primary is replaced even if another replica has crashed.
 func TestPrimaryLeavesWithReplicaLost(t *testing.T) {
-	runScenario(t, func(t *testing.T, s *harness) {
+	runScenario(t, func(t *testing.T, h *harness) {
 		time.Sleep(2 * time.Second)
-		s.group.Crash("g-3")
+		h.group.Crash("g-3")
 		time.Sleep(time.Second)
-		s.group.Leave("g-1")
+		h.group.MarkLeaving("g-1")
 		time.Sleep(4 * time.Second)
-		must.Eq(t, "g-2", s.leader())
+		must.Eq(t, "g-2", h.leader())
 	})
 }
 
 // Guards against a change undone by the order that fences a previous owner's pending
 // promotion.
 func TestChangeAfterFencingPendingPromotion(t *testing.T) {
-	runScenario(t, func(t *testing.T, s *harness) {
-		s.ownership.update(func() { s.ownership.state.PromotionPending = true })
+	runScenario(t, func(t *testing.T, h *harness) {
+		h.ownership.update(func() { h.ownership.state.PromotionPending = true })
 		time.Sleep(300 * time.Millisecond)
-		s.group.Leave("g-1")
+		h.group.MarkLeaving("g-1")
 		time.Sleep(5 * time.Second)
-		_, term := s.group.Leader()
+		_, term := h.group.Primary()
 		must.Eq(t, 2, term)
-		must.NotEq(t, "g-1", s.leader())
+		must.NotEq(t, "g-1", h.leader())
 	})
 }
 
 // A lagging replica replaces an overloaded primary, which then serves reads.
 func TestLaggingReplicaReplacesOverloadedPrimary(t *testing.T) {
-	runScenarioWith(t, &liner.Group{Connections: 60, Work: 20 * time.Millisecond, Slots: 3, Queue: 48}, func(t *testing.T, s *harness) {
+	runScenarioWith(t, &groupsimulator.Group{MaxConnections: 60, StatementTime: 20 * time.Millisecond, Slots: 3, MaxQueued: 48}, func(t *testing.T, s *harness) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var reading sync.WaitGroup
-		s.group.Late("g-2", 10*time.Millisecond)
-		s.group.Late("g-3", 10*time.Second)
+		s.group.SetApplyLag("g-2", 10*time.Millisecond)
+		s.group.SetApplyLag("g-3", 10*time.Second)
 		time.Sleep(time.Second)
 		for i := range 20 {
 			h := s.net.Host(fmt.Sprintf("10.8.2.%d", i+1), "a")
@@ -313,11 +314,11 @@
 }
 
 // A lagging replica replaces a primary whose connections are held by idle transactions.
-func TestLaggingReplicaReplacesCrowdedPrimary(t *testing.T) {
+func TestLaggingReplicaReplacesNearlyFullPrimary(t *testing.T) {
 	runScenario(t, func(t *testing.T, s *harness) {
 		time.Sleep(time.Second)
-		s.group.Late("g-2", 10*time.Millisecond)
-		s.group.Late("g-3", 10*time.Second)
+		s.group.SetApplyLag("g-2", 10*time.Millisecond)
+		s.group.SetApplyLag("g-3", 10*time.Second)
 		h := s.net.Host("10.8.2.1", "a")
 		for range 14 { // 18 of 20 connections, including the writers and the supervisor
 			c := connect(t.Context(), s.group, h, "g-1")
@@ -330,8 +331,8 @@
 }
 
 // readLoop reads from the first member until the context ends.
-func readLoop(ctx context.Context, g *liner.Group, h *wirer.Host) {
-	for _, m := range g.Registered() {
+func readLoop(ctx context.Context, g *groupsimulator.Group, h *netsimulator.Host) {
+	for _, m := range g.Registrations() {
 		if m.ID != "g-1" {
 			continue
 		}
@@ -351,18 +352,18 @@
 // Guards against treating the last status of a busy primary as a proof of its current
 // position.
 func TestBusyResponseIsNoProof(t *testing.T) {
-	runScenario(t, func(t *testing.T, s *harness) {
+	runScenario(t, func(t *testing.T, h *harness) {
 		time.Sleep(2 * time.Second)
-		s.group.Busy("g-1", true)
+		h.group.SetStatusBusy("g-1", true)
 		time.Sleep(50 * time.Millisecond)
-		since := s.clock()
+		since := h.clock()
 		time.Sleep(500 * time.Millisecond)
-		p, ok := s.tracked.NewestProof()
+		p, ok := h.tracked.NewestProof()
 		must.True(t, ok)
 		must.Less(t, since, p.At)
-		s.group.Busy("g-1", false)
+		h.group.SetStatusBusy("g-1", false)
 		time.Sleep(time.Second)
-		p, _ = s.tracked.NewestProof()
+		p, _ = h.tracked.NewestProof()
 		must.Greater(t, since, p.At)
 	})
 }
@@ -370,89 +371,89 @@
 // With asynchronous replication, a demoted primary that no replica has caught up with is
 // restored.
 func TestAsynchronousPrimaryIsRestored(t *testing.T) {
-	runScenario(t, func(t *testing.T, s *harness) {
+	runScenario(t, func(t *testing.T, h *harness) {
 		time.Sleep(2 * time.Second)
-		s.synchronous = 0
-		s.group.Isolate("g-2", "g-1")
-		s.group.Isolate("g-3", "g-1")
-		s.group.Leave("g-1")
+		h.synchronous = 0
+		h.group.BlockReplication("g-2", "g-1")
+		h.group.BlockReplication("g-3", "g-1")
+		h.group.MarkLeaving("g-1")
 		time.Sleep(3 * time.Second)
-		must.Eq(t, "g-1", s.leader())
-		s.group.Rejoin("g-2")
-		s.group.Rejoin("g-3")
+		must.Eq(t, "g-1", h.leader())
+		h.group.UnblockReplication("g-2")
+		h.group.UnblockReplication("g-3")
 		time.Sleep(4 * time.Second)
-		must.NotEq(t, "g-1", s.leader())
+		must.NotEq(t, "g-1", h.leader())
 	})
 }
 
 // Guards against promoting a replica that lacks acknowledged commits when all others have
 // crashed.
 func TestPrimaryAndOnlySyncedReplicaCrash(t *testing.T) {
-	runScenario(t, func(t *testing.T, s *harness) {
+	runScenario(t, func(t *testing.T, h *harness) {
 		time.Sleep(2 * time.Second)
-		s.group.Isolate("g-2", "g-1")
+		h.group.BlockReplication("g-2", "g-1")
 		time.Sleep(time.Second)
-		s.group.Crash("g-3")
-		s.group.Crash("g-1")
+		h.group.Crash("g-3")
+		h.group.Crash("g-1")
 		time.Sleep(5 * time.Second)
-		must.NotEq(t, "g-2", s.leader())
-		s.group.Return("g-3")
+		must.NotEq(t, "g-2", h.leader())
+		h.group.Recover("g-3")
 		time.Sleep(4 * time.Second)
-		must.Eq(t, "g-3", s.leader())
+		must.Eq(t, "g-3", h.leader())
 	})
 }
 
 // Guards against a promotion without commits that only the primary and a restarted replica
 // held.
 func TestOnlySyncedReplicaRestarts(t *testing.T) {
-	runScenario(t, func(t *testing.T, s *harness) {
+	runScenario(t, func(t *testing.T, h *harness) {
 		time.Sleep(2 * time.Second)
-		s.group.Isolate("g-2", "g-1")
+		h.group.BlockReplication("g-2", "g-1")
 		time.Sleep(time.Second)
-		s.group.Isolate("g-3", "g-1")
-		s.group.Restart("g-3")
-		s.group.Crash("g-1")
+		h.group.BlockReplication("g-3", "g-1")
+		h.group.Restart("g-3")
+		h.group.Crash("g-1")
 		time.Sleep(5 * time.Second)
-		must.Eq(t, "g-1", s.leader())
-		s.group.Rejoin("g-2")
-		s.group.Rejoin("g-3")
-		s.group.Return("g-1")
+		must.Eq(t, "g-1", h.leader())
+		h.group.UnblockReplication("g-2")
+		h.group.UnblockReplication("g-3")
+		h.group.Recover("g-1")
 		time.Sleep(4 * time.Second)
-		must.NotEq(t, "", s.leader())
+		must.NotEq(t, "", h.leader())
 	})
 }
 
 // Guards against ignoring the log of an excluded member that has returned.
 func TestExcludedMemberReturns(t *testing.T) {
-	runScenario(t, func(t *testing.T, s *harness) {
+	runScenario(t, func(t *testing.T, h *harness) {
 		time.Sleep(2 * time.Second)
-		s.group.Leave("g-3")
+		h.group.MarkLeaving("g-3")
 		time.Sleep(500 * time.Millisecond)
-		s.group.Gone("g-3")
+		h.group.Terminate("g-3")
 		time.Sleep(2 * time.Second)
-		s.group.Back("g-3")
+		h.group.StartEmpty("g-3")
 		time.Sleep(2 * time.Second)
-		s.group.Isolate("g-2", "g-1")
+		h.group.BlockReplication("g-2", "g-1")
 		time.Sleep(time.Second)
-		s.group.Crash("g-1")
+		h.group.Crash("g-1")
 		time.Sleep(5 * time.Second)
-		must.Eq(t, "g-3", s.leader())
+		must.Eq(t, "g-3", h.leader())
 	})
 }
 
 // Guards against commits acknowledged by a paused replica that restarts during the change and
 // no longer knows of its pause.
 func TestPausedReplicaRestarts(t *testing.T) {
-	runScenario(t, func(t *testing.T, s *harness) {
+	runScenario(t, func(t *testing.T, h *harness) {
 		time.Sleep(2 * time.Second)
-		ordered := s.notifyOn("promotion-ordered")
-		s.net.Cut("10.8.1.1", "10.9.1.1")
+		ordered := h.notifyOn("promotion-ordered")
+		h.net.Partition("10.8.1.1", "10.9.1.1")
 		<-ordered
-		id := s.group.Paused()[0]
-		s.group.Restart(id)
-		s.group.Near(id, time.Millisecond)
+		id := h.group.Paused()[0]
+		h.group.Restart(id)
+		h.group.SetReplicationDelay(id, time.Millisecond)
 		time.Sleep(6 * time.Second)
-		must.NotEq(t, "g-1", s.leader())
+		must.NotEq(t, "g-1", h.leader())
 	})
 }
 
@@ -461,26 +462,26 @@
 func TestCandidateRestarts(t *testing.T) {
 	for _, newOwner := range []bool{false, true} {
 		t.Run(fmt.Sprint("another owner: ", newOwner), func(t *testing.T) {
-			runScenario(t, func(t *testing.T, s *harness) {
+			runScenario(t, func(t *testing.T, h *harness) {
 				time.Sleep(2 * time.Second)
-				ordered := s.notifyOn("promotion-ordered")
-				s.group.Isolate("g-2", "g-1")
-				s.group.Isolate("g-3", "g-1")
+				ordered := h.notifyOn("promotion-ordered")
+				h.group.BlockReplication("g-2", "g-1")
+				h.group.BlockReplication("g-3", "g-1")
 				<-ordered
-				paused := s.group.Paused()
+				paused := h.group.Paused()
 				id := "g-2"
 				if slices.Contains(paused, id) {
 					id = "g-3"
 				}
-				s.group.Restart(id)
+				h.group.Restart(id)
 				if newOwner {
 					time.Sleep(time.Second)
-					s.replaceSupervisor()
+					h.replaceSupervisor()
 				}
 				time.Sleep(8 * time.Second)
-				must.NotEq(t, "", s.leader())
-				s.group.Rejoin("g-2")
-				s.group.Rejoin("g-3")
+				must.NotEq(t, "", h.leader())
+				h.group.UnblockReplication("g-2")
+				h.group.UnblockReplication("g-3")
 			})
 		})
 	}
@@ -488,48 +489,48 @@
 
 // Guards against treating busy replicas as stalled.
 func TestBusyReplicasAreNotStalled(t *testing.T) {
-	runScenario(t, func(t *testing.T, s *harness) {
+	runScenario(t, func(t *testing.T, h *harness) {
 		time.Sleep(2 * time.Second)
-		s.group.Busy("g-2", true)
-		s.group.Busy("g-3", true)
+		h.group.SetStatusBusy("g-2", true)
+		h.group.SetStatusBusy("g-3", true)
 		time.Sleep(4 * time.Second)
-		s.assertPrimaryUnchanged(t)
+		h.assertPrimaryUnchanged(t)
 	})
 }
 
 // assertPrimaryUnchanged asserts that the first primary is still in its first term.
-func (s *harness) assertPrimaryUnchanged(t *testing.T) {
+func (h *harness) assertPrimaryUnchanged(t *testing.T) {
 	t.Helper()
-	id, term := s.group.Leader()
+	id, term := h.group.Primary()
 	must.Eq(t, "g-1", id)
 	must.Eq(t, 1, term)
 }
 
 // Guards against a change whose reason clears during a slow store call.
 func TestReasonClearsBeforeFencing(t *testing.T) {
-	runScenario(t, func(t *testing.T, s *harness) {
+	runScenario(t, func(t *testing.T, h *harness) {
 		time.Sleep(2 * time.Second)
-		s.ownership.update(func() { s.ownership.delay = time.Second })
-		begins := s.notifyOn("move-begins")
-		s.group.Crash("g-1")
+		h.ownership.update(func() { h.ownership.delay = time.Second })
+		begins := h.notifyOn("move-begins")
+		h.group.Crash("g-1")
 		<-begins
-		s.group.Return("g-1")
+		h.group.Recover("g-1")
 		time.Sleep(4 * time.Second)
-		s.assertPrimaryUnchanged(t)
+		h.assertPrimaryUnchanged(t)
 	})
 }
 
 // Guards against a group left without a primary when a change fails after the old primary has
 // stepped down.
 func TestChangeFailsAfterStepDown(t *testing.T) {
-	runScenario(t, func(t *testing.T, s *harness) {
+	runScenario(t, func(t *testing.T, h *harness) {
 		time.Sleep(2 * time.Second)
-		stepped := s.notifyOn("stepped-down")
-		s.group.Busy("g-2", true)
-		s.group.Busy("g-3", true)
-		s.group.Leave("g-1")
+		stepped := h.notifyOn("stepped-down")
+		h.group.SetStatusBusy("g-2", true)
+		h.group.SetStatusBusy("g-3", true)
+		h.group.MarkLeaving("g-1")
 		<-stepped
 		time.Sleep(1500 * time.Millisecond)
-		must.Eq(t, "g-1", s.leader())
+		must.Eq(t, "g-1", h.leader())
 	})
 }
--- a/internal/elector/supervisor.go
+++ b/internal/elector/supervisor.go
@@ -49,10 +49,11 @@
 		// ones; State returns the last recorded state.
 		NextFencingToken func(ctx context.Context, f State) (int64, error)
 		State            func() State
-		// MarkPromotionUnanswered notes that an order sent with the newest fencing token is unanswered.
+		// MarkPromotionUnanswered notes that an order sent with the newest fencing token is
+		// unanswered.
 		MarkPromotionUnanswered func()
 		// Promote orders a promotion.
-		Promote func(ctx context.Context, group, member string, fence int64) error
+		Promote func(ctx context.Context, group, member string, fencingToken int64) error
 		// Refused reports whether an error of Promote is a refusal.
 		Refused func(error) bool
 		// SynchronousReplicas returns how many replicas hold a commit before it is acknowledged.
@@ -72,8 +73,8 @@
 		// announcedLeave are the members that announced to leave, or whose address was reused. They
 		// have departed once they are no longer registered.
 		announcedLeave map[string]bool
-		// formerIncarnations maps former incarnations that may hold the only copy of a commit to their
-		// addresses; see incarnationID.
+		// formerIncarnations maps former incarnations that may hold the only copy of a commit to
+		// their addresses; see incarnationID.
 		formerIncarnations map[string]string
 		// registered are the registered members.
 		registered map[string]bool
@@ -207,14 +208,14 @@
 	sv.refreshMembers()
 	// Collected first, because the primary's response changes which members are due.
 	var due []*memberState
-	for _, l := range sv.members {
-		if sv.shouldPoll(l) {
-			due = append(due, l)
+	for _, m := range sv.members {
+		if sv.shouldPoll(m) {
+			due = append(due, m)
 		}
 	}
 	var polls sync.WaitGroup
-	for _, l := range due {
-		polls.Go(func() { sv.poll(ctx, l) })
+	for _, m := range due {
+		polls.Go(func() { sv.poll(ctx, m) })
 	}
 	polls.Wait()
 	v := sv.buildView()
@@ -240,18 +241,18 @@
 	sv.pruneMembers(members)
 	var joined []*memberState
 	for _, m := range members {
-		l := sv.members[m.ID]
-		if l != nil && m.StartTime > l.StartTime && l.StartTime != 0 {
-			sv.handleRestart(l)
-			l = nil
+		state := sv.members[m.ID]
+		if state != nil && m.StartTime > state.StartTime && state.StartTime != 0 {
+			sv.handleRestart(state)
+			state = nil
 		}
-		if l == nil {
-			l = &memberState{}
-			sv.members[m.ID] = l
+		if state == nil {
+			state = &memberState{}
+			sv.members[m.ID] = state
 			sv.include(m.ID)
-			joined = append(joined, l)
+			joined = append(joined, state)
 		}
-		l.Member, l.maxConnections = m, sv.ConnectionLimit()
+		state.Member, state.maxConnections = m, sv.ConnectionLimit()
 		if m.Leaving && !m.Missing {
 			sv.announcedLeave[m.ID] = true
 		}
@@ -261,23 +262,23 @@
 
 // shouldPoll reports whether a member is due. Replicas are polled less often while the primary
 // is healthy.
-func (sv *Supervisor) shouldPoll(l *memberState) bool {
-	if isFormerIncarnation(l.ID) {
+func (sv *Supervisor) shouldPoll(m *memberState) bool {
+	if isFormerIncarnation(m.ID) {
 		return false
 	}
-	if l.ID == sv.primary || !l.Answered || l.PausedSince != 0 {
+	if m.ID == sv.primary || !m.Answered || m.PausedSince != 0 {
 		return true
 	}
 	p := sv.members[sv.primary]
-	healthy := p != nil && p.Answered && p.Status.Primary && !p.Leaving && p.OverloadedSince == 0 && l.StalledSince == 0
-	return !healthy || sv.Clock()-l.polledAt >= healthyReplicaInterval
+	healthy := p != nil && p.Answered && p.Status.Primary && !p.Leaving && p.OverloadedSince == 0 && m.StalledSince == 0
+	return !healthy || sv.Clock()-m.polledAt >= healthyReplicaInterval
 }
 
 // pruneMembers drops members that are no longer listed.
 func (sv *Supervisor) pruneMembers(members []tracker.Member) {
-	for id, l := range sv.members {
+	for id, state := range sv.members {
 		if !slices.ContainsFunc(members, func(m tracker.Member) bool { return m.ID == id }) {
-			l.close()
+			state.close()
 			delete(sv.members, id)
 		}
 	}
@@ -292,22 +293,22 @@
 	}
 	previous := sv.primary
 	var term uint64
-	for _, l := range sv.members {
-		if l.Answered && l.Status.Primary && l.Status.Term > term {
-			term, sv.primary = l.Status.Term, l.ID
-			sv.recordLeader(Leadership{ID: l.ID, StartTime: l.StartTime, Term: l.Status.Term})
+	for _, m := range sv.members {
+		if m.Answered && m.Status.Primary && m.Status.Term > term {
+			term, sv.primary = m.Status.Term, m.ID
+			sv.recordLeader(Leadership{ID: m.ID, StartTime: m.StartTime, Term: m.Status.Term})
 		}
 	}
 	p := sv.members[sv.primary]
-	for _, l := range sv.members {
+	for _, m := range sv.members {
 		if sv.primary != previous {
 			// Stalls were relative to the previous primary.
-			l.StalledSince = 0
+			m.StalledSince = 0
 		} else if p != nil {
-			l.updateStall(p.Status.Received)
-			l.updateCoverage(p)
+			m.updateStall(p.Status.Received)
+			m.updateCoverage(p)
 		}
-		v.Members = append(v.Members, l.Observation)
+		v.Members = append(v.Members, m.Observation)
 	}
 	switch {
 	case p != nil && (!p.Answered || p.Status.Primary):
--- a/internal/exchanger/exchanger.go
+++ b/internal/exchanger/exchanger.go
@@ -119,47 +119,47 @@
 	if starting {
 		list = append(list, e.Discoverer.Uncontacted(now, introductionFanout)...)
 	}
-	var duePeers []discoverer.Peer
+	var due []discoverer.Peer
 	for _, p := range list {
-		pause := contactInterval
+		interval := contactInterval
 		if failing, since := e.Discoverer.Failing(p.Name); failing && now-since > unresponsiveAfter {
-			pause = unresponsiveInterval
+			interval = unresponsiveInterval
 		} else if failing || !e.Links.Connected(p.Address) {
-			pause = contactCheckInterval
+			interval = contactCheckInterval
 		}
-		if at, contacted := e.contacted[p.Name]; !contacted || now-at >= pause {
-			duePeers = append(duePeers, p)
+		if at, contacted := e.contacted[p.Name]; !contacted || now-at >= interval {
+			due = append(due, p)
 			e.contacted[p.Name] = now
 		}
 	}
-	return duePeers
+	return due
 }
 
 // RequestState requests the store state after a revision from peers and returns the newest answer.
 // It implements watcher.Watcher.RequestState and must not be called concurrently.
 func (e *Exchanger) RequestState(ctx context.Context, revision int64) (watcher.StoreState, error) {
-	if readerAddresses := e.readerAddresses(); !slices.Contains(readerAddresses, "") {
-		return e.requestFromReader(ctx, readerAddresses, revision)
+	if readers := e.readerAddresses(); !slices.Contains(readers, "") {
+		return e.requestFromReader(ctx, readers, revision)
 	}
 	list := e.Discoverer.Addresses(e.Clock(), stateRequestFanout)
 	answers := make(chan watcher.StoreState, len(list))
 	for _, address := range list {
 		go func() {
-			n, err := e.request(ctx, address, &wire.TellRequest{Revision: revision})
+			state, err := e.request(ctx, address, &wire.TellRequest{Revision: revision})
 			if err != nil {
-				n = watcher.StoreState{}
+				state = watcher.StoreState{}
 			}
-			answers <- n
+			answers <- state
 		}()
 	}
 	var best watcher.StoreState
 	for range list {
-		n := <-answers
-		reads := best.SenderIsReader || n.SenderIsReader
-		if n.Revision > best.Revision || n.Revision == best.Revision && n.ConfirmedAt > best.ConfirmedAt {
-			best = n
+		state := <-answers
+		senderIsReader := best.SenderIsReader || state.SenderIsReader
+		if state.Revision > best.Revision || state.Revision == best.Revision && state.ConfirmedAt > best.ConfirmedAt {
+			best = state
 		}
-		best.SenderIsReader = reads
+		best.SenderIsReader = senderIsReader
 	}
 	if best.Revision == 0 {
 		return best, errNoPeerState
@@ -172,9 +172,9 @@
 func (e *Exchanger) requestFromReader(ctx context.Context, readers []string, revision int64) (watcher.StoreState, error) {
 	e.readerRequests++
 	for i := range readers {
-		n, err := e.request(ctx, readers[(e.readerRequests+i)%len(readers)], &wire.TellRequest{Revision: revision, Proofs: true, Changes: true})
-		if err == nil && n.Revision != 0 {
-			return n, nil
+		state, err := e.request(ctx, readers[(e.readerRequests+i)%len(readers)], &wire.TellRequest{Revision: revision, Proofs: true, Changes: true})
+		if err == nil && state.Revision != 0 {
+			return state, nil
 		}
 	}
 	return watcher.StoreState{}, errNoPeerState
@@ -205,75 +205,75 @@
 func (e *Exchanger) FollowsPeers() bool { return !slices.Contains(e.readerAddresses(), "") }
 
 // request sends a request to a peer and records the peers and proofs of its reply.
-func (t *Exchanger) request(ctx context.Context, address string, r *wire.TellRequest) (watcher.StoreState, error) {
-	r.Sender = toPeer(t.Discoverer.Self)
-	var a *wire.TellReply
-	requestedAt := t.Clock()
-	err := t.Links.Call(ctx, callTimeout, address, func(ctx context.Context, l *linker.Link) (err error) {
-		a, err = wire.NewDRPCNeighboursClient(l.Conn()).Tell(ctx, r)
+func (e *Exchanger) request(ctx context.Context, address string, r *wire.TellRequest) (watcher.StoreState, error) {
+	r.Sender = toPeer(e.Discoverer.Self)
+	var reply *wire.TellReply
+	requestedAt := e.Clock()
+	err := e.Links.Call(ctx, callTimeout, address, func(ctx context.Context, l *linker.Link) (err error) {
+		reply, err = wire.NewDRPCNeighboursClient(l.Conn()).Tell(ctx, r)
 		return err
 	})
 	if err != nil {
 		if ctx.Err() == nil {
-			t.Discoverer.RecordFailure(t.Clock(), address)
-			t.Log("event", "peer-unanswered", "address", address, "cause", err)
+			e.Discoverer.RecordFailure(e.Clock(), address)
+			e.Log("event", "peer-unanswered", "address", address, "cause", err)
 		}
 		return watcher.StoreState{}, err
 	}
-	now := t.Clock()
-	responder := fromPeer(a.Teller)
-	t.Discoverer.RecordContact(now, responder)
-	for _, p := range a.Peers {
-		t.Discoverer.RecordListed(now, fromPeer(p))
+	now := e.Clock()
+	responder := fromPeer(reply.Teller)
+	e.Discoverer.RecordContact(now, responder)
+	for _, p := range reply.Peers {
+		e.Discoverer.RecordListed(now, fromPeer(p))
 	}
 	// Ages are relative to the time before the request, so that delays can only make the
 	// received state appear older.
-	for _, p := range a.Proofs {
-		t.AddProof(GroupProof{Group: p.Group, FreshnessProof: tracker.FreshnessProof{
+	for _, p := range reply.Proofs {
+		e.AddProof(GroupProof{Group: p.Group, FreshnessProof: tracker.FreshnessProof{
 			At: requestedAt - time.Duration(p.AgeUs)*time.Microsecond, Position: orderer.Position{Term: p.Term, Offset: p.Offset},
 		}})
 	}
-	n := watcher.StoreState{Revision: a.Revision, Partial: a.Partial, Sender: responder.Name, SenderIsReader: a.Reads, ConfirmedAt: requestedAt - time.Duration(a.AgeMs)*time.Millisecond}
-	for _, x := range a.Items {
-		n.Pairs = append(n.Pairs, storer.Pair{Key: x.Key, Value: x.Value, Revision: x.Revision})
+	state := watcher.StoreState{Revision: reply.Revision, Partial: reply.Partial, Sender: responder.Name, SenderIsReader: reply.Reads, ConfirmedAt: requestedAt - time.Duration(reply.AgeMs)*time.Millisecond}
+	for _, x := range reply.Items {
+		state.Pairs = append(state.Pairs, storer.Pair{Key: x.Key, Value: x.Value, Revision: x.Revision})
 	}
-	return n, nil
+	return state, nil
 }
 
 // HandleRequest handles a request of a peer.
 func (e *Exchanger) HandleRequest(r *wire.TellRequest) *wire.TellReply {
 	now := e.Clock()
 	e.Discoverer.RecordContact(now, fromPeer(r.Sender))
-	a := &wire.TellReply{Teller: toPeer(e.Discoverer.Self)}
+	reply := &wire.TellReply{Teller: toPeer(e.Discoverer.Self)}
 	if !r.Changes {
 		for _, p := range e.Discoverer.PeersForReply(now) {
-			a.Peers = append(a.Peers, toPeer(p))
+			reply.Peers = append(reply.Peers, toPeer(p))
 		}
 	}
 	if r.Proofs && e.Proofs != nil {
-		a.Proofs = e.encodeProofs()
+		reply.Proofs = e.encodeProofs()
 	}
-	k := e.StoreState()
-	if k == nil || r.PeersOnly {
-		return a
+	state := e.StoreState()
+	if state == nil || r.PeersOnly {
+		return reply
 	}
-	a.Reads = e.IsReader()
-	a.Revision, a.AgeMs = k.Revision, uint32(max(0, now-k.ConfirmedAt).Milliseconds())
-	if r.Revision >= k.Revision {
-		return a
+	reply.Reads = e.IsReader()
+	reply.Revision, reply.AgeMs = state.Revision, uint32(max(0, now-state.ConfirmedAt).Milliseconds())
+	if r.Revision >= state.Revision {
+		return reply
 	}
-	pairs := k.Pairs
+	pairs := state.Pairs
 	if r.Changes {
-		pairs, a.Partial = k.ChangesSince(r.Revision)
+		pairs, reply.Partial = state.ChangesSince(r.Revision)
 	}
 	for _, p := range pairs {
-		a.Items = append(a.Items, &wire.StoreItem{Key: p.Key, Value: p.Value, Revision: p.Revision})
+		reply.Items = append(reply.Items, &wire.StoreItem{Key: p.Key, Value: p.Value, Revision: p.Revision})
 	}
-	return a
+	return reply
 }
 
-// encodeProofs returns the recent proofs for a reply. Ages are rounded up: a proof taken for
-// newer than it is would let a read miss acknowledged commits.
+// encodeProofs returns the recent proofs for a reply. Ages are rounded up: a proof that
+// appears newer than it is would let a read miss acknowledged commits.
 func (e *Exchanger) encodeProofs() []*wire.GroupProof {
 	known := e.Proofs()
 	now := e.Clock()
--- a/internal/exchanger/exchanger_test.go
+++ b/internal/exchanger/exchanger_test.go
@@ -12,7 +12,7 @@
 	"github.com/oriolegw/oriolegw/internal/exchanger"
 	"github.com/oriolegw/oriolegw/internal/linker"
 	"github.com/oriolegw/oriolegw/internal/linker/wire"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/oriolegw/oriolegw/internal/storer"
 	"github.com/oriolegw/oriolegw/internal/tracker"
 	"github.com/oriolegw/oriolegw/internal/watcher"
@@ -52,7 +52,7 @@
 // peers they know, and tolerates a peer that does not answer.
 func TestRequestState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := wirer.New(1)
+		n := netsimulator.New(1)
 		ctx, cancel := context.WithCancel(context.Background())
 		start := time.Now()
 		clock := func() tracker.Timestamp { return time.Since(start) + time.Hour }
@@ -76,7 +76,7 @@
 		must.Eq(t, "n10.0.0.2", received.Sender)
 		must.LessEq(t, clock()-time.Second, received.ConfirmedAt)
 		must.Eq(t, 2, len(y.Discoverer.Peers(clock())))
-		n.Cut("10.0.0.9", "10.0.0.2")
+		n.Partition("10.0.0.9", "10.0.0.2")
 		received, err = y.RequestState(ctx, 0)
 		must.NoError(t, err)
 		must.Eq(t, 7, received.Revision)
@@ -87,8 +87,8 @@
 	})
 }
 
-// FuzzTell guards against malformed requests of peers.
-func FuzzTell(f *testing.F) {
+// FuzzHandleRequest guards against malformed requests of peers.
+func FuzzHandleRequest(f *testing.F) {
 	good, err := proto.Marshal(&wire.TellRequest{Sender: &wire.Peer{Name: "y", Address: "y:1", Zone: "b"}, Revision: 4})
 	must.NoError(f, err)
 	f.Add(good)
@@ -106,7 +106,7 @@
 }
 
 // Valid instance records add peers; invalid ones are ignored.
-func TestRecords(t *testing.T) {
+func TestHandleRecord(t *testing.T) {
 	x := newExchanger("x", nil)
 	x.HandleRecord(storer.Pair{Key: exchanger.InstancePrefix + "y", Value: []byte(`{"address": "y:1", "availability-zone": "a"}`), Revision: 1})
 	x.HandleRecord(storer.Pair{Key: exchanger.InstancePrefix + "z", Value: []byte("nonsense"), Revision: 2})
@@ -190,8 +190,8 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := wirer.New(1)
-				n.Latency = func(_, _ *wirer.Host) time.Duration { return c.latency }
+				n := netsimulator.New(1)
+				n.Latency = func(_, _ *netsimulator.Host) time.Duration { return c.latency }
 				ctx, cancel := context.WithCancel(context.Background())
 				start := time.Now()
 				key := []linker.Secret{{KeyNumber: 1, Value: []byte("key")}}
--- a/internal/exchanger/register.go
+++ b/internal/exchanger/register.go
@@ -45,7 +45,7 @@
 	self := e.Discoverer.Self
 	value, err := json.Marshal(record{Address: self.Address, Zone: self.Zone, Millicores: self.Millicores})
 	if err != nil {
-		panic("teller: encode record: " + err.Error())
+		panic("exchanger: encode record: " + err.Error())
 	}
 	e.mutex.Lock()
 	ownRecord := e.ownRecord
--- a/internal/explainer/explainer.go
+++ b/internal/explainer/explainer.go
@@ -44,7 +44,7 @@
 	}
 )
 
-// ErrUnknown is returned if no line has the request's id.
+// ErrRequestNotFound is returned if no line has the request's id.
 var ErrRequestNotFound = errors.New("no line has this id: the request was not served here, or its lines were dropped (see event=lines-dropped)")
 
 // Explain reads a log and returns the explanation of a request.
@@ -129,25 +129,25 @@
 }
 
 // Write prints the explanation.
-func (x *Explanation) Write(w io.Writer) {
+func (e *Explanation) Write(w io.Writer) {
 	fmt.Fprintln(w, "The request:")
-	for _, l := range x.Request {
+	for _, l := range e.Request {
 		fmt.Fprintln(w, "  "+l.Text)
 	}
-	if len(x.Reasons) > 0 {
+	if len(e.Reasons) > 0 {
 		fmt.Fprintln(w, "Reasons:")
 	}
-	for _, r := range x.Reasons {
+	for _, r := range e.Reasons {
 		fmt.Fprintf(w, "  %s: %s See: %s\n", r.Reason, r.Text, r.LogHint)
 	}
 	fmt.Fprintln(w, "Related events of its group and members:")
-	for _, l := range x.Context {
+	for _, l := range e.Context {
 		fmt.Fprintln(w, "  "+l.Text)
 	}
 }
 
-// InstanceName returns the name of the instance that wrote the line: its instance field, else the
-// word before ts, else "".
+// InstanceName returns the name of the instance that wrote the line: its instance field, else
+// the word before ts, else "".
 func (l Line) InstanceName() string {
 	if name := l.Fields["instance"]; name != "" {
 		return name
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -82,7 +82,7 @@
 func (fw *Forwarder) LentCount() int { return int(fw.lent.Load()) }
 
 // BorrowedCount returns how many loans this instance has taken since it started.
-func (c *Forwarder) BorrowedCount() int { return int(c.borrowed.Load()) }
+func (fw *Forwarder) BorrowedCount() int { return int(fw.borrowed.Load()) }
 
 // Close closes all idle streams.
 func (fw *Forwarder) Close() {
@@ -90,8 +90,8 @@
 	defer fw.mutex.Unlock()
 	fw.closed = true
 	for _, list := range fw.idleStreams {
-		for _, l := range list {
-			l.close()
+		for _, s := range list {
+			s.close()
 		}
 	}
 	fw.idleStreams = nil
@@ -186,13 +186,13 @@
 func (fw *Forwarder) getStream(ctx context.Context, address string) (*peerStream, error) {
 	fw.mutex.Lock()
 	for list := fw.idleStreams[address]; len(list) > 0; list = fw.idleStreams[address] {
-		l := list[len(list)-1]
+		s := list[len(list)-1]
 		fw.idleStreams[address] = list[:len(list)-1]
-		if !l.isClosed() && time.Since(l.idleSince) < streamIdleTimeout {
+		if !s.isClosed() && time.Since(s.idleSince) < streamIdleTimeout {
 			fw.mutex.Unlock()
-			return l, nil
+			return s, nil
 		}
-		l.close()
+		s.close()
 	}
 	fw.mutex.Unlock()
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -201,20 +201,20 @@
 }
 
 // putStream keeps a stream for the next loan.
-func (fw *Forwarder) putStream(l *peerStream) {
+func (fw *Forwarder) putStream(s *peerStream) {
 	fw.mutex.Lock()
 	defer fw.mutex.Unlock()
-	if fw.closed || l.isClosed() || len(fw.idleStreams[l.address]) >= maxIdleStreams {
-		l.close()
+	if fw.closed || s.isClosed() || len(fw.idleStreams[s.address]) >= maxIdleStreams {
+		s.close()
 		return
 	}
 	if fw.idleStreams == nil {
 		fw.idleStreams = map[string][]*peerStream{}
 	}
-	l.idleSince = time.Now()
-	fw.idleStreams[l.address] = append(fw.idleStreams[l.address], l)
-	if oldest := fw.idleStreams[l.address][0]; time.Since(oldest.idleSince) > streamIdleTimeout {
-		fw.idleStreams[l.address] = fw.idleStreams[l.address][1:]
+	s.idleSince = time.Now()
+	fw.idleStreams[s.address] = append(fw.idleStreams[s.address], s)
+	if oldest := fw.idleStreams[s.address][0]; time.Since(oldest.idleSince) > streamIdleTimeout {
+		fw.idleStreams[s.address] = fw.idleStreams[s.address][1:]
 		oldest.close()
 	}
 }
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -16,8 +16,8 @@
 	"github.com/oriolegw/oriolegw/internal/linker"
 	"github.com/oriolegw/oriolegw/internal/linker/wire"
 	"github.com/oriolegw/oriolegw/internal/messenger"
-	"github.com/oriolegw/oriolegw/internal/standin/liner"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
+	"github.com/oriolegw/oriolegw/internal/standin/groupsimulator"
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/oriolegw/oriolegw/internal/tracker"
 	"github.com/oriolegw/oriolegw/platform"
 	"github.com/shoenig/test/must"
@@ -27,72 +27,72 @@
 
 // fixture is a group, a lending instance, and the client of a borrowing one.
 type fixture struct {
-	net     *wirer.Net
-	pool    *lender.Pool
-	lender  *forwarder.Forwarder
-	links   *linker.Client
-	leaving atomic.Bool
+	net      *netsimulator.Net
+	pool     *lender.Pool
+	lender   *forwarder.Forwarder
+	links    *linker.Client
+	draining atomic.Bool
 }
 
 const lenderAddress = "10.8.0.1:7100"
 
 // withLender runs a test with a lending instance on virtual time.
-func withLender(t *testing.T, test func(t *testing.T, s *fixture)) {
+func withLender(t *testing.T, test func(t *testing.T, f *fixture)) {
 	t.Helper()
 	withLenderPool(t, func(*lender.Pool) {}, test)
 }
 
 // withLenderPool is withLender with additional setup of the lender's pool.
-func withLenderPool(t *testing.T, prepare func(*lender.Pool), test func(t *testing.T, s *fixture)) {
+func withLenderPool(t *testing.T, prepare func(*lender.Pool), test func(t *testing.T, f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		n, begin := wirer.New(1), time.Now()
-		n.Latency = func(_, _ *wirer.Host) time.Duration { return time.Millisecond }
+		n, begin := netsimulator.New(1), time.Now()
+		n.Latency = func(_, _ *netsimulator.Host) time.Duration { return time.Millisecond }
 		clock := func() tracker.Timestamp { return time.Since(begin) + time.Hour }
-		g := &liner.Group{Name: "g", Net: n, Travel: time.Millisecond, Promotion: time.Second, Work: 5 * time.Millisecond, Connections: 8}
+		g := &groupsimulator.Group{Name: "g", Net: n, ReplicationDelay: time.Millisecond, PromotionDelay: time.Second, StatementTime: 5 * time.Millisecond, MaxConnections: 8}
 		g.Start(ctx, "a", "b", "c")
 		known := &tracker.Group{Name: "g", Zone: "a", SameRegion: func(string) bool { return false }}
-		known.SetMembers(g.Registered())
+		known.SetMembers(g.Registrations())
 		host := n.Host("10.8.0.1", "a")
-		s := &fixture{net: n, pool: &lender.Pool{Group: known, Network: host, Codec: platform.LineCodec{}, ClientName: "lender", Clock: clock}}
-		s.pool.Configure(8, nil)
-		prepare(s.pool)
+		f := &fixture{net: n, pool: &lender.Pool{Group: known, Network: host, Codec: platform.LineCodec{}, ClientName: "lender", Clock: clock}}
+		f.pool.Configure(8, nil)
+		prepare(f.pool)
 		discovery := &discoverer.Discoverer{Self: discoverer.Peer{Name: "lender", Address: lenderAddress, Zone: "a"}, SameRegion: known.SameRegion}
-		s.lender = &forwarder.Forwarder{
-			Discoverer: discovery, Codec: platform.LineCodec{}, Clock: clock, Draining: s.leaving.Load, Log: func(...any) {},
+		f.lender = &forwarder.Forwarder{
+			Discoverer: discovery, Codec: platform.LineCodec{}, Clock: clock, Draining: f.draining.Load, Log: func(...any) {},
 			Pool: func(group string) *lender.Pool {
 				if group != "g" {
 					return nil
 				}
-				return s.pool
+				return f.pool
 			},
 		}
-		x := &exchanger.Exchanger{Discoverer: discovery, Clock: clock, Log: func(...any) {}, Lend: s.lender.ServeLoans}
+		x := &exchanger.Exchanger{Discoverer: discovery, Clock: clock, Log: func(...any) {}, Lend: f.lender.ServeLoans}
 		server := &linker.Server{
 			Address: lenderAddress, Network: host, Secrets: key, Versions: linker.CurrentVersions,
 			Log: log.NewNopLogger(), Count: func(string) {}, Register: x.Register,
 		}
-		s.links = &linker.Client{Network: n.Host("10.8.0.2", "a"), Secrets: key, Versions: linker.CurrentVersions}
+		f.links = &linker.Client{Network: n.Host("10.8.0.2", "a"), Secrets: key, Versions: linker.CurrentVersions}
 		ended := make(chan error, 2)
-		go func() { ended <- s.pool.Run(ctx) }()
+		go func() { ended <- f.pool.Run(ctx) }()
 		go func() { ended <- server.Run(ctx) }()
 		time.Sleep(time.Second)
 		defer func() {
-			s.links.Close()
+			f.links.Close()
 			cancel()
 			<-ended
 			<-ended
 			g.Wait()
 		}()
-		test(t, s)
+		test(t, f)
 	})
 }
 
 // openStream opens a raw loan stream to the lender.
-func (s *fixture) openStream(t *testing.T) (wire.DRPCNeighbours_LendClient, func()) {
+func (f *fixture) openStream(t *testing.T) (wire.DRPCNeighbours_LendClient, func()) {
 	t.Helper()
-	conn, err := s.links.Dial(t.Context(), lenderAddress)
+	conn, err := f.links.Dial(t.Context(), lenderAddress)
 	must.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	x, err := wire.NewDRPCNeighboursClient(conn).Lend(ctx)
@@ -109,21 +109,21 @@
 }
 
 // mustExchange checks that the lender's own requests are still answered.
-func (s *fixture) mustExchange(t *testing.T) {
+func (f *fixture) mustExchange(t *testing.T) {
 	t.Helper()
-	c, err := s.pool.Borrow(t.Context(), lender.Request{EligibleMembers: func() []string { return []string{"g-1"} }, Deadline: time.Now().Add(time.Second)})
+	c, err := f.pool.Borrow(t.Context(), lender.Request{EligibleMembers: func() []string { return []string{"g-1"} }, Deadline: time.Now().Add(time.Second)})
 	must.NoError(t, err)
 	replies, _, err := c.Exchange([]messenger.Command{{ID: "x", Kind: messenger.KindRead, Text: "FETCH k"}}, time.Now().Add(time.Second))
 	must.NoError(t, err)
 	must.Eq(t, messenger.CodeNone, replies[0].Code)
 	must.StrHasSuffix(t, ".x", replies[0].Signature)
-	s.pool.Return(c)
+	f.pool.Return(c)
 }
 
 // A peer that violates the protocol loses its stream; the lender's own requests are served and
 // never see another request's reply.
 func TestMisbehavingPeers(t *testing.T) {
-	cases := map[string]func(t *testing.T, s *fixture, x wire.DRPCNeighbours_LendClient){
+	cases := map[string]func(t *testing.T, f *fixture, x wire.DRPCNeighbours_LendClient){
 		"unknown group": func(t *testing.T, _ *fixture, x wire.DRPCNeighbours_LendClient) {
 			must.NoError(t, x.Send(&wire.LendRequest{Ask: &wire.LendAsk{Group: "other", Members: []string{"g-1"}}}))
 			r, err := x.Recv()
@@ -165,14 +165,14 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			withLender(t, func(t *testing.T, s *fixture) {
-				x, end := s.openStream(t)
-				c(t, s, x)
+			withLender(t, func(t *testing.T, f *fixture) {
+				x, end := f.openStream(t)
+				c(t, f, x)
 				end()
 				for range 3 {
-					s.mustExchange(t)
+					f.mustExchange(t)
 				}
-				must.Eq(t, 0, s.lender.LentCount())
+				must.Eq(t, 0, f.lender.LentCount())
 			})
 		})
 	}
@@ -180,15 +180,15 @@
 
 // A draining instance must not take on transactions that its shutdown would abort.
 func TestDrainingInstanceRefusesNewLoans(t *testing.T) {
-	withLender(t, func(t *testing.T, s *fixture) {
-		x, end := s.openStream(t)
+	withLender(t, func(t *testing.T, f *fixture) {
+		x, end := f.openStream(t)
 		defer end()
 		must.NoError(t, x.Send(loanRequest("g-1")))
 		r, err := x.Recv()
 		must.NoError(t, err)
 		must.Eq(t, "g-1", r.Member)
 		must.NoError(t, x.Send(&wire.LendRequest{End: &wire.LendEnd{}}))
-		s.leaving.Store(true)
+		f.draining.Store(true)
 		must.NoError(t, x.Send(loanRequest("g-1")))
 		r, err = x.Recv()
 		must.NoError(t, err)
@@ -208,15 +208,15 @@
 		p.BorrowFromHolder = func(context.Context, string, lender.Request) (*lender.Conn, error) { return forward() }
 		p.BorrowRemote = func(context.Context, string, []string, lender.Request) (*lender.Conn, error) { return forward() }
 	}
-	withLenderPool(t, prepare, func(t *testing.T, s *fixture) {
-		x, end := s.openStream(t)
+	withLenderPool(t, prepare, func(t *testing.T, f *fixture) {
+		x, end := f.openStream(t)
 		defer end()
 		must.NoError(t, x.Send(loanRequest("g-1")))
 		r, err := x.Recv()
 		must.NoError(t, err)
 		must.Eq(t, "g-1", r.Member)
 		must.NoError(t, x.Send(&wire.LendRequest{End: &wire.LendEnd{}}))
-		s.net.Cut("10.8.0.1", "10.9.1.1")
+		f.net.Partition("10.8.0.1", "10.9.1.1")
 		time.Sleep(3 * time.Second)
 		for range 5 {
 			must.NoError(t, x.Send(loanRequest("g-1")))
--- a/internal/forwarder/holders.go
+++ b/internal/forwarder/holders.go
@@ -37,7 +37,7 @@
 		// peersAdded is the discoverer's count of added peers at updatedAt.
 		peersAdded int
 		// zoneHolders hold this zone's connections to all members; empty unless the placement
-		// is concentrator.PlaceZone.
+		// is concentrator.PerZone.
 		zoneHolders holders
 		// memberHolders are the holders per member, computed on demand.
 		memberHolders map[string]holders
@@ -112,7 +112,8 @@
 }
 
 // BorrowFromHolder borrows a connection from a holder of the group's connections. It returns
-// lender.ErrUseLocal if this instance should use its own. It implements lender.Pool's BorrowFromHolder.
+// lender.ErrUseLocal if this instance should use its own. It implements lender.Pool's
+// BorrowFromHolder.
 func (fw *Forwarder) BorrowFromHolder(ctx context.Context, group string, r lender.Request) (*lender.Conn, error) {
 	if fw.placement(group) == concentrator.PerInstance {
 		return nil, lender.ErrUseLocal
--- a/internal/forwarder/placement.go
+++ b/internal/forwarder/placement.go
@@ -10,7 +10,7 @@
 )
 
 // MemberHolders returns the addresses of the instances that hold connections for the members of
-// groups with placement concentrator.PlaceMember. It considers all remembered instances,
+// groups with placement concentrator.PerMember. It considers all known instances,
 // reachable or not, so that both sides of a network partition compute the same list.
 func (fw *Forwarder) MemberHolders(groups map[string][]string) []string {
 	zones := map[string][]discoverer.Peer{}
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -57,36 +57,36 @@
 		_ = conn.Close()
 		return nil, errors.Wrapf(err, "open stream to %s", to)
 	}
-	l := &peerStream{address: to, conn: conn, stream: stream, cancel: cancel, replies: make(chan *wire.LendReply, replyBufferSize)}
-	go l.receive(streamCtx)
-	return l, nil
+	s := &peerStream{address: to, conn: conn, stream: stream, cancel: cancel, replies: make(chan *wire.LendReply, replyBufferSize)}
+	go s.receive(streamCtx)
+	return s, nil
 }
 
 // receive queues replies until the stream ends.
-func (l *peerStream) receive(ctx context.Context) {
-	defer close(l.replies)
-	defer l.close()
+func (s *peerStream) receive(ctx context.Context) {
+	defer close(s.replies)
+	defer s.close()
 	for {
-		r, err := l.stream.Recv()
+		r, err := s.stream.Recv()
 		if err != nil {
 			return // users see the closed reply channel
 		}
 		select {
-		case l.replies <- r:
+		case s.replies <- r:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (l *peerStream) close() {
-	l.cancel()
-	_ = l.conn.Close()
+func (s *peerStream) close() {
+	s.cancel()
+	_ = s.conn.Close()
 }
 
-func (l *peerStream) isClosed() bool {
+func (s *peerStream) isClosed() bool {
 	select {
-	case <-l.conn.Closed():
+	case <-s.conn.Closed():
 		return true
 	default:
 		return false
@@ -94,21 +94,21 @@
 }
 
 // request requests a loan and waits for the reply.
-func (l *peerStream) request(ctx context.Context, a *wire.LendAsk, until time.Time) (*wire.LendReply, error) {
-	if err := l.stream.Send(&wire.LendRequest{Ask: a}); err != nil {
+func (s *peerStream) request(ctx context.Context, a *wire.LendAsk, until time.Time) (*wire.LendReply, error) {
+	if err := s.stream.Send(&wire.LendRequest{Ask: a}); err != nil {
 		return nil, errors.Wrap(err, "request loan")
 	}
-	return l.awaitReply(ctx, until)
+	return s.awaitReply(ctx, until)
 }
 
 // awaitReply waits for the reply to a loan request. Data left over from an earlier loan is
 // discarded.
-func (l *peerStream) awaitReply(ctx context.Context, until time.Time) (*wire.LendReply, error) {
+func (s *peerStream) awaitReply(ctx context.Context, until time.Time) (*wire.LendReply, error) {
 	t := time.NewTimer(time.Until(until))
 	defer t.Stop()
 	for {
 		select {
-		case r, ok := <-l.replies:
+		case r, ok := <-s.replies:
 			switch {
 			case !ok:
 				return nil, errStreamClosed
@@ -125,89 +125,89 @@
 
 // borrow requests a connection from one peer.
 func (fw *Forwarder) borrow(ctx context.Context, to, group string, members []string, r lender.Request) (*lender.Conn, error) {
-	l, err := fw.getStream(ctx, to)
+	s, err := fw.getStream(ctx, to)
 	if err != nil {
 		fw.Discoverer.RecordFailure(fw.Clock(), to)
 		return nil, err
 	}
-	a, err := l.request(ctx, &wire.LendAsk{
+	a, err := s.request(ctx, &wire.LendAsk{
 		Group: group, Members: members, Priority: int32(r.Priority), WaitMs: uint32(max(0, time.Until(r.Deadline)).Milliseconds()), Question: r.StatusQuery, Customer: r.Customer, Counts: r.RateLimited, Long: r.Transaction,
 	}, r.Deadline.Add(replyGrace))
 	if err != nil && ctx.Err() != nil {
-		go fw.releaseAbandoned(l, r.Deadline.Add(replyGrace))
+		go fw.releaseAbandoned(s, r.Deadline.Add(replyGrace))
 		return nil, err
 	}
 	if err != nil {
-		l.close()
+		s.close()
 		return nil, err
 	}
 	switch a.Refusal {
 	case wire.LendRefusal_NOT_REFUSED:
 	case wire.LendRefusal_FULL:
-		fw.putStream(l)
+		fw.putStream(s)
 		return nil, lender.ErrNoConnection
 	case wire.LendRefusal_LIMITED:
-		fw.putStream(l)
+		fw.putStream(s)
 		return nil, &lender.LimitError{Customer: r.Customer, RetryAfter: time.Duration(a.AgainMs) * time.Millisecond}
 	default:
-		fw.putStream(l)
+		fw.putStream(s)
 		return nil, errUnreachable
 	}
-	n := &remoteConn{peer: l}
+	c := &remoteConn{peer: s}
 	state := decodeState(a.State)
-	return lender.NewRemoteConn(n, fw.Codec, a.Member, a.Born, state, func(e lender.LoanEnd) { fw.release(n, e) }), nil
+	return lender.NewRemoteConn(c, fw.Codec, a.Member, a.Born, state, func(e lender.LoanEnd) { fw.release(c, e) }), nil
 }
 
 // releaseAbandoned waits for the reply to a canceled request and returns what was lent. Closing
 // the stream instead would make the peer close its target connection.
-func (fw *Forwarder) releaseAbandoned(l *peerStream, until time.Time) {
-	a, err := l.awaitReply(context.Background(), until)
+func (fw *Forwarder) releaseAbandoned(s *peerStream, until time.Time) {
+	a, err := s.awaitReply(context.Background(), until)
 	switch {
 	case err != nil:
-		l.close()
+		s.close()
 	case a.Refusal == wire.LendRefusal_NOT_REFUSED:
-		fw.release(&remoteConn{peer: l}, lender.LoanEnd{State: decodeState(a.State)})
+		fw.release(&remoteConn{peer: s}, lender.LoanEnd{State: decodeState(a.State)})
 	default:
-		fw.putStream(l)
+		fw.putStream(s)
 	}
 }
 
 // release returns a connection to the peer.
-func (fw *Forwarder) release(n *remoteConn, e lender.LoanEnd) {
-	n.mutex.Lock()
-	ended := n.closed
-	n.closed = true
-	n.mutex.Unlock()
+func (fw *Forwarder) release(c *remoteConn, e lender.LoanEnd) {
+	c.mutex.Lock()
+	ended := c.closed
+	c.closed = true
+	c.mutex.Unlock()
 	if ended || e.Broken {
 		// The peer closes the target connection when the stream ends.
-		n.peer.close()
+		c.peer.close()
 		return
 	}
-	if err := n.peer.stream.Send(&wire.LendRequest{End: &wire.LendEnd{NoRoom: e.Overloaded, Ran: e.Ran, State: encodeState(e.State)}}); err != nil {
-		n.peer.close()
+	if err := c.peer.stream.Send(&wire.LendRequest{End: &wire.LendEnd{NoRoom: e.Overloaded, Ran: e.Ran, State: encodeState(e.State)}}); err != nil {
+		c.peer.close()
 		return
 	}
-	fw.putStream(n.peer)
+	fw.putStream(c.peer)
 }
 
 // Read implements net.Conn.
-func (n *remoteConn) Read(b []byte) (int, error) {
-	for len(n.unread) == 0 {
-		r, err := n.nextReply()
+func (c *remoteConn) Read(b []byte) (int, error) {
+	for len(c.unread) == 0 {
+		r, err := c.nextReply()
 		if err != nil {
 			return 0, err
 		}
-		n.unread = r.Data
+		c.unread = r.Data
 	}
-	k := copy(b, n.unread)
-	n.unread = n.unread[k:]
+	k := copy(b, c.unread)
+	c.unread = c.unread[k:]
 	return k, nil
 }
 
-func (n *remoteConn) nextReply() (*wire.LendReply, error) {
-	n.mutex.Lock()
-	deadline := n.deadline
-	n.mutex.Unlock()
+func (c *remoteConn) nextReply() (*wire.LendReply, error) {
+	c.mutex.Lock()
+	deadline := c.deadline
+	c.mutex.Unlock()
 	var expired <-chan time.Time
 	if !deadline.IsZero() {
 		t := time.NewTimer(time.Until(deadline))
@@ -215,7 +215,7 @@
 		expired = t.C
 	}
 	select {
-	case r, ok := <-n.peer.replies:
+	case r, ok := <-c.peer.replies:
 		if !ok {
 			return nil, errStreamClosed
 		}
@@ -226,44 +226,44 @@
 }
 
 // Write implements net.Conn.
-func (n *remoteConn) Write(b []byte) (int, error) {
-	if err := n.peer.stream.Send(&wire.LendRequest{Data: b}); err != nil {
+func (c *remoteConn) Write(b []byte) (int, error) {
+	if err := c.peer.stream.Send(&wire.LendRequest{Data: b}); err != nil {
 		return 0, err
 	}
 	return len(b), nil
 }
 
 // Close implements net.Conn. The peer closes the target connection when the stream ends.
-func (n *remoteConn) Close() error {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	if !n.closed {
-		n.closed = true
-		n.peer.close()
+func (c *remoteConn) Close() error {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if !c.closed {
+		c.closed = true
+		c.peer.close()
 	}
 	return nil
 }
 
 // SetDeadline implements net.Conn.
-func (n *remoteConn) SetDeadline(t time.Time) error { return n.SetReadDeadline(t) }
+func (c *remoteConn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
 // SetReadDeadline implements net.Conn. It applies from the next Read.
-func (n *remoteConn) SetReadDeadline(t time.Time) error {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	n.deadline = t
+func (c *remoteConn) SetReadDeadline(t time.Time) error {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.deadline = t
 	return nil
 }
 
 // SetWriteDeadline implements net.Conn. Writes are not bounded: requests fit into the buffers
 // on the way.
-func (n *remoteConn) SetWriteDeadline(time.Time) error { return nil }
+func (c *remoteConn) SetWriteDeadline(time.Time) error { return nil }
 
 // LocalAddr implements net.Conn.
-func (n *remoteConn) LocalAddr() net.Addr { return address("") }
+func (c *remoteConn) LocalAddr() net.Addr { return address("") }
 
 // RemoteAddr implements net.Conn.
-func (n *remoteConn) RemoteAddr() net.Addr { return address(n.peer.address) }
+func (c *remoteConn) RemoteAddr() net.Addr { return address(c.peer.address) }
 
 // Network implements net.Addr.
 func (address) Network() string { return "loan" }
