--- a/internal/gossiper/caller.go
+++ b/internal/gossiper/caller.go
@@ -27,14 +27,14 @@
 		err := c.Client.Announce(ctx, a.Peer.Address, a.Message)
 		return lister.PeerCalled{Name: a.Peer.Name, OK: err == nil}, true
 	case QuerySeed:
-		return c.greet(ctx, a.Address), true
+		return c.querySeed(ctx, a.Address), true
 	case configurer.Fetch:
 		return c.fetch(ctx, a), true
 	}
 	return nil, false
 }
 
-func (c *Caller) greet(ctx context.Context, address string) SeedReplied {
+func (c *Caller) querySeed(ctx context.Context, address string) SeedReplied {
 	w, err := c.Client.FetchConfiguration(ctx, address, &wire.FetchRequest{})
 	g := SeedReplied{Result: configurer.ReadResult{Err: err, Source: configurer.SourcePeer}}
 	if err == nil {
@@ -46,7 +46,7 @@
 	return g
 }
 
-// fetch requests the difference to the base, and the whole document if that doesn't fit.
+// fetch requests a patch to the base, and the whole document if that doesn't fit.
 func (c *Caller) fetch(ctx context.Context, a configurer.Fetch) configurer.ReadResult {
 	out := configurer.ReadResult{Source: configurer.SourcePeer}
 	for _, whole := range []bool{false, true} {
--- a/internal/gossiper/exchange.go
+++ b/internal/gossiper/exchange.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// seedInterval is how often an instance that knows no peers asks a seed.
+	// seedInterval is how often an instance that knows no peers queries a seed.
 	seedInterval = time.Second
 	// initialCost is the assumed size of a peer's first exchange, in bytes.
 	initialCost = 300
@@ -97,12 +97,12 @@
 	return []controller.Action{s.startExchange(now, p)}
 }
 
-// probeExchange checks whether a peer that was removed from the view answers again.
+// probeExchange checks whether a peer that was removed from the view responds again.
 func (s *Slice) probeExchange(i lister.Instance) Exchange {
 	return Exchange{Peer: i, Request: &wire.ExchangeRequest{Version: s.version, Sender: peerToWire(s.Self)}}
 }
 
-// querySeed asks a seed while no other instance is known, as after a start during an outage of
+// querySeed queries a seed while no other instance is known, as after a start during an outage of
 // the platform's instance list.
 func (s *Slice) querySeed(now time.Time) []controller.Action {
 	if len(s.members) > 1 || len(s.Seeds) == 0 || now.Before(s.nextSeed) {
@@ -177,13 +177,13 @@
 // relayObservation emits another instance's observation if this instance makes none itself and
 // it is newer than the known one. The age is added to the time before the request, so that it
 // is never understated.
-func (s *Slice) relayObservation(now time.Time, r Report, at [2]string, m MemberReport, asked time.Time) []controller.Action {
+func (s *Slice) relayObservation(now time.Time, r Report, at [2]string, m MemberReport, requestedAt time.Time) []controller.Action {
 	if s.observesDirectly(now, at) {
 		// Own observations take precedence: a primary that is unreachable only from this zone must
 		// appear unreachable here.
 		return nil
 	}
-	o := observer.Observed{Service: at[0], Member: at[1], Started: asked.Add(-m.Age), Status: m.Status, From: r.Instance}
+	o := observer.Observed{Service: at[0], Member: at[1], Started: requestedAt.Add(-m.Age), Status: m.Status, From: r.Instance}
 	if m.Failures > 0 {
 		o.Err = errors.Wrapf(errNoAnswer, "%d times, reported by %s", m.Failures, r.Instance)
 		return []controller.Action{controller.Emit{Event: o}}
--- a/internal/gossiper/fuzz_test.go
+++ b/internal/gossiper/fuzz_test.go
@@ -38,7 +38,7 @@
 	f.Add([]byte{0xff, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		now := time.Unix(1_000_000, 0)
-		s := &gossiper.Slice{Self: ownInstance, Run: 1, Random: rand.New(rand.NewPCG(1, 1))}
+		s := &gossiper.Slice{Self: ownInstance, Incarnation: 1, Random: rand.New(rand.NewPCG(1, 1))}
 		step := func(e controller.Event) {
 			for _, a := range s.Step(now, e) {
 				mustBeValidAction(t, a)
--- a/internal/gossiper/leaving.go
+++ b/internal/gossiper/leaving.go
@@ -41,7 +41,7 @@
 		// leaving, the number of announcements would be quadratic.
 		return nil
 	}
-	g := LeavingNotice{Service: at[0], Member: at[1], Leaving: e.Leaving, Origin: s.Self.Name, Run: s.Run, Sequence: s.sequence}
+	g := LeavingNotice{Service: at[0], Member: at[1], Leaving: e.Leaving, Origin: s.Self.Name, Incarnation: s.Incarnation, Sequence: s.sequence}
 	s.leavingNotices[at] = storedNotice{LeavingNotice: g, givenAt: now}
 	return s.broadcast(&wire.Announcement{Leaving: []*wire.Leaving{noticeToWire(g)}})
 }
@@ -50,7 +50,7 @@
 func (s *Slice) handleNotice(now time.Time, g LeavingNotice) []controller.Action {
 	at := [2]string{g.Service, g.Member}
 	known := s.leavingNotices[at]
-	if g.Age > noticeTTL || g.Origin == s.Self.Name || (known.Origin == g.Origin && known.Run == g.Run && known.Sequence >= g.Sequence) {
+	if g.Age > noticeTTL || g.Origin == s.Self.Name || (known.Origin == g.Origin && known.Incarnation == g.Incarnation && known.Sequence >= g.Sequence) {
 		return nil
 	}
 	changed := known.Leaving != g.Leaving
@@ -107,13 +107,13 @@
 func noticeToWire(g LeavingNotice) *wire.Leaving {
 	return &wire.Leaving{
 		Service: g.Service, Member: g.Member, Leaving: g.Leaving,
-		Origin: g.Origin, Run: g.Run, Number: g.Sequence, AgeMs: uint32(g.Age / time.Millisecond),
+		Origin: g.Origin, Run: g.Incarnation, Number: g.Sequence, AgeMs: uint32(g.Age / time.Millisecond),
 	}
 }
 
 func noticeFromWire(w *wire.Leaving) LeavingNotice {
 	return LeavingNotice{
 		Service: w.GetService(), Member: w.GetMember(), Leaving: w.GetLeaving(),
-		Origin: w.GetOrigin(), Run: w.GetRun(), Sequence: w.GetNumber(), Age: time.Duration(w.GetAgeMs()) * time.Millisecond,
+		Origin: w.GetOrigin(), Incarnation: w.GetRun(), Sequence: w.GetNumber(), Age: time.Duration(w.GetAgeMs()) * time.Millisecond,
 	}
 }
--- a/internal/gossiper/planner.go
+++ b/internal/gossiper/planner.go
@@ -9,9 +9,9 @@
 	"github.com/oriolegw/oriolegw/internal/observer"
 )
 
-// choosePeers selects the peers to ask for each shard. For a shard that this instance doesn't
+// choosePeers selects the peers to poll for each shard. For a shard that this instance doesn't
 // observe, it is one observer of its own zone; for one that it observes, peersPerZone observers
-// in each other zone with members, whose suspicions count as votes. Ranking by the asking
+// in each other zone with members, whose suspicions count as votes. Ranking by the polling
 // instance's name spreads the load over the observers.
 func (s *Slice) choosePeers() {
 	if s.document == nil {
@@ -35,7 +35,7 @@
 	s.setPeers(shards, intervals)
 }
 
-// peersForShard returns the peers to ask for a shard, and how often.
+// peersForShard returns the peers to poll for a shard, and how often.
 func (s *Slice) peersForShard(shard uint32) ([]lister.Instance, time.Duration) {
 	zoneObservers := observer.ShardObservers(shard, s.Self.Zone, s.members)
 	key := s.Self.Name + "/" + strconv.Itoa(int(shard))
--- a/internal/gossiper/report.go
+++ b/internal/gossiper/report.go
@@ -43,8 +43,8 @@
 		Leaving   bool
 	}
 
-	// ReportReceived is a received report. It was made after RequestedAt on this instance's clock, so an
-	// observation in it is at most now - RequestedAt + Age old.
+	// ReportReceived is a received report. It was made after RequestedAt on this instance's clock,
+	// so an observation in it is at most now - RequestedAt + Age old.
 	ReportReceived struct {
 		Report      Report
 		RequestedAt time.Time
@@ -73,11 +73,11 @@
 		Service string
 		Member  string
 		Leaving bool
-		// Origin is the instance that issued the notice, Run its run and Sequence the sequence
-		// number within the run; a higher one supersedes a lower one.
-		Origin   string
-		Run      uint32
-		Sequence uint64
+		// Origin is the instance that issued the notice, Run its incarnation and Sequence the sequence
+		// number within the incarnation; a higher one supersedes a lower one.
+		Origin      string
+		Incarnation uint32
+		Sequence    uint64
 		// Age is the time since the origin issued the notice.
 		Age time.Duration
 	}
--- a/internal/gossiper/slice.go
+++ b/internal/gossiper/slice.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// exchangeInterval is how often a peer is asked while the byte budget allows it.
+	// exchangeInterval is how often a peer is polled while the byte budget allows it.
 	exchangeInterval = 200 * time.Millisecond
-	// observerInterval is how often observers of different zones ask each other. They query the
+	// observerInterval is how often observers of different zones poll each other. They query the
 	// members themselves; during a suspicion exchangeInterval applies.
 	observerInterval = time.Second
-	// unusedInterval is how often an instance asks for groups that it neither observes nor
+	// unusedInterval is how often an instance polls for groups that it neither observes nor
 	// uses, so that their first request finds a known primary.
 	unusedInterval = 30 * time.Second
-	// repairInterval is how often a random peer is asked for its configuration version
+	// repairInterval is how often a random peer is polled for its configuration version
 	// (anti-entropy). It repairs lost announcements.
 	repairInterval = time.Second
 	// bytesPerSecond is the budget of the exchanges that an instance starts, both directions.
@@ -32,7 +32,7 @@
 	// maxByteBudget is how much unused budget is kept for a burst.
 	maxByteBudget = 2 * bytesPerSecond
 
-	// peersPerZone is how many observers per other zone an observer asks, so that the failure
+	// peersPerZone is how many observers per other zone an observer polls, so that the failure
 	// of one doesn't lose its zone's vote on a suspicion.
 	peersPerZone = 2
 	// announceFanOut is how many peers receive an announcement. Each that did not know it
@@ -47,17 +47,17 @@
 )
 
 type (
-	// Slice decides which peers this instance asks, when, and what it announces. To bound the
-	// load, it asks only observers, uses the full rate only for groups in use, and extends the
+	// Slice decides which peers this instance polls, when, and what it announces. To bound the
+	// load, it polls only observers, uses the full rate only for groups in use, and extends the
 	// intervals to keep within a byte budget. Set the exported fields before use.
 	Slice struct {
 		Self lister.Instance
-		// Run is a random number for this start of the instance.
-		Run    uint32
-		Random *rand.Rand
+		// Incarnation is a random number for this start of the instance.
+		Incarnation uint32
+		Random      *rand.Rand
 		// Published is the snapshot from which the server answers peers.
 		Published *atomic.Pointer[Snapshot]
-		// Seeds are the addresses to ask while no other instance is known.
+		// Seeds are the addresses to query while no other instance is known.
 		Seeds []string
 
 		version   int64
@@ -89,7 +89,7 @@
 		nextSeed          time.Time
 	}
 
-	// peer is another instance that this one asks.
+	// peer is another instance that this one polls.
 	peer struct {
 		instance lister.Instance
 		shards   []uint32
@@ -105,7 +105,7 @@
 		reportedLeaving map[[2]string]bool
 	}
 
-	// Exchange asks a peer for its report.
+	// Exchange requests a peer's report.
 	Exchange struct {
 		Peer    lister.Instance
 		Request *wire.ExchangeRequest
@@ -127,7 +127,7 @@
 		Message *wire.Announcement
 	}
 
-	// QuerySeed asks a seed address for its document and its peers.
+	// QuerySeed requests the document and the peers from a seed address.
 	QuerySeed struct{ Address string }
 )
 
@@ -165,7 +165,7 @@
 	case drainer.InstanceLeaving:
 		return s.startLeaving()
 	case AnnouncementReceived:
-		return s.handleAnnounced(now, e)
+		return s.handleAnnouncement(now, e)
 	case Exchanged:
 		return s.handleExchanged(now, e)
 	case ExchangeRequested:
@@ -174,7 +174,7 @@
 			controller.Emit{Event: configurer.PeerVersion{Version: e.Version, Address: e.Sender.Address}},
 		}
 	case SeedReplied:
-		return handleGreeted(e)
+		return handleSeedReply(e)
 	case lister.Probe:
 		return []controller.Action{s.probeExchange(e.Instance)}
 	case controller.Tick:
@@ -281,8 +281,8 @@
 	s.Random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
 
-// handleGreeted publishes the document and the peers that a seed returned.
-func handleGreeted(e SeedReplied) []controller.Action {
+// handleSeedReply publishes the document and the peers that a seed returned.
+func handleSeedReply(e SeedReplied) []controller.Action {
 	out := []controller.Action{controller.Emit{Event: e.Result}}
 	for _, i := range e.Peers {
 		out = append(out, controller.Emit{Event: lister.PeerSeen{Instance: i}})
@@ -298,8 +298,8 @@
 	return s.broadcast(&wire.Announcement{Gone: true})
 }
 
-// handleAnnounced processes a peer's announcement.
-func (s *Slice) handleAnnounced(now time.Time, e AnnouncementReceived) []controller.Action {
+// handleAnnouncement processes a peer's announcement.
+func (s *Slice) handleAnnouncement(now time.Time, e AnnouncementReceived) []controller.Action {
 	if e.SenderLeaving {
 		e.Sender.State = lister.StateLeaving
 	}
@@ -341,7 +341,7 @@
 	if s.Published == nil {
 		return
 	}
-	n := &Snapshot{Self: s.Self, Version: s.version, Run: s.Run, Sequence: s.sequence, Leaving: s.leaving, groups: slices.Clone(s.observedGroups)}
+	n := &Snapshot{Self: s.Self, Version: s.version, Incarnation: s.Incarnation, Sequence: s.sequence, Leaving: s.leaving, groups: slices.Clone(s.observedGroups)}
 	n.notices = s.currentNotices()
 	n.Members, n.Peers = s.members, s.seedPeers
 	s.Published.Store(n)
--- a/internal/gossiper/snapshot.go
+++ b/internal/gossiper/snapshot.go
@@ -16,13 +16,13 @@
 	Snapshot struct {
 		Self    lister.Instance
 		Version int64
-		// Run identifies this start of the instance; sequence numbers restart with each.
-		Run      uint32
-		Sequence uint64
-		Leaving  bool
+		// Incarnation identifies this start of the instance; sequence numbers restart with each.
+		Incarnation uint32
+		Sequence    uint64
+		Leaving     bool
 		// Members are all live instances known to this one.
 		Members []lister.Instance
-		// Peers are instances that a new instance may ask.
+		// Peers are instances that a new instance may query.
 		Peers []lister.Instance
 		// groups are indexed by service; nil where nothing was observed.
 		groups  []*observedGroup
@@ -67,9 +67,9 @@
 // document. For members unchanged since the peer's last report only the age is sent, and for
 // those whose log position advanced, the lag behind the group's most advanced member.
 func (s *Snapshot) Report(now time.Time, r *wire.ExchangeRequest) *wire.Report {
-	out := &wire.Report{Version: s.Version, Run: s.Run, Sequence: s.Sequence, Leaving: s.Leaving}
+	out := &wire.Report{Version: s.Version, Run: s.Incarnation, Sequence: s.Sequence, Leaving: s.Leaving}
 	since := r.Since
-	if r.Run != s.Run {
+	if r.Run != s.Incarnation {
 		since, out.Instance = 0, s.Self.Name
 	}
 	for _, g := range s.notices {
@@ -143,11 +143,11 @@
 }
 
 // decode merges an incremental report into the received state and resolves member names. It
-// returns false if the report doesn't fit; the next exchange then asks for a full one.
-func (h *receivedReport) decode(from lister.Instance, w *wire.Report, d *configurer.Document) (Report, bool) {
+// returns false if the report doesn't fit; the next exchange then requests a full one.
+func (s *receivedReport) decode(from lister.Instance, w *wire.Report, d *configurer.Document) (Report, bool) {
 	out := Report{Instance: from.Name, Zone: from.Zone, Version: w.Version}
-	if h.run != w.Run || h.version != w.Version || h.members == nil {
-		*h = receivedReport{run: w.Run, version: w.Version, members: map[[2]uint32]MemberReport{}}
+	if s.run != w.Run || s.version != w.Version || s.members == nil {
+		*s = receivedReport{run: w.Run, version: w.Version, members: map[[2]uint32]MemberReport{}}
 	}
 	for _, g := range w.Groups {
 		if int(g.Service) >= len(d.Services) {
@@ -160,22 +160,22 @@
 				return out, false
 			}
 			at := [2]uint32{g.Service, m.Member}
-			n, ok := applyChange(h.members[at], v.Members[m.Member].Name, m, g.Offset)
+			n, ok := applyChange(s.members[at], v.Members[m.Member].Name, m, g.Offset)
 			if !ok {
 				return out, false
 			}
-			h.members[at] = n
+			s.members[at] = n
 			r.Members = append(r.Members, n)
 		}
 		out.Groups = append(out.Groups, r)
 	}
-	h.sequence = w.Sequence
+	s.sequence = w.Sequence
 	return out, true
 }
 
 // applyChange merges a change into a member's previous report.
-func applyChange(held MemberReport, name string, m *wire.Member, offset uint64) (MemberReport, bool) {
-	n := held
+func applyChange(previous MemberReport, name string, m *wire.Member, offset uint64) (MemberReport, bool) {
+	n := previous
 	switch m.Change {
 	case wire.Change_EVERYTHING:
 		n = MemberReport{
--- a/internal/gossiper/wire_test.go
+++ b/internal/gossiper/wire_test.go
@@ -15,7 +15,7 @@
 	"github.com/oriolegw/oriolegw/internal/linker/wire"
 	"github.com/oriolegw/oriolegw/internal/networker"
 	"github.com/oriolegw/oriolegw/internal/standin/mesher"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/shoenig/test/must"
 	"google.golang.org/protobuf/proto"
 	"storj.io/drpc/drpcconn"
@@ -26,15 +26,15 @@
 var fleetKey = []linker.Secret{{KeyNumber: 1, Value: []byte("one secret")}}
 
 // withServer runs a test with a server on virtual time.
-func withServer(t *testing.T, versions linker.Versions, test func(t *testing.T, client *gossiper.Client, n *wirer.Net, h *wirer.Host)) {
+func withServer(t *testing.T, versions linker.Versions, test func(t *testing.T, client *gossiper.Client, n *netsimulator.Net, h *netsimulator.Host)) {
 	t.Helper()
 	withCountingServer(t, versions, func(string) {}, test)
 }
 
-func withCountingServer(t *testing.T, versions linker.Versions, count func(string), test func(t *testing.T, client *gossiper.Client, n *wirer.Net, h *wirer.Host)) {
+func withCountingServer(t *testing.T, versions linker.Versions, count func(string), test func(t *testing.T, client *gossiper.Client, n *netsimulator.Net, h *netsimulator.Host)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		n := wirer.New(1)
+		n := netsimulator.New(1)
 		ctx, cancel := context.WithCancel(context.Background())
 		handlers := &gossiper.Server{
 			Exchange: func(_ context.Context, r *wire.ExchangeRequest) (*wire.Report, error) {
@@ -89,7 +89,7 @@
 		{"key being replaced", append([]linker.Secret{{KeyNumber: 2, Value: []byte("next secret")}}, fleetKey...), linker.CurrentVersions, linker.CurrentVersions, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			withServer(t, c.server, func(t *testing.T, client *gossiper.Client, _ *wirer.Net, _ *wirer.Host) {
+			withServer(t, c.server, func(t *testing.T, client *gossiper.Client, _ *netsimulator.Net, _ *netsimulator.Host) {
 				client.Links.Secrets, client.Links.Versions = c.secrets, c.client
 				_, _, err := client.Exchange(t.Context(), serverAddress, &wire.ExchangeRequest{})
 				if c.want == nil {
@@ -105,7 +105,7 @@
 // The server's check during a regular handshake must not count as a refused peer.
 func TestHealthyPeerIsNotCountedAsRefused(t *testing.T) {
 	count := func(name string) { t.Errorf("counted %s", name) }
-	withCountingServer(t, linker.CurrentVersions, count, func(t *testing.T, client *gossiper.Client, _ *wirer.Net, _ *wirer.Host) {
+	withCountingServer(t, linker.CurrentVersions, count, func(t *testing.T, client *gossiper.Client, _ *netsimulator.Net, _ *netsimulator.Host) {
 		mustExchange(t, client)
 	})
 }
@@ -123,7 +123,7 @@
 		{"silence", nil, time.Minute},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			withServer(t, linker.CurrentVersions, func(t *testing.T, client *gossiper.Client, n *wirer.Net, h *wirer.Host) {
+			withServer(t, linker.CurrentVersions, func(t *testing.T, client *gossiper.Client, n *netsimulator.Net, h *netsimulator.Host) {
 				mustExchange(t, client)
 				rawConn, err := h.Dial(t.Context(), serverAddress)
 				must.NoError(t, err)
@@ -159,9 +159,9 @@
 
 // A call on a silent connection times out, and the next call uses a new connection.
 func TestSilentConnectionIsReplaced(t *testing.T) {
-	withServer(t, linker.CurrentVersions, func(t *testing.T, client *gossiper.Client, n *wirer.Net, h *wirer.Host) {
+	withServer(t, linker.CurrentVersions, func(t *testing.T, client *gossiper.Client, n *netsimulator.Net, h *netsimulator.Host) {
 		mustExchange(t, client)
-		n.Cut("10.0.0.1", "10.0.0.2")
+		n.Partition("10.0.0.1", "10.0.0.2")
 		_, _, err := client.Exchange(t.Context(), serverAddress, &wire.ExchangeRequest{})
 		must.ErrorIs(t, err, context.DeadlineExceeded)
 		n.HealAll()
@@ -171,7 +171,7 @@
 
 // A document of the largest size that the store accepts is transferred.
 func TestLargestDocument(t *testing.T) {
-	withServer(t, linker.CurrentVersions, func(t *testing.T, client *gossiper.Client, _ *wirer.Net, _ *wirer.Host) {
+	withServer(t, linker.CurrentVersions, func(t *testing.T, client *gossiper.Client, _ *netsimulator.Net, _ *netsimulator.Host) {
 		r, err := client.FetchConfiguration(t.Context(), serverAddress, &wire.FetchRequest{})
 		must.NoError(t, err)
 		must.Eq(t, 1<<20, len(r.Document))
@@ -196,7 +196,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withServer(t, linker.CurrentVersions, func(t *testing.T, _ *gossiper.Client, _ *wirer.Net, h *wirer.Host) {
+			withServer(t, linker.CurrentVersions, func(t *testing.T, _ *gossiper.Client, _ *netsimulator.Net, h *netsimulator.Host) {
 				raw, err := h.Dial(t.Context(), serverAddress)
 				must.NoError(t, err)
 				conn := drpcconn.New(raw)
@@ -213,7 +213,7 @@
 // The framing overhead per exchange must match the constant of the capacity estimate. The bytes
 // are counted below the client, since the last frame may arrive after the reply.
 func TestOverhead(t *testing.T) {
-	withServer(t, linker.CurrentVersions, func(t *testing.T, client *gossiper.Client, _ *wirer.Net, h *wirer.Host) {
+	withServer(t, linker.CurrentVersions, func(t *testing.T, client *gossiper.Client, _ *netsimulator.Net, h *netsimulator.Host) {
 		n := &countingNetwork{Network: h}
 		client.Links.Network = n
 		mustExchange(t, client) // connects and authenticates
@@ -223,7 +223,7 @@
 		reply, _, err := client.Exchange(t.Context(), serverAddress, request)
 		must.NoError(t, err)
 		synctest.Wait()
-		must.Eq(t, mesher.Overhead, int(n.bytes.Load()-before)-proto.Size(request)-proto.Size(reply))
+		must.Eq(t, mesher.ExchangeOverhead, int(n.bytes.Load()-before)-proto.Size(request)-proto.Size(reply))
 	})
 }
 
--- a/internal/inspector/inspector.go
+++ b/internal/inspector/inspector.go
@@ -7,8 +7,8 @@
 //
 //	inspector.Read("settings.json", text, func(n inspector.Node) {
 //		n.Object(
-//			inspector.Need("name", func(n inspector.Node) { s.Name = n.Text() }),
-//			inspector.May("slots", func(n inspector.Node) { s.Slots = n.Int(1, 100) }),
+//			inspector.Required("name", func(n inspector.Node) { s.Name = n.Text() }),
+//			inspector.Optional("slots", func(n inspector.Node) { s.Slots = n.Int(1, 100) }),
 //		)
 //	})
 package inspector
@@ -149,18 +149,18 @@
 	return 0, false
 }
 
-func (r *document) add(offset int, path, found, allowed string) {
-	r.addProblem(offset, Problem{Path: path, Found: found, Allowed: allowed})
+func (d *document) add(offset int, path, found, allowed string) {
+	d.addProblem(offset, Problem{Path: path, Found: found, Allowed: allowed})
 }
 
-func (r *document) addProblem(offset int, p Problem) {
-	p.File = r.file
-	p.Line, p.Column = r.position(offset)
-	r.problems = append(r.problems, p)
+func (d *document) addProblem(offset int, p Problem) {
+	p.File = d.file
+	p.Line, p.Column = d.position(offset)
+	d.problems = append(d.problems, p)
 }
 
-func (r *document) position(offset int) (line, column int) {
-	before := r.text[:min(offset, len(r.text))]
+func (d *document) position(offset int) (line, column int) {
+	before := d.text[:min(offset, len(d.text))]
 	start := bytes.LastIndexByte(before, '\n') + 1
 	return bytes.Count(before, []byte{'\n'}) + 1, utf8.RuneCount(before[start:]) + 1
 }
--- a/internal/launcher/backend.go
+++ b/internal/launcher/backend.go
@@ -90,11 +90,11 @@
 // this instance has just started and does not read the store itself. Until then reads go to
 // the primary. This keeps queries low when all instances restart at once.
 func (i *Instance) expectsPeerProofs() bool {
-	return i.peers != nil && i.Clock()-i.startedAt < peerProofTimeout && i.peers.teller.FollowsPeers()
+	return i.peers != nil && i.Clock()-i.startedAt < peerProofTimeout && i.peers.exchanger.FollowsPeers()
 }
 
 // maintain wakes the group's tasks that are due, and reports whether it needs maintenance
-// again within lender.TendInterval. peerProofExpected suppresses the renewal of the proof.
+// again within lender.MaintenanceInterval. peerProofExpected suppresses the renewal of the proof.
 func (b *backend) maintain(now time.Time, peerProofExpected bool) bool {
 	b.Pool.Maintain(now)
 	noPrimary := b.Group.Primary() == ""
@@ -176,7 +176,7 @@
 	if !ok {
 		return
 	}
-	asked := b.clock()
+	queriedAt := b.clock()
 	primary := b.Group.Primary()
 	statuses := make([]messenger.Status, len(ids))
 	answered := make([]bool, len(ids))
@@ -187,7 +187,7 @@
 		}
 	}
 	queries.Wait()
-	p := tracker.FreshnessProof{At: asked, Position: floor, FromReplicas: true}
+	p := tracker.FreshnessProof{At: queriedAt, Position: floor, FromReplicas: true}
 	for i, id := range ids {
 		if id == primary {
 			continue
@@ -226,7 +226,7 @@
 		return
 	}
 	defer b.Pool.Return(c)
-	asked := b.clock()
+	queriedAt := b.clock()
 	replies, _, err := c.Exchange([]messenger.Command{{Kind: messenger.KindBegin}, {Kind: messenger.KindRollback}}, time.Now().Add(proofTimeout))
 	if err != nil {
 		c.Close()
@@ -235,7 +235,7 @@
 	}
 	switch replies[0].Code {
 	case messenger.CodeNone:
-		b.Group.AddProof(tracker.FreshnessProof{At: asked, Position: replies[0].Position})
+		b.Group.AddProof(tracker.FreshnessProof{At: queriedAt, Position: replies[0].Position})
 		b.Pool.MembersChanged()
 	case messenger.CodeNotPrimary:
 		b.Group.ClearPrimary(c.Member)
@@ -288,7 +288,7 @@
 		return messenger.Status{}, false
 	}
 	defer b.Pool.Return(c)
-	asked := b.clock()
+	queriedAt := b.clock()
 	replies, _, err := c.Exchange([]messenger.Command{{Kind: messenger.KindStatus}}, time.Now().Add(proofTimeout))
 	if err != nil {
 		c.Close()
@@ -299,7 +299,7 @@
 	if err != nil {
 		return messenger.Status{}, false
 	}
-	if b.Group.UpdateStatus(asked, id, s) {
+	if b.Group.UpdateStatus(queriedAt, id, s) {
 		b.log("event", "primary", "group", b.Group.Name, "member", b.Group.Primary(), "term", s.Term, "source", "status", "of", id)
 		b.Pool.MembersChanged()
 	}
--- a/internal/launcher/explain_test.go
+++ b/internal/launcher/explain_test.go
@@ -55,7 +55,7 @@
 			i := f.start("10.5.0.1", "a")
 			time.Sleep(3 * time.Second)
 			query := f.openSession(i, "strict")
-			f.group.LoseAnswers("g-1", 1)
+			f.group.DropWriteResponses("g-1", 1)
 			must.Eq(t, "INDOUBT I", query("PUT k v"))
 			x := f.mustExplain("c1-1", dispatcher.ReasonOutcomeUnknown)
 			must.False(t, hasContextLine(x, "event", "move-begins"))
@@ -64,7 +64,7 @@
 	})
 	t.Run("retried while the replicas lag", func(t *testing.T) {
 		runFleet(t, func(f *fleet) {
-			f.group.Lag = 4 * time.Second
+			f.group.ApplyLag = 4 * time.Second
 			i := f.start("10.5.0.1", "b")
 			time.Sleep(3 * time.Second)
 			strict, own := f.openSession(i, "strict"), f.openSession(i, "own")
--- a/internal/launcher/fault_proxy_test.go
+++ b/internal/launcher/fault_proxy_test.go
@@ -42,61 +42,61 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &faultProxy{dial: dial, listener: l, conns: map[*proxiedConn]struct{}{}}
-	g.running.Go(func() { g.accept(ctx) })
-	return g, nil
+	f := &faultProxy{dial: dial, listener: l, conns: map[*proxiedConn]struct{}{}}
+	f.running.Go(func() { f.accept(ctx) })
+	return f, nil
 }
 
 // close stops the proxy and resets its connections.
-func (g *faultProxy) close() {
-	_ = g.listener.Close()
-	g.forEachConn(func(p *proxiedConn) { p.reset() })
-	g.running.Wait()
+func (f *faultProxy) close() {
+	_ = f.listener.Close()
+	f.forEachConn(func(p *proxiedConn) { p.reset() })
+	f.running.Wait()
 }
 
-func (g *faultProxy) accept(ctx context.Context) {
+func (f *faultProxy) accept(ctx context.Context) {
 	for {
-		client, err := g.listener.Accept()
+		client, err := f.listener.Accept()
 		if err != nil {
 			return
 		}
-		if g.refusing.Load() {
+		if f.refusing.Load() {
 			reset(client)
 			continue
 		}
-		g.running.Go(func() { g.proxyConn(ctx, client) })
+		f.running.Go(func() { f.proxyConn(ctx, client) })
 	}
 }
 
-func (g *faultProxy) proxyConn(ctx context.Context, client net.Conn) {
+func (f *faultProxy) proxyConn(ctx context.Context, client net.Conn) {
 	dialContext, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	upstream, err := g.dial(dialContext)
+	upstream, err := f.dial(dialContext)
 	if err != nil {
 		reset(client)
 		return
 	}
 	p := &proxiedConn{client: client, upstream: upstream}
-	g.mutex.Lock()
-	g.conns[p] = struct{}{}
-	g.mutex.Unlock()
+	f.mutex.Lock()
+	f.conns[p] = struct{}{}
+	f.mutex.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { g.forward(upstream, client, &p.dropping[0]) })
-	both.Go(func() { g.forward(client, upstream, &p.dropping[1]) })
+	both.Go(func() { f.forward(upstream, client, &p.dropping[0]) })
+	both.Go(func() { f.forward(client, upstream, &p.dropping[1]) })
 	both.Wait()
-	g.mutex.Lock()
-	delete(g.conns, p)
-	g.mutex.Unlock()
+	f.mutex.Lock()
+	delete(f.conns, p)
+	f.mutex.Unlock()
 }
 
 // forward copies one direction until either end closes.
-func (g *faultProxy) forward(to, from net.Conn, dropping *atomic.Bool) {
+func (f *faultProxy) forward(to, from net.Conn, dropping *atomic.Bool) {
 	defer func() { _ = to.Close() }()
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
 		if n > 0 && !dropping.Load() {
-			time.Sleep(time.Duration(g.delay.Load()))
+			time.Sleep(time.Duration(f.delay.Load()))
 			if _, err := to.Write(b[:n]); err != nil {
 				_ = from.Close()
 				return
@@ -112,10 +112,10 @@
 }
 
 // forEachConn calls do with every open connection.
-func (g *faultProxy) forEachConn(do func(p *proxiedConn)) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	for p := range g.conns {
+func (f *faultProxy) forEachConn(do func(p *proxiedConn)) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	for p := range f.conns {
 		do(p)
 	}
 }
--- a/internal/launcher/keys_test.go
+++ b/internal/launcher/keys_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/oriolegw/oriolegw/internal/standin/platformer"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
 	"github.com/oriolegw/oriolegw/internal/storer"
 	"github.com/oriolegw/oriolegw/internal/tracker"
 	"github.com/shoenig/test/must"
@@ -48,9 +48,9 @@
 	f.t.Helper()
 	var names []string
 	for _, id := range []string{"g-1", "g-2", "g-3"} {
-		for _, r := range f.group.RanFor(id) {
-			if who, what, _ := strings.Cut(r, " "); what == text {
-				names = append(names, who)
+		for _, r := range f.group.ExecutedByCustomer(id) {
+			if name, what, _ := strings.Cut(r, " "); what == text {
+				names = append(names, name)
 			}
 		}
 	}
@@ -58,8 +58,8 @@
 	must.Eq(f.t, []string{customer}, slices.Compact(names))
 }
 
-// Statements must run on connections of the caller's customer, and of no customer on an
-// anonymous route. Callers with an unknown key must be refused and reach no member.
+// Statements must run on connections of the client's customer, and of no customer on an
+// anonymous route. Clients with an unknown key must be refused and reach no member.
 func TestCustomerKeys(t *testing.T) {
 	runFleetWithKeys(t, func(f *fleet, i *instance) {
 		for n := range 3 {
@@ -75,7 +75,7 @@
 		must.Eq(t, "DENIED", f.openSessionWithKey(i, "strict", "stranger")("PUT x v"))
 		must.Eq(t, "NODB", f.openSessionWithKey(i, "nowhere", northKey)("PUT x v"))
 		for _, id := range []string{"g-1", "g-2", "g-3"} {
-			for _, r := range f.group.RanFor(id) {
+			for _, r := range f.group.ExecutedByCustomer(id) {
 				must.StrNotContains(t, r, "PUT x v")
 			}
 		}
@@ -87,16 +87,16 @@
 // transaction commit promptly, and abort one that stays idle. Added keys must work at once.
 func TestKeyReassignment(t *testing.T) {
 	runFleetWithKeys(t, func(f *fleet, i *instance) {
-		idle, prompt, late := f.openSessionWithKey(i, "strict", northKey), f.openSessionWithKey(i, "strict", northKey), f.openSessionWithKey(i, "strict", northKey)
+		idle, committed, late := f.openSessionWithKey(i, "strict", northKey), f.openSessionWithKey(i, "strict", northKey), f.openSessionWithKey(i, "strict", northKey)
 		must.Eq(t, "I", idle("PUT k v"))
-		for _, query := range []func(string) string{prompt, late} {
+		for _, query := range []func(string) string{committed, late} {
 			must.Eq(t, "T", query("BEGIN"))
 		}
-		must.Eq(t, "T", prompt("PUT q v"))
+		must.Eq(t, "T", committed("PUT q v"))
 		must.Eq(t, "T", late("PUT r v"))
 		f.setKeys([]string{"k3y-fresh"}, []string{southKey})
 		time.Sleep(400 * time.Millisecond)
-		must.Eq(t, "I", prompt("COMMIT"))
+		must.Eq(t, "I", committed("COMMIT"))
 		must.Eq(t, "DENIED I", idle("PUT k v2"))
 		must.Eq(t, "DENIED I", idle("BEGIN"))
 		must.Eq(t, "I", f.openSessionWithKey(i, "strict", "k3y-fresh")("PUT f v"))
@@ -113,7 +113,7 @@
 }
 
 // While the store and all peers are unavailable, an unknown key may have been added since.
-// Its callers must get a retryable refusal.
+// Its clients must get a retryable refusal.
 func TestUnknownKeyDuringStoreOutage(t *testing.T) {
 	runFleetWithKeys(t, func(f *fleet, i *instance) {
 		f.store.SetFaults(func(x *storer.Faults) { x.Down = true })
@@ -132,7 +132,7 @@
 	runFleet(t, func(f *fleet) {
 		var mutex sync.Mutex
 		var sent strings.Builder
-		f.net.Tap = func(from, _ *wirer.Host, data []byte) {
+		f.net.OnSend = func(from, _ *netsimulator.Host, data []byte) {
 			if strings.HasPrefix(from.IP, "10.5.") {
 				mutex.Lock()
 				defer mutex.Unlock()
@@ -142,7 +142,7 @@
 		f.setKeys([]string{northKey}, []string{southKey})
 		a, b := f.start("10.5.0.1", "a"), f.start("10.5.0.2", "a")
 		time.Sleep(3 * time.Second)
-		f.net.Cut("10.5.0.2", "10.6.0.1")
+		f.net.Partition("10.5.0.2", "10.6.0.1")
 		f.setKeys([]string{northKey, "k3y-told"}, []string{southKey})
 		time.Sleep(3 * time.Second)
 		must.Eq(t, "I", f.openSessionWithKey(b, "strict", "k3y-told")("PUT k v"))
--- a/internal/launcher/launcher.go
+++ b/internal/launcher/launcher.go
@@ -1,4 +1,4 @@
-// Package launcher assembles an entry instance on the users' platform, runs its
+// Package launcher assembles an entry instance on the hosting platform, runs its
 // components and shuts them down.
 package launcher
 
@@ -28,7 +28,7 @@
 )
 
 const (
-	// balancerDetectionTime is how long the load balancer may still send callers to an
+	// balancerDetectionTime is how long the load balancer may still send clients to an
 	// instance that is not ready: it polls once a second and acts on the second failure.
 	balancerDetectionTime = 2200 * time.Millisecond
 	// transactionDrainFraction is the fraction of the shutdown time after which open
@@ -41,7 +41,7 @@
 )
 
 type (
-	// Platform holds the store, codecs and functions of the users' platform.
+	// Platform holds the store, codecs and functions of the hosting platform.
 	Platform struct {
 		Store interface {
 			storer.Store
@@ -60,14 +60,14 @@
 
 	// Instance is one entry instance. Set the exported fields, then call Run.
 	Instance struct {
-		Settings *loader.EdgeSettings
-		Platform Platform
-		Network  networker.Network
-		Journal  *logwriter.Writer
-		Clock    func() tracker.Timestamp
+		Settings  *loader.EdgeSettings
+		Platform  Platform
+		Network   networker.Network
+		LogWriter *logwriter.Writer
+		Clock     func() tracker.Timestamp
 		// Shutdown receives the signals that start a graceful shutdown.
 		Shutdown <-chan os.Signal
-		// Reload receives the signals to check the settings for changes; Reread loads them.
+		// Reload receives the signals to check the settings for changes; LoadSettings loads them.
 		Reload       <-chan os.Signal
 		LoadSettings func() (*loader.EdgeSettings, error)
 
@@ -95,7 +95,7 @@
 	}
 )
 
-// Run serves until Leave receives a signal, a component fails or the context is canceled.
+// Run serves until Shutdown receives a signal, a component fails or the context is canceled.
 func (i *Instance) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -119,7 +119,7 @@
 	run(i.watcher.Run)
 	run(i.maintainBackends)
 	if i.peers != nil {
-		run(i.peers.teller.Run)
+		run(i.peers.exchanger.Run)
 		run(i.peers.server.Run)
 		run(i.peers.accountant.Run)
 	}
@@ -146,7 +146,7 @@
 	<-electorExit
 	i.background.Wait()
 	if i.peers != nil {
-		i.peers.carrier.Close()
+		i.peers.forwarder.Close()
 		i.peers.client.Close()
 	}
 	if closeErr := i.metricsCloser.Close(); closeErr != nil {
@@ -158,11 +158,11 @@
 
 func (i *Instance) prepare(ctx context.Context) {
 	i.ctx, i.startedAt = ctx, i.Clock()
-	i.stateLog = i.Journal.Logger("belief")
+	i.stateLog = i.LogWriter.Logger("belief")
 	i.metricsRegistry = &reporter.Registry{}
 	i.metrics, i.metricsCloser = i.metricsRegistry.NewScope(map[string]string{reporter.TagInstance: i.Settings.Name})
 	i.backends, i.members = map[string]*backend{}, map[string][]tracker.Member{}
-	requests, traces := i.Journal.Logger("request"), i.Journal.Logger("served")
+	requests, traces := i.LogWriter.Logger("request"), i.LogWriter.Logger("served")
 	i.server = &dispatcher.Server{
 		Address: i.Settings.Callers, Network: i.Network, Codec: i.Platform.CallerCodec, Clock: i.Clock,
 		Configuration: i.configuration.Load, ConfigurationCurrent: func() bool { return i.watcher.Current() }, MaxConfigurationDelay: i.Settings.MaxApplyDelay,
@@ -177,14 +177,14 @@
 	}
 	i.elector = &elector.Elector{
 		Store: i.Platform.Store, Clock: i.Clock, Name: i.Settings.Name + runIDSeparator + newRunID(),
-		ColdStart: i.Settings.FirstStart, Groups: i.promotableGroups, Supervise: i.runKeeper, Log: i.Journal.Logger("duty").Log,
+		ColdStart: i.Settings.ColdStart, Groups: i.promotableGroups, Supervise: i.superviseGroup, Log: i.LogWriter.Logger("duty").Log,
 	}
 	i.watcher = i.newWatcher()
 	i.elector.StoreReachable = i.watcher.StoreAvailable
 	if i.Settings.PeerAddress != "" {
 		i.peers = i.newPeerServices()
 		i.elector.AcquireRank = i.peers.acquisitionRank
-		i.watcher.RequestState, i.watcher.OnInstance, i.watcher.FollowsPeers = i.peers.teller.RequestState, i.peers.teller.HandleRecord, i.peers.teller.FollowsPeers
+		i.watcher.RequestState, i.watcher.OnInstance, i.watcher.FollowsPeers = i.peers.exchanger.RequestState, i.peers.exchanger.HandleRecord, i.peers.exchanger.FollowsPeers
 	}
 	i.declareMetrics()
 }
@@ -197,7 +197,7 @@
 
 func (i *Instance) newWatcher() *watcher.Watcher {
 	return &watcher.Watcher{
-		Source: i.Platform.Store, Clock: i.Clock, MaxPropagationDelay: i.Settings.MaxApplyDelay, FirstStart: i.Settings.FirstStart,
+		Source: i.Platform.Store, Clock: i.Clock, MaxPropagationDelay: i.Settings.MaxApplyDelay, FirstStart: i.Settings.ColdStart,
 		ConfigurationKey: i.Platform.ConfigurationKey, MemberPrefix: i.Platform.MemberPrefix, OwnershipPrefix: elector.OwnershipPrefix, InstancePrefix: exchanger.InstancePrefix,
 		DecodeConfiguration: i.Platform.DecodeConfiguration, DecodeMember: i.Platform.DecodeMember,
 		OnConfiguration: i.applyConfiguration, OnMembers: i.applyMembers, OnOwnership: i.elector.HandleRecord, Log: i.stateLog.Log,
@@ -207,7 +207,7 @@
 func (i *Instance) applyConfiguration(c *tracker.Configuration) {
 	c.AppliedAt = i.Clock()
 	if i.peers != nil && c.Customers != nil {
-		i.peers.teller.Discoverer.KeepAllZones.Store(true)
+		i.peers.exchanger.Discoverer.KeepAllZones.Store(true)
 	}
 	i.logCustomerChanges(i.configuration.Swap(c), c)
 	if i.peers != nil {
@@ -266,13 +266,13 @@
 	b.Backend = dispatcher.Backend{Group: g, ReportSuspect: b.reportSuspect, Pool: &lender.Pool{
 		Group: g, Network: i.Network, Codec: i.Platform.MemberCodec, ClientName: i.Settings.Name, Clock: i.Clock, NoteOpened: i.recordConnect(group), MaintainedByOwner: true,
 		NoteBroken: i.recordIdleLoss(group), NoteLent: i.recordCheckout,
-		NotePacing: func(member string, room bool) {
-			i.stateLog.Log("event", "room", "group", group, "member", member, "room", room)
+		NotePacing: func(member string, hasCapacity bool) {
+			i.stateLog.Log("event", "room", "group", group, "member", member, "room", hasCapacity)
 		},
 	}}
 	if i.peers != nil {
-		b.Pool.BorrowRemote, b.Pool.BorrowFromHolder = i.peers.carrier.BorrowRemote, i.peers.carrier.BorrowFromHolder
-		b.Pool.HeldElsewhere, b.Pool.HolderCount = i.peers.carrier.HeldElsewhere, i.peers.carrier.HolderCount
+		b.Pool.BorrowRemote, b.Pool.BorrowFromHolder = i.peers.forwarder.BorrowRemote, i.peers.forwarder.BorrowFromHolder
+		b.Pool.HeldElsewhere, b.Pool.HolderCount = i.peers.forwarder.HeldElsewhere, i.peers.forwarder.HolderCount
 		b.Pool.Admit, b.Pool.UndoAdmit = i.peers.accountant.Admit, i.peers.accountant.UndoAdmit
 	}
 	g.SetMembers(i.members[group])
@@ -308,7 +308,7 @@
 
 // recordConnect counts connection attempts to members and logs the failed ones.
 func (i *Instance) recordConnect(group string) func(member string, err error) {
-	connections := i.Journal.Logger("connection")
+	connections := i.LogWriter.Logger("connection")
 	return func(member string, err error) {
 		if err == nil {
 			i.metrics.Counter(metricOpened).Inc(1)
@@ -319,7 +319,7 @@
 	}
 }
 
-// recordCheckout counts connections checked out for callers' work.
+// recordCheckout counts connections checked out for clients' work.
 func (i *Instance) recordCheckout(opened bool) {
 	if opened {
 		i.metrics.Counter(metricCheckoutOpened).Inc(1)
@@ -330,7 +330,7 @@
 
 // recordIdleLoss counts and logs connections to a member that broke while idle.
 func (i *Instance) recordIdleLoss(group string) func(member string, idle time.Duration) {
-	connections := i.Journal.Logger("connection")
+	connections := i.LogWriter.Logger("connection")
 	return func(member string, idle time.Duration) {
 		i.metrics.Counter(metricIdleLost).Inc(1)
 		connections.Log("event", "connection-lost", "group", group, "member", member, "idle-ms", idle.Milliseconds())
@@ -343,10 +343,10 @@
 	return ok && r == i.Settings.Regions[i.Settings.Zone]
 }
 
-// runKeeper handles a group's failover while this instance holds its lease.
-func (i *Instance) runKeeper(ctx context.Context, group string, d *elector.Ownership) error {
+// superviseGroup runs a group's failover while this instance owns the group.
+func (i *Instance) superviseGroup(ctx context.Context, group string, o *elector.Ownership) error {
 	b := i.backend(group)
-	k := &elector.Supervisor{
+	s := &elector.Supervisor{
 		Group: b.Group, Clock: i.Clock, Codec: i.Platform.MemberCodec,
 		Members: func() []tracker.Member {
 			i.mutex.Lock()
@@ -356,7 +356,7 @@
 		Connect: func(ctx context.Context, m tracker.Member) (*lender.Conn, error) {
 			return lender.Connect(ctx, i.Network, i.Platform.MemberCodec, m, i.Settings.Name)
 		},
-		Holds: d.Holds, NextFencingToken: d.NextFencingToken, State: d.State, MarkPromotionUnanswered: d.MarkPromotionUnanswered,
+		Holds: o.Holds, NextFencingToken: o.NextFencingToken, State: o.State, MarkPromotionUnanswered: o.MarkPromotionUnanswered,
 		Promote: i.Platform.Promote, Refused: i.Platform.IsPromotionRefused,
 		SynchronousReplicas: func() int {
 			c := i.configuration.Load()
@@ -364,7 +364,7 @@
 		},
 		ConnectionLimit: func() int { return i.configuration.Load().Groups[group].Connections },
 		ProcessStart:    i.startedAt, PrimaryChanged: b.Pool.MembersChanged,
-		Log: i.Journal.Logger("duty").Log,
+		Log: i.LogWriter.Logger("duty").Log,
 	}
-	return k.Run(ctx)
+	return s.Run(ctx)
 }
--- a/internal/launcher/launcher_test.go
+++ b/internal/launcher/launcher_test.go
@@ -21,9 +21,9 @@
 	"github.com/oriolegw/oriolegw/internal/launcher"
 	"github.com/oriolegw/oriolegw/internal/loader"
 	"github.com/oriolegw/oriolegw/internal/logwriter"
-	"github.com/oriolegw/oriolegw/internal/standin/liner"
+	"github.com/oriolegw/oriolegw/internal/standin/groupsimulator"
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/oriolegw/oriolegw/internal/standin/platformer"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
 	"github.com/oriolegw/oriolegw/internal/storer"
 	"github.com/oriolegw/oriolegw/internal/tracker"
 	"github.com/oriolegw/oriolegw/platform"
@@ -43,9 +43,9 @@
 	// fleet is a simulated platform and group, with instances under test.
 	fleet struct {
 		t       *testing.T
-		net     *wirer.Net
+		net     *netsimulator.Net
 		store   *storer.Memory
-		group   *liner.Group
+		group   *groupsimulator.Group
 		ctx     context.Context
 		running sync.WaitGroup
 		log     lockedBuffer
@@ -53,7 +53,7 @@
 		version int64
 		// noPromotions keeps new instances from acquiring failover leases.
 		noPromotions bool
-		// customers are those in force, nil where callers are not assigned to customers.
+		// customers are those in force, nil where clients are not assigned to customers.
 		customers []platformer.Customer
 		// memberAddress, when set, returns the address at which instances reach a member.
 		memberAddress func(tracker.Member) string
@@ -64,7 +64,7 @@
 		// reload triggers a reload of the settings, which returns nextSettings.
 		reload       chan os.Signal
 		nextSettings atomic.Pointer[loader.EdgeSettings]
-		host         *wirer.Host
+		host         *netsimulator.Host
 		exited       chan error
 		// kill stops the instance without a graceful shutdown.
 		kill context.CancelFunc
@@ -93,10 +93,10 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		n := wirer.New(1)
-		n.Latency = func(_, _ *wirer.Host) time.Duration { return time.Millisecond }
-		f := &fleet{t: t, net: n, ctx: ctx, store: storer.NewMemory(), group: &liner.Group{
-			Name: "g", Net: n, Travel: 2 * time.Millisecond, Promotion: 600 * time.Millisecond, Connections: 12, Work: 5 * time.Millisecond,
+		n := netsimulator.New(1)
+		n.Latency = func(_, _ *netsimulator.Host) time.Duration { return time.Millisecond }
+		f := &fleet{t: t, net: n, ctx: ctx, store: storer.NewMemory(), group: &groupsimulator.Group{
+			Name: "g", Net: n, ReplicationDelay: 2 * time.Millisecond, PromotionDelay: 600 * time.Millisecond, MaxConnections: 12, StatementTime: 5 * time.Millisecond,
 		}}
 		f.group.Start(ctx, "a", "b", "c")
 		p := &platformer.Platform{Address: "10.6.0.1:7000", Network: n.Host("10.6.0.1", "a"), Store: f.store, Promote: func(_, id string) error { return f.group.Promote(id) }}
@@ -125,7 +125,7 @@
 			f.refreshEntries(ctx, entries)
 		}
 		seen := map[string]bool{}
-		for _, m := range f.group.Registered() {
+		for _, m := range f.group.Registrations() {
 			if f.memberAddress != nil {
 				m.Address = f.memberAddress(m)
 			}
@@ -201,10 +201,10 @@
 	}
 	store := (&platform.Store{Address: s.StoreAddress, Network: i.host}).Open()
 	promotions := (&platform.PromotionClient{Address: s.PromotionAddress, Network: i.host, LeaseHolder: s.Name}).Open()
-	journal := logwriter.New(&f.log)
-	begin := time.Now().Add(-time.Hour)
+	logs := logwriter.New(&f.log)
+	started := time.Now().Add(-time.Hour)
 	x := &launcher.Instance{
-		Settings: s, Network: i.host, Journal: journal, Clock: func() tracker.Timestamp { return time.Since(begin) }, Shutdown: i.shutdown,
+		Settings: s, Network: i.host, LogWriter: logs, Clock: func() tracker.Timestamp { return time.Since(started) }, Shutdown: i.shutdown,
 		Reload: i.reload, LoadSettings: i.loadSettings,
 		Platform: launcher.Platform{
 			Store: store, Promote: promotions.Promote, IsPromotionRefused: func(err error) bool { return errors.Is(err, platform.ErrPromotionRefused) },
@@ -213,7 +213,7 @@
 			DecodeConfiguration: platform.DecodeConfiguration, DecodeMember: platform.DecodeMember,
 		},
 	}
-	f.running.Go(func() { _ = journal.Run(f.ctx) })
+	f.running.Go(func() { _ = logs.Run(f.ctx) })
 	f.running.Go(func() {
 		defer kill()
 		i.exited <- x.Run(ctx)
@@ -388,7 +388,7 @@
 		must.Eq(t, "I", f.openSession(old, "strict")("PUT k v"))
 		for range 2 { // the old instance closes its idle connections in between
 			for n := range 12 {
-				conn, err := f.net.Host(fmt.Sprintf("10.4.0.%d", n+1), "a").Dial(f.ctx, "10.9.1.1"+liner.Port)
+				conn, err := f.net.Host(fmt.Sprintf("10.4.0.%d", n+1), "a").Dial(f.ctx, "10.9.1.1"+groupsimulator.Port)
 				must.NoError(t, err)
 				fmt.Fprintf(conn, "STARTUP g ghost g-1\r\n")
 			}
@@ -410,7 +410,7 @@
 		idle, open := f.openSession(i, "strict"), f.openSession(i, "strict")
 		must.Eq(t, "T", open("BEGIN"))
 		must.Eq(t, "T", open("PUT k v"))
-		begin := time.Now()
+		started := time.Now()
 		i.shutdown <- syscall.SIGTERM
 		time.Sleep(100 * time.Millisecond)
 		must.Eq(t, http.StatusServiceUnavailable, f.readyStatus(i))
@@ -419,7 +419,7 @@
 		must.Eq(t, "closed", idle("FETCH k"))
 		must.Eq(t, "I", open("COMMIT"))
 		must.NoError(t, <-i.exited)
-		must.Less(t, 6*time.Second, time.Since(begin))
+		must.Less(t, 6*time.Second, time.Since(started))
 	})
 }
 
@@ -447,12 +447,12 @@
 		must.Eq(t, "I", strict("PUT k old"))
 		time.Sleep(time.Second)
 		must.Eq(t, "old I", own("FETCH k"))
-		f.group.Isolate("g-2", "g-1")
+		f.group.BlockReplication("g-2", "g-1")
 		must.Eq(t, "I", strict("PUT k new"))
-		f.group.Isolate("g-3", "g-1")
+		f.group.BlockReplication("g-3", "g-1")
 		f.group.Restart("g-3")
-		f.net.Cut("10.5.0.2", "10.9.1.1")
-		f.net.Cut("10.5.0.2", "10.5.0.1")
+		f.net.Partition("10.5.0.2", "10.9.1.1")
+		f.net.Partition("10.5.0.2", "10.5.0.1")
 		for range 20 {
 			time.Sleep(200 * time.Millisecond)
 			own("FETCH k")
@@ -470,7 +470,7 @@
 		must.Eq(t, "I", f.openSession(a, "strict")("PUT k v"))
 		b.kill()
 		<-b.exited
-		f.net.Cut("10.5.0.2", "10.6.0.1")
+		f.net.Partition("10.5.0.2", "10.6.0.1")
 		b = f.start("10.5.0.2", "a")
 		time.Sleep(time.Second)
 		must.Eq(t, http.StatusOK, f.readyStatus(b))
@@ -495,7 +495,7 @@
 			i.kill()
 			<-i.exited
 		}
-		f.net.Cut("10.5.0.3", "10.6.0.1")
+		f.net.Partition("10.5.0.3", "10.6.0.1")
 		var last *instance
 		for _, ip := range ips {
 			last = f.start(ip, "a")
@@ -512,7 +512,7 @@
 	runFleet(t, func(f *fleet) {
 		a := f.start("10.5.0.1", "a")
 		time.Sleep(3 * time.Second)
-		f.group.LoseReads("g-1", 10)
+		f.group.DropReadResponses("g-1", 10)
 		var callers sync.WaitGroup
 		for range 5 {
 			query := f.openSession(a, "strict")
@@ -520,6 +520,6 @@
 		}
 		callers.Wait()
 		time.Sleep(600 * time.Millisecond)
-		must.LessEq(t, 3, f.group.Connected("g-1")) // one retained, one spare, one for failover checks
+		must.LessEq(t, 3, f.group.OpenConnections("g-1")) // one retained, one spare, one for failover checks
 	})
 }
--- a/internal/launcher/limits.go
+++ b/internal/launcher/limits.go
@@ -14,8 +14,8 @@
 const (
 	// accountantRankKey is the rendezvous hashing key that selects the accountant.
 	accountantRankKey = "accounts"
-	// lendersTTL is how long the list of lending instances is cached.
-	lendersTTL = 500 * time.Millisecond
+	// holdersTTL is how long the list of connection holders is cached.
+	holdersTTL = 500 * time.Millisecond
 )
 
 // cached holds a value that is expensive to compute.
@@ -35,19 +35,19 @@
 	return c.value
 }
 
-func (i *Instance) newAccountant(n *peerServices) *accountant.Accountant {
-	lenders := func() []string { return i.lenderAddresses(n) }
+func (i *Instance) newAccountant(peers *peerServices) *accountant.Accountant {
+	holders := func() []string { return i.holderAddresses(peers) }
 	run := uint64(time.Now().UnixNano())
 	return (&accountant.Accountant{
 		Meter: &limiter.Meter{
 			Instance: i.Settings.PeerAddress, Incarnation: run,
-			Instances:      func() int { return max(1, len(lenders())) },
-			ReportExpected: func() bool { return slices.Contains(lenders(), i.Settings.PeerAddress) },
+			Instances:      func() int { return max(1, len(holders())) },
+			ReportExpected: func() bool { return slices.Contains(holders(), i.Settings.PeerAddress) },
 		},
-		Ledger: &limiter.Ledger{Tolerance: i.Settings.LimitTolerance, Incarnation: run, ExpectedInstances: lenders},
-		Links:  n.client, Clock: i.Clock, Limit: i.limit, Active: i.customersEnabled, Limits: i.limits, Log: i.Journal.Logger("limits").Log,
-		CurrentAccountant: func() (string, bool) { return i.accountantAddress(n) },
-		NoteFailed:        func(address string) { n.teller.Discoverer.RecordFailure(i.Clock(), address) },
+		Ledger: &limiter.Ledger{Tolerance: i.Settings.LimitTolerance, Incarnation: run, ExpectedInstances: holders},
+		Links:  peers.client, Clock: i.Clock, Limit: i.limit, Active: i.customersEnabled, Limits: i.limits, Log: i.LogWriter.Logger("limits").Log,
+		CurrentAccountant: func() (string, bool) { return i.accountantAddress(peers) },
+		NoteFailed:        func(address string) { peers.exchanger.Discoverer.RecordFailure(i.Clock(), address) },
 	}).Init()
 }
 
@@ -72,7 +72,7 @@
 	}
 }
 
-// customersEnabled reports whether callers are assigned to customers.
+// customersEnabled reports whether clients are assigned to customers.
 func (i *Instance) customersEnabled() bool {
 	c := i.configuration.Load()
 	return c != nil && c.Customers != nil
@@ -107,18 +107,18 @@
 // accountantAddress returns the address of the instance that keeps the customers' accounts,
 // or self for this one. Weighted rendezvous hashing over the reachable instances selects it.
 // Instances may disagree: each then gets its part of the limits from its own accountant.
-func (i *Instance) accountantAddress(n *peerServices) (address string, self bool) {
-	first := n.carrier.PreferredInstance(accountantRankKey, n.teller.Discoverer.AllAvailable(i.Clock()))
+func (i *Instance) accountantAddress(peers *peerServices) (address string, self bool) {
+	first := peers.forwarder.PreferredInstance(accountantRankKey, peers.exchanger.Discoverer.AllAvailable(i.Clock()))
 	if first.Name == i.Settings.Name {
 		return "", true
 	}
 	return first.Address, false
 }
 
-// lenderAddresses returns the instances that lend connections to members: those placed near
+// holderAddresses returns the instances that hold connections to members: those placed near
 // members, or all where connections have no such placement.
-func (i *Instance) lenderAddresses(n *peerServices) []string {
-	return n.lenderCache.get(i.Clock(), lendersTTL, func() []string {
+func (i *Instance) holderAddresses(peers *peerServices) []string {
+	return peers.holderCache.get(i.Clock(), holdersTTL, func() []string {
 		i.mutex.Lock()
 		members := make(map[string][]string, len(i.members))
 		for group, list := range i.members {
@@ -127,11 +127,11 @@
 			}
 		}
 		i.mutex.Unlock()
-		if list := n.carrier.MemberHolders(members); len(list) > 0 {
+		if list := peers.forwarder.MemberHolders(members); len(list) > 0 {
 			return list
 		}
 		var all []string
-		for _, p := range n.teller.Discoverer.AllKnown() {
+		for _, p := range peers.exchanger.Discoverer.AllKnown() {
 			all = append(all, p.Address)
 		}
 		return all
--- a/internal/launcher/limits_test.go
+++ b/internal/launcher/limits_test.go
@@ -62,7 +62,7 @@
 // countWrites returns the number of writes that members ran for a customer.
 func (f *fleet) countWrites(customer int) (n int) {
 	for _, id := range []string{"g-1", "g-2", "g-3"} {
-		for _, r := range f.group.RanFor(id) {
+		for _, r := range f.group.ExecutedByCustomer(id) {
 			if strings.HasPrefix(r, fmt.Sprintf("c%d PUT", customer)) {
 				n++
 			}
@@ -100,10 +100,10 @@
 		for n := range 20 {
 			must.Eq(t, 15, f.countWrites(n))
 		}
-		must.LessEq(t, 12, f.group.Connected("g-1"))
+		must.LessEq(t, 12, f.group.OpenConnections("g-1"))
 		must.StrContains(t, f.log.String(), "placement=member")
 		var names []string
-		for _, r := range f.group.RanFor("g-1") {
+		for _, r := range f.group.ExecutedByCustomer("g-1") {
 			runFor, text, _ := strings.Cut(r, " ")
 			if customer, _, ok := strings.Cut(strings.TrimPrefix(text, "PUT "), "-"); ok {
 				must.Eq(t, customer, runFor)
--- a/internal/launcher/metrics.go
+++ b/internal/launcher/metrics.go
@@ -40,7 +40,7 @@
 	}
 )
 
-// Metrics returns the metrics of an entry instance on the users' platform.
+// Metrics returns the metrics of an entry instance on the hosting platform.
 func Metrics() []reporter.Metric {
 	list := []reporter.Metric{
 		{Name: metricPrefix + dispatcher.CountAccepted, Kind: reporter.KindCounter, Description: "Callers that connected."},
@@ -88,7 +88,7 @@
 		i.metricsRegistry.AddGaugeFunc(name, tags, func() float64 { return float64(read()) })
 	}
 	gauge(metricCallers, func() int64 { return int64(i.server.SessionCount()) })
-	gauge(metricDropped, i.Journal.Dropped)
+	gauge(metricDropped, i.LogWriter.Dropped)
 	gauge(metricVersion, func() int64 {
 		if c := i.configuration.Load(); c != nil {
 			return c.Version
--- a/internal/launcher/peer_connection_test.go
+++ b/internal/launcher/peer_connection_test.go
@@ -18,7 +18,7 @@
 		a, b := f.start("10.5.0.1", "a"), f.start("10.5.0.2", "a")
 		time.Sleep(3 * time.Second)
 		must.Eq(t, "I", f.openSession(b, "strict")("PUT k v0"))
-		f.net.Cut("10.5.0.2", "10.9.1.1")
+		f.net.Partition("10.5.0.2", "10.9.1.1")
 		time.Sleep(3 * time.Second)
 		scenario(f, a, b)
 	})
@@ -66,7 +66,7 @@
 // unknown.
 func TestPeerKilledDuringWrite(t *testing.T) {
 	runWithPrimaryUnreachable(t, func(f *fleet, a, b *instance) {
-		f.group.LoseAnswers("g-1", 1)
+		f.group.DropWriteResponses("g-1", 1)
 		query := f.openSession(b, "strict")
 		time.AfterFunc(300*time.Millisecond, func() {
 			f.net.Kill("10.5.0.1")
@@ -106,7 +106,7 @@
 }
 
 // Instances that restart at the same time must not each open connections to all members and
-// query them, which would take the members' slots from callers' statements.
+// query them, which would take the members' slots from clients' statements.
 func TestSimultaneousRestartLoad(t *testing.T) {
 	runFleet(t, func(f *fleet) {
 		f.noPromotions = true // a lease holder opens connections of its own
@@ -119,13 +119,13 @@
 		}
 		opened := func() (sum int) {
 			for _, id := range []string{"g-1", "g-2", "g-3"} {
-				sum += f.group.Opened(id)
+				sum += f.group.AcceptedConnections(id)
 			}
 			return sum
 		}
 		statementsRun := func() (sum int) {
 			for _, id := range []string{"g-1", "g-2", "g-3"} {
-				sum += len(f.group.Ran(id))
+				sum += len(f.group.Executed(id))
 			}
 			return sum
 		}
--- a/internal/launcher/peers.go
+++ b/internal/launcher/peers.go
@@ -17,65 +17,65 @@
 
 // peerServices holds the components that communicate with other instances.
 type peerServices struct {
-	client  *linker.Client
-	server  *linker.Server
-	teller  *exchanger.Exchanger
-	carrier *forwarder.Forwarder
+	client    *linker.Client
+	server    *linker.Server
+	exchanger *exchanger.Exchanger
+	forwarder *forwarder.Forwarder
 	// accountant enforces the customers' limits.
 	accountant *accountant.Accountant
-	// lenderCache caches the result of lenderAddresses.
-	lenderCache cached[[]string]
+	// holderCache caches the result of holderAddresses.
+	holderCache cached[[]string]
 }
 
 func (i *Instance) newPeerServices() *peerServices {
-	kind := i.Journal.Logger("peers")
+	peerLog := i.LogWriter.Logger("peers")
 	logger := log.LoggerFunc(func(fields ...any) error {
-		kind.Log(fields...)
+		peerLog.Log(fields...)
 		return nil
 	})
 	secrets := i.peerSecrets()
-	n := &peerServices{client: &linker.Client{Network: i.Network, Secrets: secrets, Versions: linker.CurrentVersions}}
-	n.teller = &exchanger.Exchanger{
+	s := &peerServices{client: &linker.Client{Network: i.Network, Secrets: secrets, Versions: linker.CurrentVersions}}
+	s.exchanger = &exchanger.Exchanger{
 		Discoverer: &discoverer.Discoverer{
 			Self:  discoverer.Peer{Name: i.Settings.Name, Address: i.Settings.PeerAddress, Zone: i.Settings.Zone, Millicores: int(i.Settings.Cores * 1000)},
 			Seeds: i.Settings.Seeds, SameRegion: i.sameRegion,
 		},
-		Links: n.client, Clock: i.Clock, StoreState: i.watcher.State, IsReader: i.watcher.IsReader, Store: i.Platform.Store, Log: kind.Log,
+		Links: s.client, Clock: i.Clock, StoreState: i.watcher.State, IsReader: i.watcher.IsReader, Store: i.Platform.Store, Log: peerLog.Log,
 	}
-	n.carrier = &forwarder.Forwarder{
-		Discoverer: n.teller.Discoverer, Links: n.client, Codec: i.Platform.MemberCodec, Clock: i.Clock,
-		Pool: i.configuredPool, Connections: i.memberConnectionLimit, Customers: i.customerCount, Zones: len(i.Settings.Regions), Draining: i.draining.Load, Log: kind.Log,
+	s.forwarder = &forwarder.Forwarder{
+		Discoverer: s.exchanger.Discoverer, Links: s.client, Codec: i.Platform.MemberCodec, Clock: i.Clock,
+		Pool: i.configuredPool, Connections: i.memberConnectionLimit, Customers: i.customerCount, Zones: len(i.Settings.Regions), Draining: i.draining.Load, Log: peerLog.Log,
 	}
-	n.accountant = i.newAccountant(n)
-	n.teller.Lend, n.teller.Account = n.carrier.ServeLoans, n.accountant.HandleReport
-	n.teller.Proofs, n.teller.AddProof = i.recentProofs, i.acceptPeerProof
-	n.server = &linker.Server{
+	s.accountant = i.newAccountant(s)
+	s.exchanger.Lend, s.exchanger.Account = s.forwarder.ServeLoans, s.accountant.HandleReport
+	s.exchanger.Proofs, s.exchanger.AddProof = i.recentProofs, i.acceptPeerProof
+	s.server = &linker.Server{
 		Address: i.Settings.PeerAddress, Network: i.Network, Secrets: secrets, Versions: linker.CurrentVersions,
 		Log:      logger,
 		Count:    func(name string) { i.metrics.Counter(metricPrefix + name).Inc(1) },
-		Register: n.teller.Register,
+		Register: s.exchanger.Register,
 	}
-	return n
+	return s
 }
 
 // acquisitionRank returns how many instances precede this one in acquiring a group's failover
-// lease. Rendezvous hashing spreads the leases of the groups over instances. The last holder
+// lease. Rendezvous hashing spreads the leases of the groups over instances. The last owner
 // goes last, since it has probably failed.
-func (n *peerServices) acquisitionRank(group, last string) int {
-	self := n.teller.Discoverer.Self
-	list := append(n.teller.Discoverer.Peers(n.teller.Clock()), self)
+func (s *peerServices) acquisitionRank(group, last string) int {
+	self := s.exchanger.Discoverer.Self
+	list := append(s.exchanger.Discoverer.Peers(s.exchanger.Clock()), self)
 	list = ranker.Rank(elector.OwnershipPrefix+group, list, func(p discoverer.Peer) string { return p.Name })
 	indexOf := func(name string) int {
 		return slices.IndexFunc(list, func(p discoverer.Peer) bool { return p.Name == name })
 	}
-	rank, holder := indexOf(self.Name), -1
+	rank, lastOwner := indexOf(self.Name), -1
 	if i := strings.LastIndex(last, runIDSeparator); i > 0 {
-		holder = indexOf(last[:i])
+		lastOwner = indexOf(last[:i])
 	}
 	switch {
-	case holder == rank:
+	case lastOwner == rank:
 		return len(list) - 1
-	case holder >= 0 && holder < rank:
+	case lastOwner >= 0 && lastOwner < rank:
 		return rank - 1
 	default:
 		return rank
@@ -142,7 +142,7 @@
 	if i.peers == nil {
 		return 0
 	}
-	return i.peers.carrier.LentCount()
+	return i.peers.forwarder.LentCount()
 }
 
 // peerSecrets returns the shared secrets of peer authentication. They are the store's address,
--- a/internal/launcher/signals.go
+++ b/internal/launcher/signals.go
@@ -10,7 +10,7 @@
 )
 
 // handleReloads logs which settings have changed at each reload signal. They apply only from
-// the next start; see loader.CompareEntry.
+// the next start; see loader.CompareEdgeSettings.
 func (i *Instance) handleReloads(ctx context.Context) error {
 	for {
 		select {
@@ -32,7 +32,7 @@
 	}
 }
 
-// drain shuts the instance down gracefully. The load balancer stops sending callers first,
+// drain shuts the instance down gracefully. The load balancer stops sending clients first,
 // then sessions outside a transaction are closed, then those with an open transaction.
 func (i *Instance) drain(ctx context.Context) {
 	i.draining.Store(true)
--- a/internal/launcher/soak_process_test.go
+++ b/internal/launcher/soak_process_test.go
@@ -16,9 +16,9 @@
 	"testing"
 	"time"
 
-	"github.com/oriolegw/oriolegw/internal/standin/liner"
+	"github.com/oriolegw/oriolegw/internal/standin/groupsimulator"
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/oriolegw/oriolegw/internal/standin/platformer"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
 	"github.com/oriolegw/oriolegw/internal/storer"
 	"github.com/oriolegw/oriolegw/internal/tracker"
 	"github.com/shoenig/test/must"
@@ -80,9 +80,9 @@
 
 func runProcessSoak(t *testing.T, program string, seed uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
-	n := wirer.New(seed)
-	f := &fleet{t: t, net: n, ctx: ctx, store: storer.NewMemory(), group: &liner.Group{
-		Name: "g", Net: n, Travel: 2 * time.Millisecond, Promotion: 600 * time.Millisecond, Connections: 12, Work: 5 * time.Millisecond,
+	n := netsimulator.New(seed)
+	f := &fleet{t: t, net: n, ctx: ctx, store: storer.NewMemory(), group: &groupsimulator.Group{
+		Name: "g", Net: n, ReplicationDelay: 2 * time.Millisecond, PromotionDelay: 600 * time.Millisecond, MaxConnections: 12, StatementTime: 5 * time.Millisecond,
 	}}
 	s := &processSoak{soak: newSoak(f, seed), program: program, directory: t.TempDir(), processes: map[string]*process{}, storeProxies: map[string]*faultProxy{}}
 	f.memberAddress = s.proxiedAddress
@@ -98,7 +98,7 @@
 	defer func() {
 		s.stop()
 		cancel()
-		s.memberProxies.Range(func(_, g any) bool { g.(*faultProxy).close(); return true })
+		s.memberProxies.Range(func(_, proxy any) bool { proxy.(*faultProxy).close(); return true })
 		f.running.Wait()
 		f.group.Wait()
 		s.saveLogs()
@@ -112,26 +112,26 @@
 
 // proxiedAddress returns the address of the fault proxy of a member, which it starts if needed.
 func (s *processSoak) proxiedAddress(m tracker.Member) string {
-	if g, ok := s.memberProxies.Load(m.ID); ok {
-		return g.(*faultProxy).listener.Addr().String()
+	if proxy, ok := s.memberProxies.Load(m.ID); ok {
+		return proxy.(*faultProxy).listener.Addr().String()
 	}
 	host := s.net.Host("10.4.0.1", "a")
-	g, err := newFaultProxy(s.ctx, loopback(1)+":0", func(ctx context.Context) (net.Conn, error) { return host.Dial(ctx, m.Address) })
+	proxy, err := newFaultProxy(s.ctx, loopback(1)+":0", func(ctx context.Context) (net.Conn, error) { return host.Dial(ctx, m.Address) })
 	must.NoError(s.t, err)
-	s.memberProxies.Store(m.ID, g)
-	return g.listener.Addr().String()
+	s.memberProxies.Store(m.ID, proxy)
+	return proxy.listener.Addr().String()
 }
 
 // addInstance configures an instance and starts its first process.
 func (s *processSoak) addInstance(ip, zone string) {
 	host := s.net.Host("10.4.0.2", "a")
-	g, err := newFaultProxy(s.ctx, ip+":0", func(ctx context.Context) (net.Conn, error) { return host.Dial(ctx, "10.6.0.1:7000") })
+	proxy, err := newFaultProxy(s.ctx, ip+":0", func(ctx context.Context) (net.Conn, error) { return host.Dial(ctx, "10.6.0.1:7000") })
 	must.NoError(s.t, err)
-	s.storeProxies[ip] = g
+	s.storeProxies[ip] = proxy
 	settings, err := json.Marshal(map[string]any{
 		"name": "entry-" + ip, "availability-zone": zone, "regions": map[string]string{"a": "x", "b": "y", "c": "z"},
 		"callers-address": ip + ":5000", "ready-address": ip + ":5001", "metrics-address": ip + ":5002",
-		"store-address": g.listener.Addr().String(), "promotions-address": g.listener.Addr().String(),
+		"store-address": proxy.listener.Addr().String(), "promotions-address": proxy.listener.Addr().String(),
 	})
 	must.NoError(s.t, err)
 	must.NoError(s.t, os.WriteFile(filepath.Join(s.directory, ip+".json"), settings, 0o600))
@@ -169,8 +169,8 @@
 		_ = p.command.Process.Kill()
 		<-p.exited
 	}
-	for _, g := range s.storeProxies {
-		g.close()
+	for _, proxy := range s.storeProxies {
+		proxy.close()
 	}
 }
 
@@ -193,9 +193,9 @@
 }
 
 func (s *processSoak) heal() {
-	for _, g := range s.allProxies() {
-		g.refusing.Store(false)
-		g.delay.Store(0)
+	for _, proxy := range s.allProxies() {
+		proxy.refusing.Store(false)
+		proxy.delay.Store(0)
 	}
 }
 
@@ -217,7 +217,7 @@
 	for _, ip := range s.ips {
 		all = append(all, s.storeProxies[ip])
 	}
-	s.memberProxies.Range(func(_, g any) bool { all = append(all, g.(*faultProxy)); return true })
+	s.memberProxies.Range(func(_, proxy any) bool { all = append(all, proxy.(*faultProxy)); return true })
 	return all
 }
 
@@ -228,8 +228,8 @@
 }
 
 // applyToHalf calls do with about half of the connections of a fault proxy.
-func (s *processSoak) applyToHalf(g *faultProxy, do func(p *proxiedConn)) func() {
-	g.forEachConn(func(p *proxiedConn) {
+func (s *processSoak) applyToHalf(proxy *faultProxy, do func(p *proxiedConn)) func() {
+	proxy.forEachConn(func(p *proxiedConn) {
 		if s.random.IntN(2) == 0 {
 			do(p)
 		}
@@ -276,15 +276,15 @@
 			return s.applyToHalf(s.randomProxy(), func(p *proxiedConn) { p.drop(toUpstream, !toUpstream) })
 		}},
 		{"connections slow", func(*soak) func() {
-			g := s.randomProxy()
-			g.delay.Store(int64(time.Duration(20+s.random.IntN(300)) * time.Millisecond))
-			return func() { g.delay.Store(0) }
+			proxy := s.randomProxy()
+			proxy.delay.Store(int64(time.Duration(20+s.random.IntN(300)) * time.Millisecond))
+			return func() { proxy.delay.Store(0) }
 		}},
 		{"instance cut from the store", func(*soak) func() {
-			g := s.storeProxies[s.randomInstance()]
-			g.refusing.Store(true)
-			g.forEachConn((*proxiedConn).reset)
-			return func() { g.refusing.Store(false) }
+			proxy := s.storeProxies[s.randomInstance()]
+			proxy.refusing.Store(true)
+			proxy.forEachConn((*proxiedConn).reset)
+			return func() { proxy.refusing.Store(false) }
 		}},
 	}
 }
--- a/internal/launcher/soak_test.go
+++ b/internal/launcher/soak_test.go
@@ -95,24 +95,24 @@
 	}},
 	{"replica cut from replication", func(s *soak) func() {
 		id := s.randomReplica()
-		s.group.Isolate(id, s.memberIDs()...)
-		return func() { s.group.Rejoin(id) }
+		s.group.BlockReplication(id, s.memberIDs()...)
+		return func() { s.group.UnblockReplication(id) }
 	}},
 	{"primary cut from replicas", func(s *soak) func() {
 		p := s.currentPrimary()
 		for _, id := range s.memberIDs() {
 			if id != p {
-				s.group.Isolate(id, p)
+				s.group.BlockReplication(id, p)
 			}
 		}
 		return func() {
 			for _, id := range s.memberIDs() {
-				s.group.Rejoin(id)
+				s.group.UnblockReplication(id)
 			}
 		}
 	}},
 	{"responses of the primary lost", func(s *soak) func() {
-		s.group.LoseAnswers(s.currentPrimary(), 3)
+		s.group.DropWriteResponses(s.currentPrimary(), 3)
 		return func() {}
 	}},
 	{"store down", func(s *soak) func() {
@@ -138,7 +138,7 @@
 var networkFaults = []fault{
 	{"zones partitioned", func(s *soak) func() {
 		pair := [][2]string{{"a", "b"}, {"b", "c"}, {"a", "c"}}[s.random.IntN(3)]
-		s.net.Cut(pair[0], pair[1])
+		s.net.Partition(pair[0], pair[1])
 		return func() { s.net.Heal(pair[0], pair[1]) }
 	}},
 	{"instance terminated", func(s *soak) func() {
@@ -159,7 +159,7 @@
 
 // currentPrimary returns the primary, or the first member if there is none.
 func (s *soak) currentPrimary() string {
-	if id, _ := s.group.Leader(); id != "" {
+	if id, _ := s.group.Primary(); id != "" {
 		return id
 	}
 	return s.memberIDs()[0]
@@ -173,7 +173,7 @@
 
 func (s *soak) memberIDs() []string {
 	var ids []string
-	for _, m := range s.group.Registered() {
+	for _, m := range s.group.Registrations() {
 		if !m.Leaving {
 			ids = append(ids, m.ID)
 		}
@@ -188,7 +188,7 @@
 
 func (s *soak) crashMember(id string) func() {
 	s.group.Crash(id)
-	return func() { s.group.Return(id) }
+	return func() { s.group.Recover(id) }
 }
 
 // overwriteEntry writes an invalid member entry, if the store is available.
@@ -206,11 +206,11 @@
 func (s *soak) replaceMember(id string) func() {
 	s.joinedMembers++
 	s.group.Join(fmt.Sprintf("g-new%d", s.joinedMembers), []string{"a", "b", "c"}[s.random.IntN(3)], fmt.Sprintf("10.9.2.%d", s.joinedMembers))
-	s.group.Leave(id)
+	s.group.MarkLeaving(id)
 	removeAt := time.Now().Add(8 * time.Second)
 	return func() {
 		time.Sleep(time.Until(removeAt))
-		s.group.Gone(id)
+		s.group.Terminate(id)
 	}
 }
 
--- a/internal/lender/conn.go
+++ b/internal/lender/conn.go
@@ -85,7 +85,7 @@
 func (e *RefusedError) Error() string { return "member refused: " + e.Code.String() + " " + e.Detail }
 
 // Connect opens a connection to a member before the context's deadline.
-func Connect(ctx context.Context, n networker.Network, codec messenger.MemberCodec, m tracker.Member, who string) (*Conn, error) {
+func Connect(ctx context.Context, n networker.Network, codec messenger.MemberCodec, m tracker.Member, clientName string) (*Conn, error) {
 	raw, err := n.Dial(ctx, m.Address)
 	if err != nil {
 		return nil, errors.Wrap(err, "dial member")
@@ -94,7 +94,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		_ = raw.SetDeadline(deadline)
 	}
-	if _, err := raw.Write(codec.AppendStart(nil, m.Group, who, m.ID)); err != nil {
+	if _, err := raw.Write(codec.AppendStart(nil, m.Group, clientName, m.ID)); err != nil {
 		c.Close()
 		return nil, errors.Wrap(err, "open connection")
 	}
@@ -126,9 +126,9 @@
 	c.Close()
 }
 
-// SessionCommands returns the commands that establish a session's values and, if needed, its prepared
-// statement, and the statement's name on the connection. Inside a transaction, if open is set,
-// state is only added: Fit was called before it began.
+// SessionCommands returns the commands that establish a session's values and, if needed, its
+// prepared statement, and the statement's name on the connection. Inside a transaction, if open is
+// set, state is only added: SessionCommands was called before it began.
 func (c *Conn) SessionCommands(values Values, need *Prepared, open bool) ([]messenger.Command, string) {
 	var commands []messenger.Command
 	if !open && c.needsReset(values, need) {
@@ -169,16 +169,16 @@
 	return need != nil && c.prepared[*need] == "" && len(c.prepared) >= maxPreparedStatements
 }
 
-// ForgetState drops the record of the connection's state after the member reported an unknown prepared
-// statement; the next SessionCommands establishes it again.
+// ForgetState drops the record of the connection's state after the member reported an unknown
+// prepared statement; the next SessionCommands establishes it again.
 func (c *Conn) ForgetState() {
 	c.values = Values{"": ""}
 	clear(c.prepared)
 }
 
-// Exchange sends commands in one write and reads their replies until the deadline. After a
-// timeout, ReadRemaining can read the rest; after any other error the connection is unusable. sent is
-// false if no byte can have been sent.
+// Exchange sends commands in one write and reads their replies until the deadline. After a timeout,
+// ReadRemaining can read the rest; after any other error the connection is unusable. sent is false
+// if no byte can have been sent.
 func (c *Conn) Exchange(commands []messenger.Command, deadline time.Time) (replies []messenger.Reply, sent bool, err error) {
 	c.buffer = c.buffer[:0]
 	for _, x := range commands {
--- a/internal/lender/evict_test.go
+++ b/internal/lender/evict_test.go
@@ -13,7 +13,7 @@
 	"github.com/oriolegw/oriolegw/internal/identifier"
 	"github.com/oriolegw/oriolegw/internal/lender"
 	"github.com/oriolegw/oriolegw/internal/messenger"
-	"github.com/oriolegw/oriolegw/internal/standin/liner"
+	"github.com/oriolegw/oriolegw/internal/standin/groupsimulator"
 	"github.com/shoenig/test/must"
 )
 
@@ -49,7 +49,7 @@
 func TestConnectionsServeOneCustomer(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			runSharedPools(t, &liner.Group{Connections: 16}, 1, 1, func(t *testing.T, s *testGroup) {
+			runSharedPools(t, &groupsimulator.Group{MaxConnections: 16}, 1, 1, func(t *testing.T, s *testGroup) {
 				p := s.pools[0]
 				p.Configure(16, directory(40))
 				var running sync.WaitGroup
@@ -69,11 +69,11 @@
 				}
 				for range 5 {
 					time.Sleep(300 * time.Millisecond)
-					must.LessEq(t, 16, s.group.Connected("g-1"))
+					must.LessEq(t, 16, s.group.OpenConnections("g-1"))
 				}
 				running.Wait()
 				ran := 0
-				for _, r := range s.group.RanFor("g-1") {
+				for _, r := range s.group.ExecutedByCustomer("g-1") {
 					who, text, _ := strings.Cut(r, " ")
 					if customer, ok := strings.CutPrefix(text, "FETCH "); ok {
 						must.Eq(t, customer, who)
@@ -89,7 +89,7 @@
 // Guards against opening a connection for most statements, when the most frequent customers' could
 // be reused.
 func TestConnectionReuseAcrossCustomers(t *testing.T) {
-	runSharedPools(t, &liner.Group{Connections: 24, Slots: 2, Queue: 16, Handshake: 12 * time.Millisecond}, 1, 1, func(t *testing.T, s *testGroup) {
+	runSharedPools(t, &groupsimulator.Group{MaxConnections: 24, Slots: 2, MaxQueued: 16, HandshakeTime: 12 * time.Millisecond}, 1, 1, func(t *testing.T, s *testGroup) {
 		p := s.pools[0]
 		p.Configure(24, directory(40))
 		random := rand.New(rand.NewPCG(1, 1))
@@ -130,24 +130,24 @@
 }
 
 // Guards against a customer with a large backlog delaying the others' requests.
-func TestHotCustomerDelaysNoOther(t *testing.T) {
-	calm, _ := calmP99(t, 0)
-	beside, hot := calmP99(t, 40)
+func TestHotCustomerDoesNotDelayOthers(t *testing.T) {
+	unloaded, _ := otherP99(t, 0)
+	loaded, hot := otherP99(t, 40)
 	must.Positive(t, hot)
-	must.LessEq(t, calm+calm/10+20*time.Millisecond, beside)
+	must.LessEq(t, unloaded+unloaded/10+20*time.Millisecond, loaded)
 }
 
-// calmP99 returns the p99 of the calm customers' waits for a connection while hotCallers send
+// otherP99 returns the p99 of the other customers' waits for a connection while hotCallers send
 // statements of another customer without a pause, and how many of these were served.
-func calmP99(t *testing.T, hotCallers int) (p99 time.Duration, hotServed int) {
-	group := &liner.Group{Connections: 80, Slots: 2, Queue: 64, Handshake: 12 * time.Millisecond}
+func otherP99(t *testing.T, hotCallers int) (p99 time.Duration, hotServed int) {
+	group := &groupsimulator.Group{MaxConnections: 80, Slots: 2, MaxQueued: 64, HandshakeTime: 12 * time.Millisecond}
 	runSharedPools(t, group, 1, 1, func(t *testing.T, s *testGroup) {
 		p := s.pools[0]
 		p.Configure(80, directory(21))
 		var mutex sync.Mutex
 		var waits []time.Duration
 		var running sync.WaitGroup
-		warm, until := time.Now().Add(2*time.Second), time.Now().Add(10*time.Second)
+		warmUpEnd, until := time.Now().Add(2*time.Second), time.Now().Add(10*time.Second)
 		for range hotCallers {
 			running.Go(func() {
 				for time.Now().Before(until) {
@@ -167,11 +167,11 @@
 					begin := time.Now()
 					c, err := p.Borrow(t.Context(), lender.Request{EligibleMembers: primary, Customer: name(n + 1), Deadline: begin.Add(5 * time.Second)})
 					must.NoError(t, err)
-					took := time.Since(begin)
+					wait := time.Since(begin)
 					p.Return(c)
 					mutex.Lock()
-					if begin.After(warm) {
-						waits = append(waits, took)
+					if begin.After(warmUpEnd) {
+						waits = append(waits, wait)
 					}
 					mutex.Unlock()
 				}
--- a/internal/lender/idle.go
+++ b/internal/lender/idle.go
@@ -90,19 +90,19 @@
 
 // resetMember drops the state of a member's previous incarnation. Its connections may be dead
 // without an error, and a write on one would have an unknown outcome although it never ran.
-func (p *Pool) resetMember(m *memberPool, born int64) {
+func (p *Pool) resetMember(m *memberPool, startTime int64) {
 	for _, c := range m.idle {
 		m.open--
 		c.Close()
 	}
 	m.idle = nil
-	m.born, m.pace, m.lastFull = born, throttler.Throttler{}, time.Time{}
+	m.startTime, m.pace, m.lastFull = startTime, throttler.Throttler{}, time.Time{}
 	m.backoff, m.retryAt, m.lastUsed, m.capacityCheckedAt = 0, time.Time{}, time.Time{}, time.Time{}
 	m.noResponse, m.timeouts = false, 0
 }
 
-// ConnectionsScarce reports whether a member refused a connection recently because it had too many, or
-// another instance holds its connections.
+// ConnectionsScarce reports whether a member refused a connection recently because it had too many,
+// or another instance holds its connections.
 func (p *Pool) ConnectionsScarce(member string) bool {
 	if p.heldElsewhere(member) {
 		return true
--- a/internal/lender/lender_test.go
+++ b/internal/lender/lender_test.go
@@ -11,8 +11,8 @@
 	"github.com/go-faster/errors"
 	"github.com/oriolegw/oriolegw/internal/lender"
 	"github.com/oriolegw/oriolegw/internal/messenger"
-	"github.com/oriolegw/oriolegw/internal/standin/liner"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
+	"github.com/oriolegw/oriolegw/internal/standin/groupsimulator"
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/oriolegw/oriolegw/internal/tracker"
 	"github.com/oriolegw/oriolegw/platform"
 	"github.com/shoenig/test/must"
@@ -20,46 +20,46 @@
 
 // testGroup is a group and the pools of the instances that use it.
 type testGroup struct {
-	net   *wirer.Net
-	group *liner.Group
+	net   *netsimulator.Net
+	group *groupsimulator.Group
 	pools []*lender.Pool
 }
 
 // runPools runs a test with a group whose members accept few connections, and n pools.
 func runPools(t *testing.T, connections, n int, test func(t *testing.T, s *testGroup)) {
 	t.Helper()
-	runPoolsWith(t, &liner.Group{Connections: connections}, n, test)
+	runPoolsWith(t, &groupsimulator.Group{MaxConnections: connections}, n, test)
 }
 
 // runPoolsWith is runPools with the given group.
-func runPoolsWith(t *testing.T, group *liner.Group, n int, test func(t *testing.T, s *testGroup)) {
+func runPoolsWith(t *testing.T, group *groupsimulator.Group, n int, test func(t *testing.T, s *testGroup)) {
 	t.Helper()
 	runSharedPools(t, group, n, 0, test)
 }
 
 // runSharedPools is runPoolsWith with the number of instances that share a member's connections, 0
 // if unknown.
-func runSharedPools(t *testing.T, group *liner.Group, n, sharers int, test func(t *testing.T, s *testGroup)) {
+func runSharedPools(t *testing.T, group *groupsimulator.Group, n, holders int, test func(t *testing.T, s *testGroup)) {
 	t.Helper()
-	connections := group.Connections
+	connections := group.MaxConnections
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		s := &testGroup{net: wirer.New(1)}
-		s.net.Latency = func(_, _ *wirer.Host) time.Duration { return time.Millisecond }
+		s := &testGroup{net: netsimulator.New(1)}
+		s.net.Latency = func(_, _ *netsimulator.Host) time.Duration { return time.Millisecond }
 		s.group = group
-		s.group.Name, s.group.Net, s.group.Travel, s.group.Promotion, s.group.Work = "g", s.net, time.Millisecond, time.Second, 20*time.Millisecond
+		s.group.Name, s.group.Net, s.group.ReplicationDelay, s.group.PromotionDelay, s.group.StatementTime = "g", s.net, time.Millisecond, time.Second, 20*time.Millisecond
 		s.group.Start(ctx, "a", "b", "c")
 		var running sync.WaitGroup
 		begin := time.Now()
 		for i := range n {
 			g := &tracker.Group{Name: "g", Zone: "a", SameRegion: func(zone string) bool { return zone == "a" }}
-			g.SetMembers(s.group.Registered())
+			g.SetMembers(s.group.Registrations())
 			p := &lender.Pool{
 				Group: g, Network: s.net.Host(fmt.Sprintf("10.8.0.%d", i+1), "a"), Codec: platform.LineCodec{},
 				ClientName: "test", Clock: func() tracker.Timestamp { return time.Since(begin) + time.Hour },
 			}
-			if sharers > 0 {
-				p.HolderCount = func(string, string) int { return sharers }
+			if holders > 0 {
+				p.HolderCount = func(string, string) int { return holders }
 			}
 			p.Configure(connections, nil)
 			s.pools = append(s.pools, p)
@@ -182,11 +182,11 @@
 // Guards against opening more connections while statements queue at the member: they serve none
 // sooner, and their openings occupy its slots.
 func TestNoOpeningsWhileMemberQueues(t *testing.T) {
-	runPoolsWith(t, &liner.Group{Connections: 200, Slots: 3, Queue: 48, Handshake: 27 * time.Millisecond}, 30, func(t *testing.T, s *testGroup) {
+	runPoolsWith(t, &groupsimulator.Group{MaxConnections: 200, Slots: 3, MaxQueued: 48, HandshakeTime: 27 * time.Millisecond}, 30, func(t *testing.T, s *testGroup) {
 		for _, p := range s.pools {
 			must.NoError(t, runStatement(t.Context(), p, 1, time.Second))
 		}
-		before := s.group.Opened("g-1")
+		before := s.group.AcceptedConnections("g-1")
 		var mutex sync.Mutex
 		var running sync.WaitGroup
 		served := 0
@@ -199,28 +199,28 @@
 			})
 		}
 		running.Wait()
-		t.Logf("served %d, opened %d", served, s.group.Opened("g-1")-before)
-		must.Less(t, 150, s.group.Opened("g-1")-before)
+		t.Logf("served %d, opened %d", served, s.group.AcceptedConnections("g-1")-before)
+		must.Less(t, 150, s.group.AcceptedConnections("g-1")-before)
 		must.Greater(t, 600, served) // at most 750
 	})
 }
 
 // Guards against opening several connections at once to a member that has just restarted.
 func TestFirstConnectionOpensAlone(t *testing.T) {
-	runPoolsWith(t, &liner.Group{Connections: 20, Slots: 3, Queue: 48, Handshake: 300 * time.Millisecond}, 1, func(t *testing.T, s *testGroup) {
+	runPoolsWith(t, &groupsimulator.Group{MaxConnections: 20, Slots: 3, MaxQueued: 48, HandshakeTime: 300 * time.Millisecond}, 1, func(t *testing.T, s *testGroup) {
 		p := s.pools[0]
 		time.Sleep(time.Second)
 		s.group.Crash("g-1")
 		must.Error(t, runStatement(t.Context(), p, 1, 50*time.Millisecond))
 		time.Sleep(time.Second)
-		s.group.Return("g-1")
-		before := s.group.Opened("g-1")
+		s.group.Recover("g-1")
+		before := s.group.AcceptedConnections("g-1")
 		var waiting sync.WaitGroup
 		for range 5 {
 			waiting.Go(func() { _ = runStatement(t.Context(), p, 1, 2*time.Second) })
 		}
 		time.Sleep(250 * time.Millisecond)
-		must.LessEq(t, before+1, s.group.Opened("g-1"))
+		must.LessEq(t, before+1, s.group.AcceptedConnections("g-1"))
 		waiting.Wait()
 	})
 }
@@ -319,10 +319,10 @@
 		}
 		lent, spare := borrow(), borrow()
 		p.Return(spare)
-		s.net.Cut("10.8.0.1", "10.9.1.1")
+		s.net.Partition("10.8.0.1", "10.9.1.1")
 		s.group.Restart("g-1")
 		s.net.HealAll()
-		p.Group.SetMembers(s.group.Registered())
+		p.Group.SetMembers(s.group.Registrations())
 		p.MembersChanged()
 		p.Return(lent)
 		open, idle, _, _ := p.Stats()
@@ -335,8 +335,8 @@
 // Guards against closing and reopening spare connections between overlapping statements, and
 // against keeping them where the instance's share is small.
 func TestSpareConnectionsOutliveOverlap(t *testing.T) {
-	overlap := func(t *testing.T, connections, sharers int) (opened, idle int) {
-		runSharedPools(t, &liner.Group{Connections: connections}, 1, sharers, func(t *testing.T, s *testGroup) {
+	overlap := func(t *testing.T, connections, holders int) (opened, idle int) {
+		runSharedPools(t, &groupsimulator.Group{MaxConnections: connections}, 1, holders, func(t *testing.T, s *testGroup) {
 			p := s.pools[0]
 			time.Sleep(time.Second)
 			_, _, _, before := p.Stats()
@@ -370,13 +370,13 @@
 	runPools(t, 140, 1, func(t *testing.T, s *testGroup) {
 		p := s.pools[0]
 		time.Sleep(time.Second)
-		before := len(s.group.Ran("g-1"))
+		before := len(s.group.Executed("g-1"))
 		for range 20 {
 			c, err := p.Borrow(t.Context(), lender.Request{EligibleMembers: primary, Deadline: time.Now().Add(time.Second)})
 			must.NoError(t, err)
 			p.Return(c)
 			time.Sleep(time.Second)
 		}
-		must.LessEq(t, 5, len(s.group.Ran("g-1"))-before) // only status queries ran
+		must.LessEq(t, 5, len(s.group.Executed("g-1"))-before) // only status queries ran
 	})
 }
--- a/internal/lender/open.go
+++ b/internal/lender/open.go
@@ -94,15 +94,15 @@
 		return
 	}
 	var refused *RefusedError
-	maxPause := maxBackoff
+	maxDelay := maxBackoff
 	if errors.As(err, &refused) && refused.Code == messenger.CodeTooManyConnections {
-		m.lastFull, maxPause = time.Now(), maxFullBackoff
+		m.lastFull, maxDelay = time.Now(), maxFullBackoff
 		p.evictIdle(m)
 	} else {
 		p.Group.RecordFailure(p.Clock(), member.ID, false)
 		m.noResponse = !errors.Is(err, syscall.ECONNREFUSED) && refused == nil
 	}
-	m.backoff = min(max(2*m.backoff, minBackoff), maxPause)
+	m.backoff = min(max(2*m.backoff, minBackoff), maxDelay)
 	m.retryAt = time.Now().Add(m.backoff/2 + rand.N(m.backoff/2))
 	p.serveWaiting()
 }
--- a/internal/lender/overload.go
+++ b/internal/lender/overload.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// NoteOverloaded records that a member refused a statement because of overload: new work is paced or goes
-// to other members.
+// NoteOverloaded records that a member refused a statement because of overload: new work is paced
+// or goes to other members.
 func (p *Pool) NoteOverloaded(member string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/lender/pool.go
+++ b/internal/lender/pool.go
@@ -48,8 +48,8 @@
 type (
 	// Request asks for a connection.
 	Request struct {
-		// EligibleMembers returns the eligible members, best first. It is called again when the state of
-		// the members has changed while the request waits.
+		// EligibleMembers returns the eligible members, best first. It is called again when the
+		// state of the members has changed while the request waits.
 		EligibleMembers func() []string
 		// Customer is the customer that the connection must have been opened for, "" without
 		// customers.
@@ -83,8 +83,9 @@
 		HolderCount func(group, member string) int
 		// BorrowRemote, when set, borrows a connection through another instance.
 		BorrowRemote func(ctx context.Context, group string, members []string, r Request) (*Conn, error)
-		// BorrowFromHolder, when set, borrows from the instance that holds the connections to the group's
-		// members for others. Elsewhere reports whether another instance holds those to a member.
+		// BorrowFromHolder, when set, borrows from the instance that holds the connections to the
+		// group's members for others. HeldElsewhere reports whether another instance holds those to
+		// a member.
 		BorrowFromHolder func(ctx context.Context, group string, r Request) (*Conn, error)
 		HeldElsewhere    func(group, member string) bool
 		// Admit, when set, decides whether a new operation of a customer may run on one of this
@@ -96,7 +97,8 @@
 		NoteLent func(opened bool)
 		// NoteOpened, when set, is called with the result of each opening.
 		NoteOpened func(member string, err error)
-		// MaintainedByOwner is set if the owner calls Maintain instead of Run, for many pools at once.
+		// MaintainedByOwner is set if the owner calls Maintain instead of Run, for many pools at
+		// once.
 		MaintainedByOwner bool
 		// NoteBroken, when set, is called for each idle connection found broken, with its idle time.
 		NoteBroken func(member string, idle time.Duration)
@@ -127,11 +129,11 @@
 	// memberPool holds the connections to one member.
 	memberPool struct {
 		id string
-		// born identifies the incarnation of the member that the other fields are about.
-		born    int64
-		idle    []*Conn
-		open    int
-		opening int
+		// startTime identifies the incarnation of the member that the other fields are about.
+		startTime int64
+		idle      []*Conn
+		open      int
+		opening   int
 		// lentByCustomer and openingByCustomer count a customer's lent connections and those being
 		// opened.
 		lentByCustomer, openingByCustomer map[string]int
@@ -216,7 +218,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for id, m := range p.members {
-		if x, ok := p.Group.Member(id); ok && x.StartTime > m.born {
+		if x, ok := p.Group.Member(id); ok && x.StartTime > m.startTime {
 			p.resetMember(m, x.StartTime)
 		}
 	}
@@ -248,8 +250,8 @@
 	}
 }
 
-// Borrow lends a connection to the best eligible member. The error is ErrNoConnection, ErrNoMember, a
-// LimitError, or that of the context.
+// Borrow lends a connection to the best eligible member. The error is ErrNoConnection, ErrNoMember,
+// a LimitError, or that of the context.
 func (p *Pool) Borrow(ctx context.Context, r Request) (*Conn, error) {
 	if !r.LocalOnly && p.BorrowFromHolder != nil {
 		if c, err := p.BorrowFromHolder(ctx, p.Group.Name, r); !errors.Is(err, ErrUseLocal) {
@@ -343,7 +345,7 @@
 		}
 		m = &memberPool{id: id}
 		if x, ok := p.Group.Member(id); ok {
-			m.born = x.StartTime
+			m.startTime = x.StartTime
 		}
 		p.members[id] = m
 	}
--- a/internal/lender/remote.go
+++ b/internal/lender/remote.go
@@ -34,7 +34,8 @@
 	LoanEnd struct {
 		// Broken is set if the connection is unusable.
 		Broken bool
-		// Overloaded is set if the member refused a statement because of overload, Ran if it ran one.
+		// Overloaded is set if the member refused a statement because of overload, Ran if it ran
+		// one.
 		Overloaded, Ran bool
 		State           SessionState
 	}
@@ -42,9 +43,9 @@
 
 // NewRemoteConn wraps a connection that another instance lends. giveBack is called once, when it is
 // returned.
-func NewRemoteConn(n net.Conn, codec messenger.MemberCodec, member string, born int64, s SessionState, giveBack func(LoanEnd)) *Conn {
+func NewRemoteConn(n net.Conn, codec messenger.MemberCodec, member string, startTime int64, s SessionState, giveBack func(LoanEnd)) *Conn {
 	return &Conn{
-		Member: member, MemberStartTime: born, net: n, codec: codec, replies: codec.Replies(n),
+		Member: member, MemberStartTime: startTime, net: n, codec: codec, replies: codec.Replies(n),
 		values: s.Values, prepared: s.Prepared, giveBack: giveBack,
 	}
 }
@@ -152,15 +153,15 @@
 		defer p.background.Done()
 		c, err := p.BorrowRemote(ctx, p.Group.Name, ids, w.Request)
 		p.mutex.Lock()
-		late := w.abandoned
+		abandoned := w.abandoned
 		switch {
 		case err != nil:
 			w.remotePending = false // a retry may follow; at most one connection is pending
-		case !late:
+		case !abandoned:
 			w.remote <- c
 		}
 		p.mutex.Unlock()
-		if err == nil && late {
+		if err == nil && abandoned {
 			c.returnLoan()
 		}
 	}()
--- a/internal/limiter/fleet.go
+++ b/internal/limiter/fleet.go
@@ -75,9 +75,9 @@
 // admit operations at their assigned fallback rates, or else at an even share.
 func (a *account) reservedFraction(now Timestamp, fleet fleetStatus) float64 {
 	sum := a.unknownRate(fleet)
-	for _, p := range a.shares {
-		if p.unreachable(now) {
-			sum += p.fallbackRate
+	for _, s := range a.shares {
+		if s.unreachable(now) {
+			sum += s.fallbackRate
 		}
 	}
 	return min(1, sum/a.limit.PerSecond)
@@ -124,13 +124,13 @@
 
 // fallbackRate returns an instance's fallback rate in operations per second: an even share, or
 // more according to its demand while all fallback rates stay within the limit.
-func (a *account) fallbackRate(p *instanceShare, fleet fleetStatus, demandShare float64) float64 {
+func (a *account) fallbackRate(s *instanceShare, fleet fleetStatus, demandShare float64) float64 {
 	var evenShare float64
-	if p.expected {
+	if s.expected {
 		evenShare = evenShareFraction * a.limit.PerSecond / float64(fleet.expected)
 	}
-	remaining := a.limit.PerSecond - a.assignedRate(p) - a.unknownRate(fleet) - a.unassignedRate(fleet)
-	wanted := min(demandShare*a.limit.PerSecond, fallbackHeadroom*p.demand)
+	remaining := a.limit.PerSecond - a.assignedRate(s) - a.unknownRate(fleet) - a.unassignedRate(fleet)
+	wanted := min(demandShare*a.limit.PerSecond, fallbackHeadroom*s.demand)
 	return max(evenShare, min(wanted, remaining))
 }
 
@@ -138,8 +138,8 @@
 // fallback rate for this customer.
 func (a *account) unassignedRate(fleet fleetStatus) float64 {
 	n := fleet.expected - fleet.unseenInitial - fleet.unseenJoined
-	for _, p := range a.shares {
-		if p.expected {
+	for _, s := range a.shares {
+		if s.expected {
 			n--
 		}
 	}
@@ -149,9 +149,9 @@
 // assignedRate returns the sum of the other instances' fallback rates.
 func (a *account) assignedRate(except *instanceShare) float64 {
 	var sum float64
-	for _, p := range a.shares {
-		if p != except {
-			sum += p.fallbackRate
+	for _, s := range a.shares {
+		if s != except {
+			sum += s.fallbackRate
 		}
 	}
 	return sum
--- a/internal/limiter/ledger.go
+++ b/internal/limiter/ledger.go
@@ -14,11 +14,13 @@
 	// its methods are safe for concurrent use.
 	Ledger struct {
 		Tolerance Tolerance
-		// Incarnation identifies the incarnation of the accounts; it increases each time they are opened.
+		// Incarnation identifies the incarnation of the accounts; it increases each time they are
+		// opened.
 		Incarnation uint64
-		// ExpectedInstances, when set, lists the instances that run operations. The fallback rates of those
-		// that don't report here are reserved: an instance may be isolated or report to another
-		// accountant. So several accountants share the limits without knowing of each other.
+		// ExpectedInstances, when set, lists the instances that run operations. The fallback rates
+		// of those that don't report here are reserved: an instance may be isolated or report to
+		// another accountant. So several accountants share the limits without knowing of each
+		// other.
 		ExpectedInstances func() []string
 
 		// openedAt is when the accounts were opened, initialInstances which instances ran
@@ -112,8 +114,8 @@
 	l.Incarnation++
 }
 
-// HandleReport processes a report and returns the reply. limitOf returns a customer's limit; the reply
-// omits customers without one.
+// HandleReport processes a report and returns the reply. limitOf returns a customer's limit; the
+// reply omits customers without one.
 func (l *Ledger) HandleReport(now Timestamp, r Report, limitOf func(customer string) identifier.Limit) Reply {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -136,10 +138,10 @@
 	}
 	from.hasLeft = r.Final
 	fleet := l.fleetStatus(now)
-	answer := Reply{Incarnation: l.Incarnation}
+	reply := Reply{Incarnation: l.Incarnation}
 	if !from.synced && !r.NewAccountant {
 		// The instance will resend with its past usage once it sees the new incarnation.
-		return answer
+		return reply
 	}
 	firstSync := !from.synced
 	if firstSync {
@@ -165,21 +167,21 @@
 			a.addPastUsage(now, s.PastUsed, sinceLast)
 		}
 		a.consumeReported(now, s.Used, sinceLast-silenceTimeout)
-		answer.Grants = append(answer.Grants, a.grant(now, r.Instance, from, s, l.Tolerance, fleet, len(l.reporters)))
+		reply.Grants = append(reply.Grants, a.grant(now, r.Instance, from, s, l.Tolerance, fleet, len(l.reporters)))
 	}
 	from.synced = from.synced || r.NewAccountant
 	if r.Final {
 		l.instanceLeft(r.Instance)
 	}
-	return answer
+	return reply
 }
 
 // instanceRestarted counts the leases of an instance's previous incarnation as used.
 func (l *Ledger) instanceRestarted(now Timestamp, instance string) {
 	for _, a := range l.accounts {
-		if p, ok := a.shares[instance]; ok {
-			a.consume(now, p.leased)
-			p.leased, p.assumedUsed = 0, 0
+		if s, ok := a.shares[instance]; ok {
+			a.consume(now, s.leased)
+			s.leased, s.assumedUsed = 0, 0
 		}
 	}
 }
@@ -187,8 +189,8 @@
 // instanceLeft drops the leases of an instance that reports to another accountant.
 func (l *Ledger) instanceLeft(instance string) {
 	for _, a := range l.accounts {
-		if p, ok := a.shares[instance]; ok {
-			p.leased = 0
+		if s, ok := a.shares[instance]; ok {
+			s.leased = 0
 		}
 	}
 }
@@ -207,14 +209,14 @@
 
 // advance refills the token bucket and expires leases and instances.
 func (a *account) advance(now Timestamp, t Tolerance, fleet fleetStatus) {
-	for name, p := range a.shares {
-		if p.leased > 0 && now > p.leasedUntil {
-			// The holder has been isolated or removed: it may have used them.
-			a.consume(now, p.leased)
-			p.assumedUsed, p.assumedAt = p.assumedUsed+p.leased, now
-			p.leased = 0
+	for name, s := range a.shares {
+		if s.leased > 0 && now > s.leasedUntil {
+			// The instance has been isolated or removed: it may have used them.
+			a.consume(now, s.leased)
+			s.assumedUsed, s.assumedAt = s.assumedUsed+s.leased, now
+			s.leased = 0
 		}
-		if now-p.lastReport > reporterExpiry && !slices.Contains(fleet.silent, name) {
+		if now-s.lastReport > reporterExpiry && !slices.Contains(fleet.silent, name) {
 			delete(a.shares, name)
 		}
 	}
@@ -263,18 +265,18 @@
 }
 
 // currentDemand returns the instance's demand. That of an unreachable instance doesn't decay.
-func (p *instanceShare) currentDemand(now Timestamp) float64 {
-	if p.unreachable(now) {
-		return p.demand
+func (s *instanceShare) currentDemand(now Timestamp) float64 {
+	if s.unreachable(now) {
+		return s.demand
 	}
-	return decayed(p.demand, now-p.demandAt, demandHalfLife)
+	return decayed(s.demand, now-s.demandAt, demandHalfLife)
 }
 
 // totalDemand returns the requested operations per second on all instances.
 func (a *account) totalDemand(now Timestamp) float64 {
 	var sum float64
-	for _, p := range a.shares {
-		sum += p.currentDemand(now)
+	for _, s := range a.shares {
+		sum += s.currentDemand(now)
 	}
 	return sum
 }
@@ -282,47 +284,47 @@
 // totalLeased returns the outstanding leases of all instances.
 func (a *account) totalLeased() float64 {
 	var sum float64
-	for _, p := range a.shares {
-		sum += float64(p.leased)
+	for _, s := range a.shares {
+		sum += float64(s.leased)
 	}
 	return sum
 }
 
 // grant processes one customer's usage report and leases tokens to the instance.
-func (a *account) grant(now Timestamp, instance string, from *reporter, s Usage, t Tolerance, fleet fleetStatus, reporters int) Grant {
-	p, ok := a.shares[instance]
+func (a *account) grant(now Timestamp, instance string, from *reporter, usage Usage, t Tolerance, fleet fleetStatus, reporters int) Grant {
+	s, ok := a.shares[instance]
 	if !ok {
-		p = &instanceShare{reporter: from}
-		a.shares[instance] = p
+		s = &instanceShare{reporter: from}
+		a.shares[instance] = s
 	}
-	if p.assumedUsed > 0 {
+	if s.assumedUsed > 0 {
 		// The report contains the actual usage.
-		a.used.add(p.assumedAt, -p.assumedUsed)
-		a.tokens += float64(p.assumedUsed)
-		p.assumedUsed = 0
+		a.used.add(s.assumedAt, -s.assumedUsed)
+		a.tokens += float64(s.assumedUsed)
+		s.assumedUsed = 0
 	}
-	p.leased, p.demandAt, p.demand = s.UnusedTokens, now, s.Demand
+	s.leased, s.demandAt, s.demand = usage.UnusedTokens, now, usage.Demand
 	available := a.available(now, t, fleet)
 	demandShare := 1.0
 	if total := a.totalDemand(now); total > 0 {
-		demandShare = p.demand / total
+		demandShare = s.demand / total
 	}
-	x := Grant{Customer: s.Customer, LeaseRequired: available < lowBalanceFraction*t.burst(a.limit)+unreportedPerInstance*float64(reporters)}
-	p.fallbackRate = a.fallbackRate(p, fleet, demandShare)
-	x.FallbackRate = p.fallbackRate
+	g := Grant{Customer: usage.Customer, LeaseRequired: available < lowBalanceFraction*t.burst(a.limit)+unreportedPerInstance*float64(reporters)}
+	s.fallbackRate = a.fallbackRate(s, fleet, demandShare)
+	g.FallbackRate = s.fallbackRate
 	// Waiting operations may take the whole balance, expected ones the instance's share of it.
 	// Fractions of expected operations are not leased: one token on each of many instances would
 	// exhaust a small customer's limit.
-	wanted := float64(s.Waiters) + math.Floor(s.Demand*leaseHorizon.Seconds()) - float64(s.UnusedTokens)
-	x.Tokens = max(0, int(min(available, max(demandShare*available, float64(s.Waiters)), wanted)))
-	if x.Tokens < s.Waiters {
-		x.RetryAfter = clampRetryAfter((float64(s.Waiters-x.Tokens) - (available - float64(x.Tokens))) / t.rate(a.limit))
+	wanted := float64(usage.Waiters) + math.Floor(usage.Demand*leaseHorizon.Seconds()) - float64(usage.UnusedTokens)
+	g.Tokens = max(0, int(min(available, max(demandShare*available, float64(usage.Waiters)), wanted)))
+	if g.Tokens < usage.Waiters {
+		g.RetryAfter = clampRetryAfter((float64(usage.Waiters-g.Tokens) - (available - float64(g.Tokens))) / t.rate(a.limit))
 	}
-	p.leased, p.leasedUntil = p.leased+x.Tokens, now+leaseDuration+leaseGrace
-	if p.leased == 0 && s.Demand < minDemand {
+	s.leased, s.leasedUntil = s.leased+g.Tokens, now+leaseDuration+leaseGrace
+	if s.leased == 0 && usage.Demand < minDemand {
 		delete(a.shares, instance)
 	}
-	return x
+	return g
 }
 
 // minDemand is the demand per second below which a customer counts as inactive on an instance.
--- a/internal/limiter/ledger_test.go
+++ b/internal/limiter/ledger_test.go
@@ -18,67 +18,67 @@
 }
 
 func newTestLedger(limit identifier.Limit, instances ...string) *testLedger {
-	d := &testLedger{limit: limit, now: time.Hour}
-	d.ledger = &limiter.Ledger{Incarnation: 1, Tolerance: tolerance, ExpectedInstances: func() []string { return instances }}
-	return d
+	l := &testLedger{limit: limit, now: time.Hour}
+	l.ledger = &limiter.Ledger{Incarnation: 1, Tolerance: tolerance, ExpectedInstances: func() []string { return instances }}
+	return l
 }
 
 // report processes one customer's usage in an instance's first incarnation.
-func (d *testLedger) report(instance string, s limiter.Usage) limiter.Grant {
-	return d.handle(limiter.Report{Instance: instance, Incarnation: 1, NewAccountant: true, Usages: []limiter.Usage{s}})
+func (l *testLedger) report(instance string, s limiter.Usage) limiter.Grant {
+	return l.handle(limiter.Report{Instance: instance, Incarnation: 1, NewAccountant: true, Usages: []limiter.Usage{s}})
 }
 
-func (d *testLedger) handle(r limiter.Report) limiter.Grant {
-	d.number++
-	r.Sequence = d.number
+func (l *testLedger) handle(r limiter.Report) limiter.Grant {
+	l.number++
+	r.Sequence = l.number
 	for i := range r.Usages {
 		r.Usages[i].Customer = "c"
 	}
-	x := d.ledger.HandleReport(d.now, r, func(string) identifier.Limit { return d.limit })
+	x := l.ledger.HandleReport(l.now, r, func(string) identifier.Limit { return l.limit })
 	if len(x.Grants) == 0 {
 		return limiter.Grant{}
 	}
 	return x.Grants[0]
 }
 
-func (d *testLedger) balance() limiter.Balance { return d.ledger.Balances(d.now)[0] }
+func (l *testLedger) balance() limiter.Balance { return l.ledger.Balances(l.now)[0] }
 
 // Guards against losing the usage of leased operations when an instance restarts before it
 // reports.
 func TestLeasesOfRestartedInstanceCountAsUsed(t *testing.T) {
-	d := newTestLedger(limits[1], "a")
-	leased := d.report("a", limiter.Usage{Waiters: 10, Demand: 10}).Tokens
+	l := newTestLedger(limits[1], "a")
+	leased := l.report("a", limiter.Usage{Waiters: 10, Demand: 10}).Tokens
 	must.Positive(t, leased)
-	d.now += 100 * time.Millisecond
-	d.handle(limiter.Report{Instance: "a", Incarnation: 2, NewAccountant: true, Usages: []limiter.Usage{{Demand: 1}}})
-	must.Eq(t, float64(leased), d.balance().Used)
+	l.now += 100 * time.Millisecond
+	l.handle(limiter.Report{Instance: "a", Incarnation: 2, NewAccountant: true, Usages: []limiter.Usage{{Demand: 1}}})
+	must.Eq(t, float64(leased), l.balance().Used)
 }
 
 // Guards against counting operations twice: as an expired lease, and in a late report.
 func TestExpiredLeasesCountOnceAfterLateReport(t *testing.T) {
-	d := newTestLedger(limits[1], "a")
-	leased := d.report("a", limiter.Usage{Waiters: 10, Demand: 10}).Tokens
-	d.now += 3 * time.Second
-	must.Eq(t, float64(leased), d.balance().Used)
-	d.report("a", limiter.Usage{Used: []int{leased, 0, 0, 0, 0, 0}})
-	must.Eq(t, float64(leased), d.balance().Used)
+	l := newTestLedger(limits[1], "a")
+	leased := l.report("a", limiter.Usage{Waiters: 10, Demand: 10}).Tokens
+	l.now += 3 * time.Second
+	must.Eq(t, float64(leased), l.balance().Used)
+	l.report("a", limiter.Usage{Used: []int{leased, 0, 0, 0, 0, 0}})
+	must.Eq(t, float64(leased), l.balance().Used)
 }
 
 // Guards against leases for an instance that has not reported its past usage to a new accountant.
 func TestNoLeaseBeforePastUsageIsReported(t *testing.T) {
-	d := newTestLedger(limits[1], "a")
-	d.report("a", limiter.Usage{Waiters: 10, Demand: 10})
-	d.ledger = &limiter.Ledger{Incarnation: 5, Tolerance: tolerance, ExpectedInstances: d.ledger.ExpectedInstances}
-	unaware := d.handle(limiter.Report{Instance: "a", Incarnation: 1, Usages: []limiter.Usage{{Waiters: 10, Demand: 10}}})
+	l := newTestLedger(limits[1], "a")
+	l.report("a", limiter.Usage{Waiters: 10, Demand: 10})
+	l.ledger = &limiter.Ledger{Incarnation: 5, Tolerance: tolerance, ExpectedInstances: l.ledger.ExpectedInstances}
+	unaware := l.handle(limiter.Report{Instance: "a", Incarnation: 1, Usages: []limiter.Usage{{Waiters: 10, Demand: 10}}})
 	must.Eq(t, limiter.Grant{}, unaware)
-	must.Positive(t, d.report("a", limiter.Usage{Waiters: 10, Demand: 10}).Tokens)
+	must.Positive(t, l.report("a", limiter.Usage{Waiters: 10, Demand: 10}).Tokens)
 }
 
 // Guards against ignoring past usage because the instance has reported a moment before, unaware
 // that the accounts are new.
 func TestPastUsageCountsAfterUnawareReport(t *testing.T) {
-	d := newTestLedger(limits[1], "a")
-	d.handle(limiter.Report{Instance: "a", Incarnation: 1, Usages: []limiter.Usage{{Waiters: 1}}})
-	d.report("a", limiter.Usage{PastUsed: []int{7, 3}})
-	must.Eq(t, 10.0, d.balance().Used)
+	l := newTestLedger(limits[1], "a")
+	l.handle(limiter.Report{Instance: "a", Incarnation: 1, Usages: []limiter.Usage{{Waiters: 1}}})
+	l.report("a", limiter.Usage{PastUsed: []int{7, 3}})
+	must.Eq(t, 10.0, l.balance().Used)
 }
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -20,7 +20,7 @@
 // An instance that can't reach the accountant admits operations at a fallback rate: an even share
 // of evenShareFraction x rate, or more where its recent demand was higher and the limit allows it.
 // The fallback rates that an accountant assigns add up to at most the limit, and it reserves those
-// of the instances that it doesn't hear from. A new accountant reserves what it can't know: the
+// of the instances that don't report to it. A new accountant reserves what it can't know: the
 // rate less the fallback rates of the instances that have reported to it. So the sides of a
 // partition share the limit, whichever of them have an accountant:
 //
@@ -72,8 +72,8 @@
 	// isolationTimeout is the time without a reply after which an instance admits operations at
 	// its fallback rate.
 	isolationTimeout = 800 * time.Millisecond
-	// LeaseWaitTimeout is how long an operation may wait for a lease: two round trips between regions, and
-	// scheduling delays.
+	// LeaseWaitTimeout is how long an operation may wait for a lease: two round trips between
+	// regions, and scheduling delays.
 	LeaseWaitTimeout = 100 * time.Millisecond
 	// leaseRequiredDuration is how long an instance treats an account as low on tokens after the
 	// accountant reported it so.
@@ -106,7 +106,7 @@
 	Usage struct {
 		Customer string
 		// Used counts the operations run since the last acknowledged report, in slots of slotTime,
-		// newest last. Before counts those of acknowledged reports, for an accountant that is new
+		// newest last. PastUsed counts those of acknowledged reports, for an accountant that is new
 		// to the instance.
 		Used, PastUsed []int
 		// UnusedTokens is the number of unused leased tokens.
@@ -132,9 +132,9 @@
 		NewAccountant bool
 		// Final is set on the last report to an accountant.
 		Final bool
-		// SincePredecessorAck, if NewAccountant is set, is the time since the previous accountant last received a
-		// report, or 0 without one. That accountant reserves the instance's fallback rates once it
-		// has missed reports for long enough.
+		// SincePredecessorAck, if NewAccountant is set, is the time since the previous accountant
+		// last received a report, or 0 without one. That accountant reserves the instance's
+		// fallback rates once it has missed reports for long enough.
 		SincePredecessorAck time.Duration
 		Usages              []Usage
 	}
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -65,7 +65,7 @@
 		incarnation uint64
 		sent        limiter.Timestamp
 		report      *limiter.Report
-		answer      limiter.Reply
+		reply       limiter.Reply
 	}
 )
 
@@ -122,7 +122,7 @@
 // request decides on an operation that was requested at a time.
 func (f *fleet) request(n int, since limiter.Timestamp, attempt limiter.Attempt) {
 	x := f.nodes[n]
-	switch v, retryAfter := x.meter.Decide(f.now, "c", f.limit, attempt); v {
+	switch decision, retryAfter := x.meter.Decide(f.now, "c", f.limit, attempt); decision {
 	case limiter.Admit:
 		f.ran[len(f.ran)-1]++
 	case limiter.Refuse:
@@ -186,11 +186,11 @@
 			f.inFlight = append(f.inFlight, m)
 		case m.incarnation != x.incarnation || f.accountsFor(x) == nil:
 		case m.report != nil && (x.isolated || !f.nodes[f.accountant].paused):
-			answer := f.accountsFor(x).HandleReport(f.now, *m.report, func(string) identifier.Limit { return f.limit })
-			f.send(message{node: m.node, incarnation: m.incarnation, sent: m.sent, answer: answer})
+			reply := f.accountsFor(x).HandleReport(f.now, *m.report, func(string) identifier.Limit { return f.limit })
+			f.send(message{node: m.node, incarnation: m.incarnation, sent: m.sent, reply: reply})
 		case m.report == nil && !x.paused && x.waiting && m.sent == x.sentAt:
 			x.waiting = false
-			x.meter.HandleReply(m.sent, m.answer)
+			x.meter.HandleReply(m.sent, m.reply)
 		}
 	}
 }
--- a/internal/limiter/meter.go
+++ b/internal/limiter/meter.go
@@ -8,7 +8,7 @@
 	"github.com/oriolegw/oriolegw/internal/identifier"
 )
 
-// Verdicts on an operation.
+// The decisions on an operation.
 const (
 	// Admit allows the operation.
 	Admit Decision = iota
@@ -18,7 +18,7 @@
 	RequestLease
 )
 
-// Attempts of an operation.
+// The attempts of an operation.
 const (
 	// FirstAttempt is the decision when the operation is requested.
 	FirstAttempt Attempt = iota
@@ -66,7 +66,7 @@
 // Decide decides on an operation of a customer. After RequestLease, the caller calls
 // AddWaiters, waits for the reply to a report, and calls Decide again. retryAfter is the delay
 // after which a refused caller may retry.
-func (m *Meter) Decide(now Timestamp, name string, limit identifier.Limit, attempt Attempt) (v Decision, retryAfter time.Duration) {
+func (m *Meter) Decide(now Timestamp, name string, limit identifier.Limit, attempt Attempt) (decision Decision, retryAfter time.Duration) {
 	if !limit.Limited() {
 		return Admit, 0
 	}
@@ -111,8 +111,8 @@
 	}
 }
 
-// AddWaiters changes the number of operations that wait for a lease: by is 1 when one starts to wait and
-// -1 when it stops.
+// AddWaiters changes the number of operations that wait for a lease: by is 1 when one starts to
+// wait and -1 when it stops.
 func (m *Meter) AddWaiters(now Timestamp, name string, by int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -202,7 +202,7 @@
 
 // HandleReply processes the reply to the report sent at sent. Leases count from then, so they expire
 // here before they expire at the accountant.
-func (m *Meter) HandleReply(sent Timestamp, x Reply) {
+func (m *Meter) HandleReply(sent Timestamp, r Reply) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	// A new incarnation is known once it has acknowledged the past usage.
@@ -211,36 +211,36 @@
 		m.markReported(sent)
 	}
 	m.pending, m.lastAcked = nil, max(sent, m.unackedSince)
-	if pastReported || m.accountantIncarnation == x.Incarnation {
-		m.accountantIncarnation = x.Incarnation
+	if pastReported || m.accountantIncarnation == r.Incarnation {
+		m.accountantIncarnation = r.Incarnation
 	} else {
 		m.accountantIncarnation = 0
 	}
-	for _, a := range x.Grants {
-		c, ok := m.customers[a.Customer]
+	for _, g := range r.Grants {
+		c, ok := m.customers[g.Customer]
 		if !ok {
 			continue
 		}
 		if sent >= c.leasedUntil {
 			c.tokens = 0
 		}
-		c.tokens, c.leasedUntil = c.tokens+a.Tokens, sent+leaseDuration
-		c.grantedAt, c.fallbackRate = sent, a.FallbackRate
+		c.tokens, c.leasedUntil = c.tokens+g.Tokens, sent+leaseDuration
+		c.grantedAt, c.fallbackRate = sent, g.FallbackRate
 		c.leaseRequiredUntil = 0
-		if a.LeaseRequired {
+		if g.LeaseRequired {
 			c.leaseRequiredUntil = sent + leaseRequiredDuration
 		} else {
 			c.fallbackTokens = max(c.fallbackTokens, 1)
 		}
 		c.refuseUntil = 0
-		if a.RetryAfter > 0 {
-			c.refuseUntil, c.retryAt = sent+min(a.RetryAfter, refusalDuration), sent+a.RetryAfter
+		if g.RetryAfter > 0 {
+			c.refuseUntil, c.retryAt = sent+min(g.RetryAfter, refusalDuration), sent+g.RetryAfter
 		}
 	}
 }
 
-// SwitchAccountant switches to another accountant, which has none of this instance's usage. It returns the
-// final report for the previous one.
+// SwitchAccountant switches to another accountant, which has none of this instance's usage. It
+// returns the final report for the previous one.
 func (m *Meter) SwitchAccountant(now Timestamp) Report {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/limiter/window.go
+++ b/internal/limiter/window.go
@@ -12,7 +12,7 @@
 // window counts operations by time slot. The zero value is an empty window.
 type window struct {
 	counts [Slots]int
-	// newest is the number of the newest slot since the epoch of Stamp.
+	// newest is the number of the newest slot since the epoch of Timestamp.
 	newest int64
 }
 
--- a/internal/linker/authenticator.go
+++ b/internal/linker/authenticator.go
@@ -70,10 +70,10 @@
 
 // chooseSecret returns the common secret with the highest number, so that a new key is used as
 // soon as both ends have it.
-func chooseSecret(own []Secret, theirs []uint32) (Secret, error) {
+func chooseSecret(own []Secret, peerKeys []uint32) (Secret, error) {
 	best := -1
 	for i, s := range own {
-		if slices.Contains(theirs, uint32(s.KeyNumber)) && (best < 0 || s.KeyNumber > own[best].KeyNumber) {
+		if slices.Contains(peerKeys, uint32(s.KeyNumber)) && (best < 0 || s.KeyNumber > own[best].KeyNumber) {
 			best = i
 		}
 	}
--- a/internal/linker/client.go
+++ b/internal/linker/client.go
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// Connected reports whether a connection to a peer is open, as far as this end knows.
+// Connected reports whether a connection to a peer is open and not known to be broken.
 func (c *Client) Connected(address string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -194,8 +194,8 @@
 // Bytes returns the traffic of the link so far, both directions.
 func (l *Link) Bytes() int64 { return l.bytes.Load() }
 
-// attach sets a link's connection. A link that Close or CloseIdle has removed in the meantime gets
-// none, since nothing would close it.
+// attach sets a link's connection. A link that Close or CloseIdle has removed in the meantime
+// gets none, since nothing would close it.
 func (c *Client) attach(l *Link, address string, conn *drpcconn.Conn) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/linker/client_test.go
+++ b/internal/linker/client_test.go
@@ -9,14 +9,14 @@
 
 	"github.com/go-kit/log"
 	"github.com/oriolegw/oriolegw/internal/linker/wire"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/shoenig/test/must"
 	"storj.io/drpc/drpcmux"
 )
 
 // closingNetwork closes the client while it dials.
 type closingNetwork struct {
-	*wirer.Host
+	*netsimulator.Host
 	client *Client
 }
 
@@ -29,7 +29,7 @@
 // the peer's slot.
 func TestConnectionMadeWhileClosing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, keys := wirer.New(1), []Secret{{KeyNumber: 1, Value: []byte("one secret")}}
+		n, keys := netsimulator.New(1), []Secret{{KeyNumber: 1, Value: []byte("one secret")}}
 		ctx, cancel := context.WithCancel(t.Context())
 		s := &Server{
 			Address: "10.0.0.1:7100", Network: n.Host("10.0.0.1", "a"), Secrets: keys, Versions: CurrentVersions,
--- a/internal/linker/server.go
+++ b/internal/linker/server.go
@@ -140,58 +140,58 @@
 }
 
 // Hello implements wire.DRPCPeersServer.
-func (p *Session) Hello(_ context.Context, r *wire.HelloRequest) (*wire.HelloReply, error) {
-	s := p.server
-	if p.transcript.clientNonce != nil {
+func (s *Session) Hello(_ context.Context, r *wire.HelloRequest) (*wire.HelloReply, error) {
+	server := s.server
+	if s.transcript.clientNonce != nil {
 		return nil, drpcerr.WithCode(errUnauthenticated, codeUnauthenticated) // one handshake per connection
 	}
-	p.transcript = transcript{
-		client: Versions{Oldest: r.Oldest, Newest: r.Newest}, server: s.Versions,
+	s.transcript = transcript{
+		client: Versions{Oldest: r.Oldest, Newest: r.Newest}, server: server.Versions,
 		clientNonce: append(make([]byte, 0, nonceBytes), r.Nonce...), serverNonce: newNonce(),
 	}
-	if _, err := s.Versions.negotiate(p.transcript.client); err != nil {
-		s.Count("peer-refused.wire-version")
+	if _, err := server.Versions.negotiate(s.transcript.client); err != nil {
+		server.Count("peer-refused.wire-version")
 		return nil, drpcerr.WithCode(err, codeWireVersion)
 	}
 	var err error
-	if p.secret, err = chooseSecret(s.Secrets, r.Keys); err != nil {
-		s.Count("peer-refused.foreign-fleet")
+	if s.secret, err = chooseSecret(server.Secrets, r.Keys); err != nil {
+		server.Count("peer-refused.foreign-fleet")
 		return nil, drpcerr.WithCode(err, codeForeign)
 	}
 	return &wire.HelloReply{
-		Oldest: s.Versions.Oldest, Newest: s.Versions.Newest, Key: uint32(p.secret.KeyNumber),
-		Nonce: p.transcript.serverNonce, Proof: p.secret.prove(roleServer, p.transcript),
+		Oldest: server.Versions.Oldest, Newest: server.Versions.Newest, Key: uint32(s.secret.KeyNumber),
+		Nonce: s.transcript.serverNonce, Proof: s.secret.prove(roleServer, s.transcript),
 	}, nil
 }
 
 // Prove implements wire.DRPCPeersServer.
-func (p *Session) Prove(_ context.Context, r *wire.ProveRequest) (*wire.ProveReply, error) {
-	if p.transcript.clientNonce == nil || p.isAuthenticated() {
+func (s *Session) Prove(_ context.Context, r *wire.ProveRequest) (*wire.ProveReply, error) {
+	if s.transcript.clientNonce == nil || s.isAuthenticated() {
 		return nil, drpcerr.WithCode(errUnauthenticated, codeUnauthenticated)
 	}
-	if err := p.secret.verify(roleClient, p.transcript, r.Proof); err != nil {
-		p.server.Count("peer-refused.foreign-fleet")
+	if err := s.secret.verify(roleClient, s.transcript, r.Proof); err != nil {
+		s.server.Count("peer-refused.foreign-fleet")
 		return nil, drpcerr.WithCode(err, codeForeign)
 	}
-	close(p.authenticated)
+	close(s.authenticated)
 	return &wire.ProveReply{}, nil
 }
 
-func (p *Session) isAuthenticated() bool {
+func (s *Session) isAuthenticated() bool {
 	select {
-	case <-p.authenticated:
+	case <-s.authenticated:
 		return true
 	default:
 		return false
 	}
 }
 
-// CheckAuthenticated returns an error unless the peer is authenticated. Every call except the handshake's
-// checks it first.
-func (p *Session) CheckAuthenticated() error {
-	if p.isAuthenticated() {
+// CheckAuthenticated returns an error unless the peer is authenticated. Every call except the
+// handshake's checks it first.
+func (s *Session) CheckAuthenticated() error {
+	if s.isAuthenticated() {
 		return nil
 	}
-	p.server.Count("peer-refused.unproved")
+	s.server.Count("peer-refused.unproved")
 	return drpcerr.WithCode(errUnauthenticated, codeUnauthenticated)
 }
--- a/internal/lister/lister.go
+++ b/internal/lister/lister.go
@@ -94,14 +94,14 @@
 func (c *Client) Close() { c.client.CloseIdleConnections() }
 
 // Instances implements List.
-func (p *Client) Instances(ctx context.Context) ([]Instance, error) {
+func (c *Client) Instances(ctx context.Context) ([]Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Address+Path, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.Address+Path, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "make call")
 	}
-	a, err := p.client.Do(r)
+	a, err := c.client.Do(r)
 	if err != nil {
 		return nil, errors.Wrap(err, "read instance list")
 	}
--- a/internal/lister/lister_test.go
+++ b/internal/lister/lister_test.go
@@ -12,7 +12,7 @@
 	"github.com/oriolegw/oriolegw/internal/controller"
 	"github.com/oriolegw/oriolegw/internal/lister"
 	"github.com/oriolegw/oriolegw/internal/standin/keeper"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/oriolegw/oriolegw/internal/storer"
 	"github.com/shoenig/test/must"
 )
@@ -47,9 +47,9 @@
 
 // The list returned over HTTP includes registrations after the lag. Reading it fails while the
 // service is down.
-func TestPage(t *testing.T) {
+func TestClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, m := wirer.New(1), storer.NewMemory()
+		n, m := netsimulator.New(1), storer.NewMemory()
 		ctx, cancel := context.WithCancel(context.Background())
 		k := &keeper.Keeper{Address: "10.0.0.1:7000", Network: n.Host("10.0.0.1", "platform"), Store: m, Log: log.NewNopLogger(), ListLag: time.Minute}
 		ended := make(chan error, 1)
@@ -86,9 +86,9 @@
 // Calls and shutdown announcements correct the view where the list is outdated.
 func TestView(t *testing.T) {
 	all := instances(3)
-	fresh := lister.Instance{Name: "fresh", Kind: lister.KindEntry, Address: "10.0.0.9:7100", Zone: "a", State: lister.StateLive}
-	going := all[2]
-	going.State = lister.StateLeaving
+	unlisted := lister.Instance{Name: "fresh", Kind: lister.KindEntry, Address: "10.0.0.9:7100", Zone: "a", State: lister.StateLive}
+	leaving := all[2]
+	leaving.State = lister.StateLeaving
 	for _, c := range []struct {
 		name   string
 		events []controller.Event
@@ -101,10 +101,10 @@
 		{"unresponsive instance stays removed", []controller.Event{lister.PeerCalled{Name: "entry-2"}, lister.PeerCalled{Name: "entry-2"}, controller.Tick{}, controller.Tick{}}, time.Minute, []string{"entry-0", "entry-1"}},
 		{"unresponsive instance answers again", []controller.Event{lister.PeerCalled{Name: "entry-2"}, lister.PeerCalled{Name: "entry-2"}, lister.PeerCalled{Name: "entry-2", OK: true}}, 0, []string{"entry-0", "entry-1", "entry-2"}},
 		{"unresponsive instance calls", []controller.Event{lister.PeerCalled{Name: "entry-2"}, lister.PeerCalled{Name: "entry-2"}, lister.PeerSeen{Instance: all[2]}}, 0, []string{"entry-0", "entry-1", "entry-2"}},
-		{"unlisted instance calls", []controller.Event{lister.PeerSeen{Instance: fresh}}, 0, []string{"entry-0", "entry-1", "entry-2", "fresh"}},
-		{"unlisted instance expires", []controller.Event{lister.PeerSeen{Instance: fresh}, controller.Tick{}, controller.Tick{}}, 2 * time.Minute, []string{"entry-0", "entry-1", "entry-2"}},
-		{"instance announces its shutdown", []controller.Event{lister.PeerSeen{Instance: going}}, 0, []string{"entry-0", "entry-1"}},
-		{"list shows a leaving instance", []controller.Event{lister.Listed{Instances: []lister.Instance{all[0], all[1], going}}}, 0, []string{"entry-0", "entry-1"}},
+		{"unlisted instance calls", []controller.Event{lister.PeerSeen{Instance: unlisted}}, 0, []string{"entry-0", "entry-1", "entry-2", "fresh"}},
+		{"unlisted instance expires", []controller.Event{lister.PeerSeen{Instance: unlisted}, controller.Tick{}, controller.Tick{}}, 2 * time.Minute, []string{"entry-0", "entry-1", "entry-2"}},
+		{"instance announces its shutdown", []controller.Event{lister.PeerSeen{Instance: leaving}}, 0, []string{"entry-0", "entry-1"}},
+		{"list shows a leaving instance", []controller.Event{lister.Listed{Instances: []lister.Instance{all[0], all[1], leaving}}}, 0, []string{"entry-0", "entry-1"}},
 		{"list is unavailable", []controller.Event{lister.Listed{Err: context.DeadlineExceeded}}, 0, []string{"entry-0", "entry-1", "entry-2"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/lister/slice.go
+++ b/internal/lister/slice.go
@@ -134,7 +134,7 @@
 		}
 		return s.updateView(now)
 	case PeerSeen:
-		return s.handleMet(now, e.Instance)
+		return s.handleSeen(now, e.Instance)
 	case PeerCalled:
 		return s.handleCalled(now, e)
 	}
@@ -172,13 +172,13 @@
 	return d*3/4 + time.Duration(s.Random.Int64N(int64(d)/2+1))
 }
 
-func (s *Slice) handleMet(now time.Time, i Instance) []controller.Action {
+func (s *Slice) handleSeen(now time.Time, i Instance) []controller.Action {
 	if i.Name == s.Self.Name || i.Address == "" {
 		return nil
 	}
-	before := s.contacted[i.Name]
+	previous := s.contacted[i.Name]
 	s.contacted[i.Name] = contacted{instance: i, at: now}
-	if before.instance == i && s.unresponsive[i.Name] == nil {
+	if previous.instance == i && s.unresponsive[i.Name] == nil {
 		return nil
 	}
 	// A peer that calls is alive, even if calls to it have failed.
@@ -187,22 +187,22 @@
 }
 
 func (s *Slice) handleCalled(now time.Time, e PeerCalled) []controller.Action {
-	l := s.unresponsive[e.Name]
+	u := s.unresponsive[e.Name]
 	if e.OK {
-		if l == nil {
+		if u == nil {
 			return nil
 		}
 		delete(s.unresponsive, e.Name)
 		return s.updateView(now)
 	}
-	if l == nil {
-		l = &unresponsive{probeDelay: minProbeDelay}
-		s.unresponsive[e.Name] = l
+	if u == nil {
+		u = &unresponsive{probeDelay: minProbeDelay}
+		s.unresponsive[e.Name] = u
 	}
-	if l.failures++; l.failures != maxFailures {
+	if u.failures++; u.failures != maxFailures {
 		return nil
 	}
-	l.nextProbe, l.probeDelay = now.Add(s.addJitter(l.probeDelay)), 2*l.probeDelay
+	u.nextProbe, u.probeDelay = now.Add(s.addJitter(u.probeDelay)), 2*u.probeDelay
 	return s.updateView(now)
 }
 
@@ -225,8 +225,8 @@
 	}
 	view := []Instance{}
 	for n, i := range seen {
-		l := s.unresponsive[n]
-		removed := l != nil && l.failures >= maxFailures
+		u := s.unresponsive[n]
+		removed := u != nil && u.failures >= maxFailures
 		if n == s.Self.Name || (i.State != StateLeaving && !removed) {
 			view = append(view, i)
 		}
@@ -242,7 +242,7 @@
 // probe emits Probe for each unresponsive instance whose backoff has passed.
 func (s *Slice) probe(now time.Time) []controller.Action {
 	var out []controller.Action
-	for n, l := range s.unresponsive {
+	for n, u := range s.unresponsive {
 		i, ok := s.listed[n]
 		if !ok {
 			i, ok = s.contacted[n].instance, s.contacted[n].instance.Name != ""
@@ -250,8 +250,8 @@
 		switch {
 		case !ok:
 			delete(s.unresponsive, n) // no longer listed
-		case l.failures >= maxFailures && !now.Before(l.nextProbe):
-			l.nextProbe, l.probeDelay = now.Add(s.addJitter(l.probeDelay)), min(2*l.probeDelay, maxProbeDelay)
+		case u.failures >= maxFailures && !now.Before(u.nextProbe):
+			u.nextProbe, u.probeDelay = now.Add(s.addJitter(u.probeDelay)), min(2*u.probeDelay, maxProbeDelay)
 			out = append(out, controller.Emit{Event: Probe{Instance: i}})
 		}
 	}
--- a/internal/loader/compare.go
+++ b/internal/loader/compare.go
@@ -12,8 +12,8 @@
 	From, To string
 }
 
-// entrySettings lists the keys of EntrySettings with their accessors.
-var entrySettings = []struct {
+// edgeSettings lists the keys of EdgeSettings with their accessors.
+var edgeSettings = []struct {
 	key   string
 	value func(*EdgeSettings) any
 }{
@@ -33,15 +33,15 @@
 	{"limit-overage", func(s *EdgeSettings) any { return s.LimitTolerance.Overage }},
 	{"limit-slack", func(s *EdgeSettings) any { return s.LimitTolerance.Slack }},
 	{"shutdown-s", func(s *EdgeSettings) any { return s.ShutdownTimeout }},
-	{"first-start", func(s *EdgeSettings) any { return s.FirstStart }},
+	{"first-start", func(s *EdgeSettings) any { return s.ColdStart }},
 }
 
-// CompareEdgeSettings returns the differences between the settings of a running instance and those
-// of its next start. Changes apply only at a restart, since a new address would disconnect
+// CompareEdgeSettings returns the differences between the settings of a running instance and
+// those of its next start. Changes apply only at a restart, since a new address would disconnect
 // clients.
 func CompareEdgeSettings(running, next *EdgeSettings) []Change {
 	var changes []Change
-	for _, k := range entrySettings {
+	for _, k := range edgeSettings {
 		from, to := fmt.Sprint(k.value(running)), fmt.Sprint(k.value(next))
 		if from != to {
 			changes = append(changes, Change{k.key, from, to})
--- a/internal/loader/entry.go
+++ b/internal/loader/edge.go
@@ -9,55 +9,57 @@
 	"github.com/oriolegw/oriolegw/internal/limiter"
 )
 
-// EntrySettings is the settings file of oriolegw-edge, the proxy for the hosting platform.
+// EdgeSettings is the settings file of oriolegw-edge, the proxy for the hosting platform.
 type EdgeSettings struct {
 	Name string
 	Zone string
 	// Regions maps each availability zone to its region.
 	Regions map[string]string
-	// Callers, Ready and Metrics are the listen addresses for clients, for the load balancer's
-	// readiness checks and for the metrics page, as "ip:port". An empty Metrics disables the page.
+	// Callers, ReadinessAddress and MetricsAddress are the listen addresses for clients, for the
+	// load balancer's readiness checks and for the metrics page, as "ip:port". An empty
+	// MetricsAddress disables the page.
 	Callers, ReadinessAddress, MetricsAddress string
-	// PeerAddress is the listen address for other instances, as "ip:port"; if empty, instances don't
-	// communicate. Seeds are the Peers addresses of some other instances.
+	// PeerAddress is the listen address for other instances, as "ip:port"; if empty, instances
+	// don't communicate. Seeds are the peer addresses of some other instances.
 	PeerAddress string
 	Seeds       []string
-	// StoreAddress and Promotions are the addresses of the platform's key-value store and promotion
-	// service. An empty Promotions disables failover.
+	// StoreAddress and PromotionAddress are the addresses of the platform's key-value store and
+	// promotion service. An empty PromotionAddress disables failover.
 	StoreAddress, PromotionAddress string
 	// Cores is the CPU quota in cores; 0 if unknown. Instances with more cores take more of
 	// the work that a few instances do for all.
 	Cores float64
 	// MaxApplyDelay is the maximum delay until a configuration change applies.
 	MaxApplyDelay time.Duration
-	// LimitTolerance is how far a customer may exceed its rate limit, which instances count separately.
+	// LimitTolerance is how far a customer may exceed its rate limit, which instances count
+	// separately.
 	LimitTolerance limiter.Tolerance
 	// ShutdownTimeout is the time from SIGTERM until the process is killed.
 	ShutdownTimeout time.Duration
-	// FirstStart is set for the initial start of the whole fleet.
-	FirstStart bool
+	// ColdStart is set for the initial start of the whole fleet.
+	ColdStart bool
 }
 
 const (
-	maxRegions  = 1000
-	minInForce  = time.Second
-	maxShutdown = 10 * time.Minute
-	maxCores    = 1024
+	maxRegions         = 1000
+	minApplyDelay      = time.Second
+	maxShutdownTimeout = 10 * time.Minute
+	maxCores           = 1024
 
 	maxLimitWindow = time.Minute
 	maxOverage     = 10
 	maxSlack       = 1_000_000
 
-	// DefaultMaxApplyDelay and DefaultShutdown are the defaults of EntrySettings; they match the
-	// hosting platform's deployments.
+	// DefaultMaxApplyDelay and DefaultShutdownTimeout are the defaults of EdgeSettings; they match
+	// the hosting platform's deployments.
 	DefaultMaxApplyDelay   = 3 * time.Second
 	DefaultShutdownTimeout = 6 * time.Second
 )
 
-// DefaultLimits is the default of EntrySettings.LimitTolerance.
+// DefaultLimitTolerance is the default of EdgeSettings.LimitTolerance.
 var DefaultLimitTolerance = limiter.Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
-// LoadEdgeSettings reads EntrySettings from a file. It ignores unknown keys.
+// LoadEdgeSettings reads EdgeSettings from a file. It ignores unknown keys.
 func LoadEdgeSettings(file string) (*EdgeSettings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -70,8 +72,8 @@
 	return s, nil
 }
 
-// CheckEdgeSettings decodes EntrySettings and returns all problems. The settings are valid only if
-// there are no problems other than unknown keys.
+// CheckEdgeSettings decodes EdgeSettings and returns all problems. The settings are valid only
+// if there are no problems other than unknown keys.
 func CheckEdgeSettings(file string, text []byte) (*EdgeSettings, inspector.Problems) {
 	s := &EdgeSettings{Regions: map[string]string{}, MaxApplyDelay: DefaultMaxApplyDelay, ShutdownTimeout: DefaultShutdownTimeout, LimitTolerance: DefaultLimitTolerance}
 	address := func(to *string) func(inspector.Node) {
@@ -94,12 +96,12 @@
 			inspector.Required("store-address", address(&s.StoreAddress)),
 			inspector.Optional("promotions-address", address(&s.PromotionAddress)),
 			inspector.Optional("cores", func(n inspector.Node) { s.Cores = n.Number(0, maxCores) }),
-			inspector.Optional("in-force-ms", func(n inspector.Node) { s.MaxApplyDelay = n.Milliseconds(minInForce, maxShutdown) }),
+			inspector.Optional("in-force-ms", func(n inspector.Node) { s.MaxApplyDelay = n.Milliseconds(minApplyDelay, maxShutdownTimeout) }),
 			inspector.Optional("limit-window-s", func(n inspector.Node) { s.LimitTolerance.Window = n.Seconds(time.Second, maxLimitWindow) }),
 			inspector.Optional("limit-overage", func(n inspector.Node) { s.LimitTolerance.Overage = n.Number(0, maxOverage) }),
 			inspector.Optional("limit-slack", func(n inspector.Node) { s.LimitTolerance.Slack = n.Number(0, maxSlack) }),
-			inspector.Optional("shutdown-s", func(n inspector.Node) { s.ShutdownTimeout = n.Seconds(0, maxShutdown) }),
-			inspector.Optional("first-start", func(n inspector.Node) { s.FirstStart = n.Bool() }),
+			inspector.Optional("shutdown-s", func(n inspector.Node) { s.ShutdownTimeout = n.Seconds(0, maxShutdownTimeout) }),
+			inspector.Optional("first-start", func(n inspector.Node) { s.ColdStart = n.Bool() }),
 		)
 	})
 	return s, problems
--- a/internal/loader/entry_test.go
+++ b/internal/loader/edge_test.go
@@ -18,13 +18,13 @@
 	"in-force-ms": 5000, "first-start": true, "shutdown-s": 6.5, // trailing comma
 }`
 
-func TestCheckEntry(t *testing.T) {
+func TestCheckEdgeSettings(t *testing.T) {
 	s, problems := loader.CheckEdgeSettings("f", []byte(entrySettings))
 	must.NoError(t, problems.Err())
 	must.Eq(t, map[string]string{"a": "x", "b": "y"}, s.Regions)
 	must.Eq(t, 6500*time.Millisecond, s.ShutdownTimeout)
 	must.Eq(t, 5*time.Second, s.MaxApplyDelay)
-	must.True(t, s.FirstStart)
+	must.True(t, s.ColdStart)
 	must.Eq(t, "", s.MetricsAddress)
 
 	s, problems = loader.CheckEdgeSettings("f", []byte(`{"name": "n", "availability-zone": "a", "regions": {}, "callers-address": "10.0.0.1:1", "ready-address": "10.0.0.1:2", "store-address": "10.0.0.1:3"}`))
@@ -33,7 +33,7 @@
 	must.Eq(t, loader.DefaultMaxApplyDelay, s.MaxApplyDelay)
 }
 
-func TestCheckEntryRejectsInvalidValues(t *testing.T) {
+func TestCheckEdgeSettingsRejectsInvalidValues(t *testing.T) {
 	for _, c := range []struct{ old, invalid string }{
 		{`"10.0.0.1:5000"`, `"host:5000"`},
 		{`{"a": "x", "b": "y"}`, `["a"]`},
@@ -49,13 +49,13 @@
 	must.NoError(t, problems.WithoutUnknownKeys().Err())
 }
 
-// CompareEntry reports a change of every field of EntrySettings.
-func TestCompareEntry(t *testing.T) {
+// CompareEdgeSettings reports a change of every field of EdgeSettings.
+func TestCompareEdgeSettings(t *testing.T) {
 	same := &loader.EdgeSettings{Name: "a", Regions: map[string]string{"z": "r"}, Seeds: []string{"s:1"}}
 	must.SliceEmpty(t, loader.CompareEdgeSettings(same, same))
 	next := reflect.ValueOf(loader.EdgeSettings{
 		Name: "b", Zone: "b", Regions: map[string]string{"b": "b"}, Callers: "b", ReadinessAddress: "b", MetricsAddress: "b", PeerAddress: "b",
-		Seeds: []string{"b"}, StoreAddress: "b", PromotionAddress: "b", Cores: 1, MaxApplyDelay: 1, ShutdownTimeout: 1, FirstStart: true,
+		Seeds: []string{"b"}, StoreAddress: "b", PromotionAddress: "b", Cores: 1, MaxApplyDelay: 1, ShutdownTimeout: 1, ColdStart: true,
 		LimitTolerance: limiter.Tolerance{Slack: 1},
 	})
 	for i := range next.NumField() {
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -16,11 +16,11 @@
 	Settings struct {
 		Name string
 		Zone string
-		// Callers, Peers and Status are the listen addresses for clients, for other
-		// instances and for the HTTP status pages, as "ip:port". An empty Status
+		// Callers, PeerAddress and StatusAddress are the listen addresses for clients, for other
+		// instances and for the HTTP status pages, as "ip:port". An empty StatusAddress
 		// disables the pages.
 		Callers, PeerAddress, StatusAddress string
-		// Seeds are the Peers addresses of some other instances. An instance that starts
+		// Seeds are the peer addresses of some other instances. An instance that starts
 		// while the platform is unavailable fetches the configuration from them.
 		Seeds []string
 		// PlatformAddress is the address of the platform's HTTP service.
@@ -83,12 +83,12 @@
 	// DefaultDrainTimeout is the default of Limits.DrainTimeout.
 	DefaultDrainTimeout = 30 * time.Second
 
-	maxCallers     = 1000000
-	maxStartUp     = time.Minute
-	maxDrain       = time.Hour
-	maxSeeds       = 100
-	minSecretBytes = 16
-	maxTokenKeys   = 8
+	maxCallers               = 1000000
+	maxAuthenticationTimeout = time.Minute
+	maxDrainTimeout          = time.Hour
+	maxSeeds                 = 100
+	minSecretBytes           = 16
+	maxTokenKeys             = 8
 )
 
 // Load reads Settings from a file.
@@ -178,7 +178,9 @@
 func readLimits(n inspector.Node, l *Limits) {
 	n.Object(
 		inspector.Optional("callers", func(n inspector.Node) { l.Callers = n.Int(1, maxCallers) }),
-		inspector.Optional("start-up-ms", func(n inspector.Node) { l.AuthenticationTimeout = n.Milliseconds(100*time.Millisecond, maxStartUp) }),
-		inspector.Optional("drain-ms", func(n inspector.Node) { l.DrainTimeout = n.Milliseconds(0, maxDrain) }),
+		inspector.Optional("start-up-ms", func(n inspector.Node) {
+			l.AuthenticationTimeout = n.Milliseconds(100*time.Millisecond, maxAuthenticationTimeout)
+		}),
+		inspector.Optional("drain-ms", func(n inspector.Node) { l.DrainTimeout = n.Milliseconds(0, maxDrainTimeout) }),
 	)
 }
--- a/internal/loadtester/client.go
+++ b/internal/loadtester/client.go
@@ -27,9 +27,9 @@
 	statementRead      = "SELECT value FROM ledger WHERE key = $1"
 )
 
-// client runs one session of an experiment, over one connection at a time.
+// client runs one session of a load test, over one connection at a time.
 type client struct {
-	experiment   *LoadTest
+	test         *LoadTest
 	random       *rand.Rand
 	zipf         *rand.Zipf
 	report       *Report
@@ -43,12 +43,12 @@
 	acknowledged, unknown int
 }
 
-func newClient(e *LoadTest, n int) *client {
-	c := &client{experiment: e, random: rand.New(rand.NewPCG(e.Seed, uint64(n)+1)), report: newReport(), addressIndex: n}
-	if e.Skew > 1 {
-		c.zipf = rand.NewZipf(c.random, e.Skew, 1, uint64(e.Keys-1))
+func newClient(t *LoadTest, n int) *client {
+	c := &client{test: t, random: rand.New(rand.NewPCG(t.Seed, uint64(n)+1)), report: newReport(), addressIndex: n}
+	if t.Skew > 1 {
+		c.zipf = rand.NewZipf(c.random, t.Skew, 1, uint64(t.Keys-1))
 	}
-	c.ownKey = fmt.Sprintf("session-%d-%d", e.Seed, n)
+	c.ownKey = fmt.Sprintf("session-%d-%d", t.Seed, n)
 	return c
 }
 
@@ -63,7 +63,7 @@
 			r.due = time.Now()
 		}
 		c.sendRequest(ctx, r)
-		if c.experiment.RoamProbability > 0 && c.random.Float64() < c.experiment.RoamProbability {
+		if c.test.RoamProbability > 0 && c.random.Float64() < c.test.RoamProbability {
 			c.disconnect(ctx)
 			c.addressIndex++
 		}
@@ -85,7 +85,7 @@
 	class, request := c.nextRequest()
 	err := request(ctx)
 	if ctx.Err() != nil {
-		return // the experiment has ended
+		return // the load test has ended
 	}
 	c.report.class(class).record(time.Since(r.due), outcome(err))
 	if err == nil {
@@ -104,11 +104,11 @@
 		return true
 	}
 	token := c.token
-	if !c.experiment.CarryToken {
+	if !c.test.CarryToken {
 		token = ""
 	}
 	began := time.Now()
-	conn, err := c.experiment.Connect(ctx, c.experiment.Addresses[c.addressIndex%len(c.experiment.Addresses)], token)
+	conn, err := c.test.Connect(ctx, c.test.Addresses[c.addressIndex%len(c.test.Addresses)], token)
 	if ctx.Err() != nil {
 		c.conn = conn
 		return false
@@ -125,15 +125,15 @@
 
 // nextRequest picks the next request at random. The first inserts the session's key.
 func (c *client) nextRequest() (class string, request func(context.Context) error) {
-	e := c.experiment
-	if !c.inserted && (e.Writes > 0 || e.OwnKeyReads > 0) {
+	t := c.test
+	if !c.inserted && (t.Writes > 0 || t.OwnKeyReads > 0) {
 		return classWrite, c.insert
 	}
-	if c.random.Float64() < e.Writes {
+	if c.random.Float64() < t.Writes {
 		return classWrite, c.increment
 	}
 	class, comment := c.nextReadKind()
-	if c.random.Float64() < e.OwnKeyReads {
+	if c.random.Float64() < t.OwnKeyReads {
 		return class, func(ctx context.Context) error { return c.readOwn(ctx, comment) }
 	}
 	return class, func(ctx context.Context) error { return c.readShared(ctx, comment) }
@@ -141,14 +141,14 @@
 
 func (c *client) nextReadKind() (class, comment string) {
 	total := 0
-	for _, k := range c.experiment.Kinds {
+	for _, k := range c.test.Kinds {
 		total += k.Weight
 	}
 	if total == 0 {
 		return classRead, ""
 	}
 	n := c.random.IntN(total)
-	for _, k := range c.experiment.Kinds {
+	for _, k := range c.test.Kinds {
 		if n -= k.Weight; n < 0 {
 			return classRead + "-" + k.Name, "/* kind=" + k.Name + " */ "
 		}
@@ -202,7 +202,7 @@
 	if c.zipf != nil {
 		n = c.zipf.Uint64()
 	} else {
-		n = c.random.Uint64N(uint64(c.experiment.Keys))
+		n = c.random.Uint64N(uint64(c.test.Keys))
 	}
 	var text string
 	err := c.conn.QueryRow(ctx, comment+statementRead, fmt.Sprintf("shared-%d", n)).Scan(&text)
--- a/internal/loadtester/loadtester.go
+++ b/internal/loadtester/loadtester.go
@@ -25,7 +25,7 @@
 		// (closed loop). With a rate, latency is measured from the scheduled
 		// start, to avoid coordinated omission.
 		Rate float64
-		// Count and Duration limit the experiment. At least one must be set.
+		// Count and Duration limit the load test. At least one must be set.
 		Count    int
 		Duration time.Duration
 		// Writes is the fraction of requests that write, from 0 to 1.
@@ -41,7 +41,7 @@
 		Keys int
 		Skew float64
 		// RoamProbability is the probability that a session reconnects to the next address
-		// after a request, with its token if Token is set.
+		// after a request, with its token if CarryToken is set.
 		RoamProbability float64
 		CarryToken      bool
 		Seed            uint64
@@ -60,26 +60,26 @@
 )
 
 // queueCapacity is the number of requests that may wait for a client. Requests
-// beyond it are dropped and counted as missed.
+// beyond it are dropped and counted.
 const queueCapacity = 10000
 
 // Check returns an error for the first invalid field.
-func (e *LoadTest) Check() error {
+func (t *LoadTest) Check() error {
 	switch {
-	case len(e.Addresses) == 0:
+	case len(t.Addresses) == 0:
 		return errors.New("no addresses")
-	case e.Workers < 1:
+	case t.Workers < 1:
 		return errors.New("workers: want at least 1")
-	case e.Count <= 0 && e.Duration <= 0:
+	case t.Count <= 0 && t.Duration <= 0:
 		return errors.New("count or duration must be set")
-	case e.Writes < 0 || e.Writes > 1 || e.OwnKeyReads < 0 || e.OwnKeyReads > 1 || e.RoamProbability < 0 || e.RoamProbability > 1:
+	case t.Writes < 0 || t.Writes > 1 || t.OwnKeyReads < 0 || t.OwnKeyReads > 1 || t.RoamProbability < 0 || t.RoamProbability > 1:
 		return errors.New("fractions and probabilities must be from 0 to 1")
-	case e.Skew != 0 && e.Skew <= 1:
+	case t.Skew != 0 && t.Skew <= 1:
 		return errors.New("skew: want 0, or more than 1")
-	case e.Keys < 1:
+	case t.Keys < 1:
 		return errors.New("keys: want at least 1")
 	}
-	for _, k := range e.Kinds {
+	for _, k := range t.Kinds {
 		if k.Weight < 1 {
 			return errors.Errorf("kind %q: want a weight of at least 1", k.Name)
 		}
@@ -87,27 +87,27 @@
 	return nil
 }
 
-// Run runs the experiment and returns the merged results of all clients.
-func (e *LoadTest) Run(ctx context.Context) (*Report, error) {
-	if err := e.Check(); err != nil {
+// Run runs the load test and returns the merged results of all clients.
+func (t *LoadTest) Run(ctx context.Context) (*Report, error) {
+	if err := t.Check(); err != nil {
 		return nil, err
 	}
-	if e.Duration > 0 {
+	if t.Duration > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, e.Duration)
+		ctx, cancel = context.WithTimeout(ctx, t.Duration)
 		defer cancel()
 	}
 	requests := make(chan scheduledRequest, queueCapacity)
 	began := time.Now()
-	ended := make(chan *Report, e.Workers)
-	for n := range e.Workers {
-		c := newClient(e, n)
+	ended := make(chan *Report, t.Workers)
+	for n := range t.Workers {
+		c := newClient(t, n)
 		go func() { ended <- c.run(ctx, requests) }()
 	}
-	missed := e.schedule(ctx, requests)
+	missed := t.schedule(ctx, requests)
 	close(requests)
 	total := newReport()
-	for range e.Workers {
+	for range t.Workers {
 		total.merge(<-ended)
 	}
 	total.Dropped, total.Elapsed = missed, time.Since(began)
@@ -115,18 +115,18 @@
 }
 
 // schedule queues the requests and returns the number dropped because the queue was full.
-func (e *LoadTest) schedule(ctx context.Context, requests chan<- scheduledRequest) (missed int) {
-	random := rand.New(rand.NewPCG(e.Seed, 0))
+func (t *LoadTest) schedule(ctx context.Context, requests chan<- scheduledRequest) (missed int) {
+	random := rand.New(rand.NewPCG(t.Seed, 0))
 	due := time.Now()
-	for n := 0; (e.Count <= 0 || n < e.Count) && ctx.Err() == nil; n++ {
-		if e.Rate <= 0 {
+	for n := 0; (t.Count <= 0 || n < t.Count) && ctx.Err() == nil; n++ {
+		if t.Rate <= 0 {
 			select {
 			case requests <- scheduledRequest{}:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		due = due.Add(time.Duration(random.ExpFloat64() / e.Rate * float64(time.Second)))
+		due = due.Add(time.Duration(random.ExpFloat64() / t.Rate * float64(time.Second)))
 		if !sleepUntil(ctx, due) {
 			break
 		}
--- a/internal/loadtester/loadtester_test.go
+++ b/internal/loadtester/loadtester_test.go
@@ -13,9 +13,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// runOnFleet runs an experiment on a simulated fleet. Each new connection first runs
-// the statement tamper, if any, which the experiment does not know of.
-func runOnFleet(t *testing.T, e loadtester.LoadTest, tamper string, check func(*testing.T, *loadtester.Report)) {
+// runOnFleet runs a load test on a simulated fleet. Each new connection first runs
+// the statement tamper, if any, which the load test does not track.
+func runOnFleet(t *testing.T, l loadtester.LoadTest, tamper string, check func(*testing.T, *loadtester.Report)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
@@ -28,10 +28,10 @@
 		must.NoError(t, f.AwaitReady(ctx))
 		entries := map[string]*stager.Instance{}
 		for _, i := range f.Instances {
-			e.Addresses = append(e.Addresses, i.Name)
+			l.Addresses = append(l.Addresses, i.Name)
 			entries[i.Name] = i
 		}
-		e.Connect = func(ctx context.Context, address, token string) (*pgx.Conn, error) {
+		l.Connect = func(ctx context.Context, address, token string) (*pgx.Conn, error) {
 			parameters := map[string]string{}
 			if token != "" {
 				parameters["oriole.token"] = token
@@ -42,7 +42,7 @@
 			}
 			return c, err
 		}
-		r, err := e.Run(ctx)
+		r, err := l.Run(ctx)
 		must.NoError(t, err)
 		check(t, r)
 	})
@@ -51,8 +51,8 @@
 // Sessions that reconnect elsewhere with their token read their own writes, and
 // every request is counted once.
 func TestRoamingSessions(t *testing.T) {
-	e := loadtester.LoadTest{Workers: 4, Count: 400, Writes: 0.3, OwnKeyReads: 1, Keys: 10, RoamProbability: 0.5, CarryToken: true, Seed: 7}
-	runOnFleet(t, e, "", func(t *testing.T, r *loadtester.Report) {
+	l := loadtester.LoadTest{Workers: 4, Count: 400, Writes: 0.3, OwnKeyReads: 1, Keys: 10, RoamProbability: 0.5, CarryToken: true, Seed: 7}
+	runOnFleet(t, l, "", func(t *testing.T, r *loadtester.Report) {
 		must.Eq(t, 400, r.Total("ok"))
 		must.NoError(t, r.Err())
 		must.Greater(t, 50, r.Classes["connect"].Outcomes["ok"])
@@ -63,9 +63,9 @@
 func TestViolationsAreReported(t *testing.T) {
 	for delta, want := range map[string]string{"-1": "missed", "1": "more often"} {
 		t.Run(want, func(t *testing.T) {
-			e := loadtester.LoadTest{Workers: 1, Count: 50, Writes: 0.3, OwnKeyReads: 1, Keys: 10, RoamProbability: 0.5, CarryToken: true, Seed: 9}
+			l := loadtester.LoadTest{Workers: 1, Count: 50, Writes: 0.3, OwnKeyReads: 1, Keys: 10, RoamProbability: 0.5, CarryToken: true, Seed: 9}
 			tamper := "UPDATE ledger SET value = value + " + delta + " WHERE key = 'session-9-0'"
-			runOnFleet(t, e, tamper, func(t *testing.T, r *loadtester.Report) {
+			runOnFleet(t, l, tamper, func(t *testing.T, r *loadtester.Report) {
 				must.ErrorContains(t, r.Err(), want)
 			})
 		})
@@ -74,11 +74,11 @@
 
 // A rate limits the load, and each kind of read is reported separately.
 func TestRate(t *testing.T) {
-	e := loadtester.LoadTest{
+	l := loadtester.LoadTest{
 		Workers: 8, Count: 500, Rate: 100, Keys: 10, Skew: 1.2, Seed: 3,
 		Kinds: []loadtester.ReadKind{{Name: "past-sheets", Weight: 3}, {Name: "sign-off", Weight: 1}},
 	}
-	runOnFleet(t, e, "", func(t *testing.T, r *loadtester.Report) {
+	runOnFleet(t, l, "", func(t *testing.T, r *loadtester.Report) {
 		must.Eq(t, 500, r.Total("ok"))
 		must.Between(t, 4*time.Second, r.Elapsed, 6*time.Second)
 		must.Greater(t, r.Classes["read-sign-off"].Outcomes["ok"], r.Classes["read-past-sheets"].Outcomes["ok"])
@@ -92,17 +92,17 @@
 	valid := loadtester.LoadTest{Addresses: []string{"a"}, Workers: 1, Count: 1, Keys: 1}
 	must.NoError(t, valid.Check())
 	for want, change := range map[string]func(*loadtester.LoadTest){
-		"no addresses":      func(e *loadtester.LoadTest) { e.Addresses = nil },
-		"workers":           func(e *loadtester.LoadTest) { e.Workers = 0 },
-		"count or duration": func(e *loadtester.LoadTest) { e.Count = 0 },
-		"from 0 to 1":       func(e *loadtester.LoadTest) { e.Writes = 2 },
-		"skew":              func(e *loadtester.LoadTest) { e.Skew = 0.5 },
-		`kind "a"`:          func(e *loadtester.LoadTest) { e.Kinds = []loadtester.ReadKind{{Name: "a"}} },
+		"no addresses":      func(l *loadtester.LoadTest) { l.Addresses = nil },
+		"workers":           func(l *loadtester.LoadTest) { l.Workers = 0 },
+		"count or duration": func(l *loadtester.LoadTest) { l.Count = 0 },
+		"from 0 to 1":       func(l *loadtester.LoadTest) { l.Writes = 2 },
+		"skew":              func(l *loadtester.LoadTest) { l.Skew = 0.5 },
+		`kind "a"`:          func(l *loadtester.LoadTest) { l.Kinds = []loadtester.ReadKind{{Name: "a"}} },
 	} {
 		t.Run(want, func(t *testing.T) {
-			e := valid
-			change(&e)
-			must.ErrorContains(t, e.Check(), want)
+			l := valid
+			change(&l)
+			must.ErrorContains(t, l.Check(), want)
 		})
 	}
 }
--- a/internal/loadtester/report.go
+++ b/internal/loadtester/report.go
@@ -12,7 +12,7 @@
 )
 
 type (
-	// Report holds the results of an experiment.
+	// Report holds the results of a load test.
 	Report struct {
 		// Classes has the results by class of request: connect, write, read or
 		// read-KIND.
--- a/internal/logwriter/logwriter.go
+++ b/internal/logwriter/logwriter.go
@@ -40,43 +40,43 @@
 	// Logger is a logger for one kind of lines with its own rate limit, so that a burst of
 	// one kind doesn't displace another.
 	Logger struct {
-		journal    *Writer
+		writer     *Writer
 		part       string
 		tokens     atomic.Int64 // lines that may be written now
 		refilledAt atomic.Int64 // Unix time in milliseconds
 	}
 )
 
-// New returns a journal that writes to out while Run runs.
+// New returns a writer that writes to out while Run runs.
 func New(out io.Writer) *Writer {
 	return &Writer{Out: out, lines: make(chan []byte, queueCapacity)}
 }
 
 // Logger returns a new logger for one part of the program.
-func (j *Writer) Logger(part string) *Logger {
-	k := &Logger{journal: j, part: part}
-	k.tokens.Store(burstLines)
-	k.refilledAt.Store(time.Now().UnixMilli())
-	return k
+func (w *Writer) Logger(part string) *Logger {
+	l := &Logger{writer: w, part: part}
+	l.tokens.Store(burstLines)
+	l.refilledAt.Store(time.Now().UnixMilli())
+	return l
 }
 
 // Run writes lines until the context is done, then the lines still queued.
-func (j *Writer) Run(ctx context.Context) error {
+func (w *Writer) Run(ctx context.Context) error {
 	t := time.NewTicker(droppedInterval)
 	defer t.Stop()
 	for {
 		select {
-		case line := <-j.lines:
-			if _, err := j.Out.Write(line); err != nil {
-				j.dropped.Add(1)
+		case line := <-w.lines:
+			if _, err := w.Out.Write(line); err != nil {
+				w.dropped.Add(1)
 			}
 		case <-t.C:
-			j.reportDropped()
+			w.reportDropped()
 		case <-ctx.Done():
 			for {
 				select {
-				case line := <-j.lines:
-					_, _ = j.Out.Write(line)
+				case line := <-w.lines:
+					_, _ = w.Out.Write(line)
 				default:
 					return ctx.Err()
 				}
@@ -86,50 +86,50 @@
 }
 
 // reportDropped logs the number of lines dropped since the last report.
-func (j *Writer) reportDropped() {
-	n := j.dropped.Swap(0)
+func (w *Writer) reportDropped() {
+	n := w.dropped.Swap(0)
 	if n == 0 {
 		return
 	}
-	j.total.Add(n)
-	j.enqueue(j.encode("journal", []any{"event", "lines-dropped", "lines", n}))
+	w.total.Add(n)
+	w.enqueue(w.encode("journal", []any{"event", "lines-dropped", "lines", n}))
 }
 
 // Dropped returns the total number of dropped lines.
-func (j *Writer) Dropped() int64 { return j.total.Load() + j.dropped.Load() }
+func (w *Writer) Dropped() int64 { return w.total.Load() + w.dropped.Load() }
 
 // Log queues a line of keys and values. It drops the line if the queue is full or the
 // kind exceeds its rate limit.
-func (k *Logger) Log(fields ...any) {
-	if !k.takeToken(time.Now().UnixMilli()) {
-		k.journal.dropped.Add(1)
+func (l *Logger) Log(fields ...any) {
+	if !l.takeToken(time.Now().UnixMilli()) {
+		l.writer.dropped.Add(1)
 		return
 	}
-	k.journal.enqueue(k.journal.encode(k.part, fields))
+	l.writer.enqueue(l.writer.encode(l.part, fields))
 }
 
 // takeToken refills the bucket and takes one token, if there is any.
-func (k *Logger) takeToken(now int64) bool {
-	if old := k.refilledAt.Load(); now-old >= 100 && k.refilledAt.CompareAndSwap(old, now) {
+func (l *Logger) takeToken(now int64) bool {
+	if old := l.refilledAt.Load(); now-old >= 100 && l.refilledAt.CompareAndSwap(old, now) {
 		refill := (now - old) * LinesPerSecond / 1000
-		k.tokens.Store(min(burstLines, k.tokens.Load()+refill))
+		l.tokens.Store(min(burstLines, l.tokens.Load()+refill))
 	}
-	return k.tokens.Add(-1) >= 0
+	return l.tokens.Add(-1) >= 0
 }
 
-func (j *Writer) enqueue(line []byte) {
+func (w *Writer) enqueue(line []byte) {
 	select {
-	case j.lines <- line:
+	case w.lines <- line:
 	default:
-		j.dropped.Add(1)
+		w.dropped.Add(1)
 	}
 }
 
-func (j *Writer) encode(part string, fields []any) []byte {
+func (w *Writer) encode(part string, fields []any) []byte {
 	var b bytes.Buffer
 	all := []any{"ts", time.Now().UTC().Format(TimeFormat)}
-	if j.Instance != "" {
-		all = append(all, "instance", j.Instance)
+	if w.Instance != "" {
+		all = append(all, "instance", w.Instance)
 	}
 	all = append(append(all, "part", part), fields...)
 	if err := log.NewLogfmtLogger(&b).Log(all...); err != nil {
--- a/internal/logwriter/logwriter_test.go
+++ b/internal/logwriter/logwriter_test.go
@@ -46,12 +46,12 @@
 		ended := make(chan error, 1)
 		go func() { ended <- j.Run(ctx) }()
 		flood, other := j.Logger("flood"), j.Logger("other")
-		begin := time.Now()
+		started := time.Now()
 		for range 10000 {
 			flood.Log("event", "again")
 		}
 		other.Log("event", "rare")
-		must.Eq(t, 0, time.Since(begin))
+		must.Eq(t, 0, time.Since(started))
 		must.Greater(t, 9000, j.Dropped())
 		close(w.resumed)
 		time.Sleep(6 * time.Second)
--- a/internal/messenger/messenger.go
+++ b/internal/messenger/messenger.go
@@ -196,21 +196,21 @@
 
 	// MemberCodec implements the protocol spoken with members.
 	MemberCodec interface {
-		// AppendStart appends the connection request: the group, the client's name and the
-		// expected member ID.
-		AppendStart(b []byte, group, who, id string) []byte
+		// AppendStart appends the connection request: the group, the user (a customer or
+		// this instance) and the expected member ID.
+		AppendStart(b []byte, group, user, id string) []byte
 		AppendTerminate(b []byte) []byte
 		AppendCommand(b []byte, c Command) []byte
 		Replies(from io.Reader) ReplyReader
 		// Status decodes the reply to KindStatus, KindPause, KindResume and KindStepDown.
 		Status(r Reply) (Status, error)
-		// NewInFlightCounter returns a counter of the commands in flight on a connection whose data is
-		// forwarded without decoding.
+		// NewInFlightCounter returns a counter of the commands in flight on a connection whose
+		// data is forwarded without decoding.
 		NewInFlightCounter() InFlightCounter
 	}
 
-	// InFlightCounter counts commands and replies. Sent and Received may be called concurrently with
-	// each other, but not with Even.
+	// InFlightCounter counts commands and replies. Sent and Received may be called concurrently
+	// with each other, but not with AllAnswered.
 	InFlightCounter interface {
 		Sent(text []byte)
 		Received(text []byte)
--- a/internal/networker/pending.go
+++ b/internal/networker/pending.go
@@ -14,9 +14,9 @@
 // wrapper is implemented by connections that wrap another one.
 type wrapper interface{ NetConn() net.Conn }
 
-// NoPendingInput reports whether an idle connection has neither unread data nor EOF. Sending a request
-// on any other connection would either lose it with an unknown outcome or deliver a stale reply
-// to the next caller. It peeks at the socket without consuming input.
+// NoPendingInput reports whether an idle connection has neither unread data nor EOF. Sending a
+// request on any other connection would either lose it with an unknown outcome or deliver a stale
+// reply to the next client. It peeks at the socket without consuming input.
 func NoPendingInput(c net.Conn) bool {
 	for w, ok := c.(wrapper); ok; w, ok = c.(wrapper) {
 		c = w.NetConn()
--- a/internal/networker/pending_test.go
+++ b/internal/networker/pending_test.go
@@ -15,7 +15,7 @@
 
 // A request written to an idle connection that the target has closed, or on which it has sent
 // unsolicited data, would be lost with an unknown outcome.
-func TestQuiet(t *testing.T) {
+func TestNoPendingInput(t *testing.T) {
 	cases := map[string]func(target net.Conn) error{
 		"closed": func(c net.Conn) error { return c.Close() },
 		"data":   func(c net.Conn) error { _, err := c.Write([]byte("x")); return err },
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -50,7 +50,7 @@
 )
 
 type (
-	// Slice decides which targets to poll. In each zone Observers instances, chosen by
+	// Slice decides which targets to poll. In each zone ObserversPerShard instances, chosen by
 	// rendezvous hashing over the instance list, poll each shard of services and report to
 	// the others. An instance that receives no reports about a group in use polls it
 	// itself. Set the exported fields before use.
@@ -111,7 +111,7 @@
 	// ServicesInUse lists the services in use by clients of this instance.
 	ServicesInUse struct{ Services []string }
 
-	// Poller performs Ask.
+	// Poller performs Poll.
 	Poller struct {
 		Commander commander.Commander
 	}
@@ -330,7 +330,7 @@
 }
 
 // Perform implements controller.Performer.
-func (k *Poller) Perform(ctx context.Context, a controller.Action) (controller.Event, bool) {
+func (p *Poller) Perform(ctx context.Context, a controller.Action) (controller.Event, bool) {
 	q, ok := a.(Poll)
 	if !ok {
 		return nil, false
@@ -339,6 +339,6 @@
 	if q.ClientWaiting {
 		ctx = commander.WithClientWaiting(ctx)
 	}
-	o.Status, o.Err = k.Commander.Status(ctx, q.Member.Address)
+	o.Status, o.Err = p.Commander.Status(ctx, q.Member.Address)
 	return o, true
 }
--- a/internal/pooler/conn.go
+++ b/internal/pooler/conn.go
@@ -83,17 +83,17 @@
 	return c.captured, nil
 }
 
-// openConn opens a connection to a place. If it returns a socket with an error, the target may
+// openConn opens a connection to an endpoint. If it returns a socket with an error, the target may
 // still have started a session.
-func openConn(ctx context.Context, n networker.Network, application string, place Endpoint) (*Conn, *socket, error) {
+func openConn(ctx context.Context, n networker.Network, application string, endpoint Endpoint) (*Conn, *socket, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	parameters := map[string]string{"application_name": application}
-	if place.Term != 0 {
-		parameters["oriole.term"] = strconv.FormatUint(place.Term, 10)
+	if endpoint.Term != 0 {
+		parameters["oriole.term"] = strconv.FormatUint(endpoint.Term, 10)
 	}
 	k := &capturingNetwork{Network: n}
-	pc, err := commander.Dial(ctx, k, place.Address, parameters)
+	pc, err := commander.Dial(ctx, k, endpoint.Address, parameters)
 	if err != nil {
 		return nil, k.captured, err
 	}
@@ -103,7 +103,7 @@
 	}
 	k.captured.pid = h.PID
 	c := &Conn{
-		Conn: h.Conn, Frontend: h.Frontend, Endpoint: place, Statements: map[string]bool{},
+		Conn: h.Conn, Frontend: h.Frontend, Endpoint: endpoint, Statements: map[string]bool{},
 		PID: h.PID, Secret: h.SecretKey, socket: k.captured,
 	}
 	c.UpdatePosition(h.ParameterStatuses["oriole.position"])
@@ -127,7 +127,7 @@
 	}
 	if err != nil {
 		c.Broken = true
-		return nil, errors.Wrapf(err, "ask %s", c.Endpoint.Address)
+		return nil, errors.Wrapf(err, "query %s", c.Endpoint.Address)
 	}
 	if refused != nil {
 		return nil, refused
--- a/internal/pooler/control.go
+++ b/internal/pooler/control.go
@@ -17,12 +17,12 @@
 // when no connection was free.
 const probeReserve = 200 * time.Millisecond
 
-// QueryControl runs a control statement at an address and returns its rows. The urgency decides whether
-// it may open a connection or evict an idle one. ErrBusy means that no connection was free in
-// time although the target responds to a probe; without the probe, a dead target whose
+// QueryControl runs a control statement at an address and returns its rows. The priority decides
+// whether it may open a connection or evict an idle one. ErrBusy means that no connection was free
+// in time although the target responds to a probe; without the probe, a dead target whose
 // connections all hang would be reported as busy.
-func (p *Pool) QueryControl(ctx context.Context, address, sql string, u commander.Priority) ([][][]byte, error) {
-	rows, err := p.queryWithReserve(ctx, address, sql, u)
+func (p *Pool) QueryControl(ctx context.Context, address, sql string, priority commander.Priority) ([][][]byte, error) {
+	rows, err := p.queryWithReserve(ctx, address, sql, priority)
 	if errors.Is(err, ErrBusy) {
 		if probeErr := p.probe(ctx, address); probeErr != nil {
 			return nil, probeErr
@@ -31,13 +31,13 @@
 	return rows, err
 }
 
-func (p *Pool) queryWithReserve(ctx context.Context, address, sql string, u commander.Priority) ([][][]byte, error) {
+func (p *Pool) queryWithReserve(ctx context.Context, address, sql string, priority commander.Priority) ([][][]byte, error) {
 	if deadline, ok := ctx.Deadline(); ok {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, deadline.Add(-probeReserve))
 		defer cancel()
 	}
-	c, err := p.checkoutControl(ctx, address, u)
+	c, err := p.checkoutControl(ctx, address, priority)
 	if err != nil {
 		return nil, err
 	}
@@ -47,7 +47,7 @@
 	}
 	// The connection may have gone silent or be bound to an old term while the target is
 	// healthy, so the statement is retried on another one.
-	retry, err := p.checkoutControl(ctx, address, u)
+	retry, err := p.checkoutControl(ctx, address, priority)
 	if err != nil {
 		return nil, err
 	}
@@ -78,15 +78,15 @@
 }
 
 // checkoutControl checks out a connection for a control statement. A target is probed before a
-// slot is used for it: orders go to all members, and a frozen one would keep the slot. A waiter
-// keeps its queue position until served, so that orders aren't overtaken.
-func (p *Pool) checkoutControl(ctx context.Context, address string, u commander.Priority) (*Conn, error) {
-	a := &controlWaiter{address: address, isOrder: u == commander.Failover, handoff: make(chan *Conn, 1)}
+// slot is used for it: failover statements go to all members, and a frozen one would keep the
+// slot. A waiter keeps its queue position until served.
+func (p *Pool) checkoutControl(ctx context.Context, address string, priority commander.Priority) (*Conn, error) {
+	a := &controlWaiter{address: address, isFailover: priority == commander.Failover, handoff: make(chan *Conn, 1)}
 	p.addControlWaiter(a)
 	defer p.removeControlWaiter(a)
 	probed := false
 	for {
-		o := p.tryCheckoutControl(a, u, probed)
+		o := p.tryCheckoutControl(a, priority, probed)
 		switch {
 		case o.conn != nil:
 			return o.conn, nil
@@ -110,7 +110,7 @@
 }
 
 // tryCheckoutControl attempts to get a connection for a control statement.
-func (p *Pool) tryCheckoutControl(a *controlWaiter, u commander.Priority, probed bool) checkout {
+func (p *Pool) tryCheckoutControl(a *controlWaiter, priority commander.Priority, probed bool) checkout {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	a.waiting = false
@@ -123,7 +123,7 @@
 		return checkout{conn: c}
 	}
 	a.waiting = true
-	if !a.isOrder && (p.countReturning(a.address) > 0 || p.orderWaiting()) {
+	if !a.isFailover && (p.countReturning(a.address) > 0 || p.failoverWaiting()) {
 		return checkout{wait: p.changed}
 	}
 	if !probed {
@@ -135,7 +135,9 @@
 		a.waiting = false
 		return checkout{dial: true}
 	}
-	p.evictOneIdle(func(c *Conn) bool { return u >= commander.ClientWaiting || !slices.Contains(p.wanted, c.Endpoint) })
+	p.evictOneIdle(func(c *Conn) bool {
+		return priority >= commander.ClientWaiting || !slices.Contains(p.wanted, c.Endpoint)
+	})
 	return checkout{wait: p.changed}
 }
 
@@ -185,10 +187,10 @@
 	return false
 }
 
-// orderWaiting reports whether an order waits for a slot. Client requests then leave slots to
-// it, so that a failover doesn't queue behind them.
-func (p *Pool) orderWaiting() bool {
-	return slices.ContainsFunc(p.controlWaiters, func(a *controlWaiter) bool { return a.isOrder && a.waiting })
+// failoverWaiting reports whether a failover statement waits for a slot. Client requests then
+// leave slots to it, so that a failover doesn't queue behind them.
+func (p *Pool) failoverWaiting() bool {
+	return slices.ContainsFunc(p.controlWaiters, func(a *controlWaiter) bool { return a.isFailover && a.waiting })
 }
 
 // controlStarved reports whether a control statement waits for a target without any connection.
--- a/internal/pooler/maintenance.go
+++ b/internal/pooler/maintenance.go
@@ -8,7 +8,7 @@
 
 const (
 	maintainInterval = 100 * time.Millisecond
-	// maxIdleTime closes unused connections to places that are not wanted.
+	// maxIdleTime closes unused connections to endpoints that are not wanted.
 	maxIdleTime = time.Minute
 	// maxAge limits a connection's age, since a target's memory for a session grows. maxAgeStep
 	// staggers the ends.
@@ -28,10 +28,10 @@
 
 	// controlWaiter is a control statement that waits for a connection.
 	controlWaiter struct {
-		address string
-		isOrder bool // takes precedence over client requests
-		waiting bool // for a connection; unset while the target is probed
-		handoff chan *Conn
+		address    string
+		isFailover bool // takes precedence over client requests
+		waiting    bool // for a connection; unset while the target is probed
+		handoff    chan *Conn
 	}
 )
 
@@ -49,7 +49,7 @@
 		running++
 		go func() { done <- f() }()
 	}
-	lendable := 0
+	capacity := 0
 	for {
 		select {
 		case <-p.closingSignal:
@@ -65,9 +65,9 @@
 			for _, f := range p.maintain(ctx) {
 				start(f)
 			}
-			if n := p.Capacity(); n != lendable {
-				lendable = n
-				p.resized()
+			if n := p.Capacity(); n != capacity {
+				capacity = n
+				p.capacityChanged()
 			}
 		case <-ctx.Done():
 			p.closeAll()
@@ -94,18 +94,18 @@
 	return f
 }
 
-func (p *Pool) recordResult(e taskResult) {
-	if e.socket == nil {
+func (p *Pool) recordResult(r taskResult) {
+	if r.socket == nil {
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if e.sessionEnded {
-		p.releaseSlot(e.socket)
-		_ = e.socket.Conn.Close()
+	if r.sessionEnded {
+		p.releaseSlot(r.socket)
+		_ = r.socket.Conn.Close()
 	}
-	if !e.awaitedClose {
-		e.socket.terminating = false
+	if !r.awaitedClose {
+		r.socket.terminating = false
 	}
 }
 
@@ -126,16 +126,16 @@
 	p.idle = nil
 }
 
-// SetWanted sets the places that requests are likely to need, the most likely first.
-func (p *Pool) SetWanted(places []Endpoint) {
+// SetWanted sets the endpoints that requests are likely to need, the most likely first.
+func (p *Pool) SetWanted(endpoints []Endpoint) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.initialize()
-	if slices.Equal(p.wanted, places) {
+	if slices.Equal(p.wanted, endpoints) {
 		return
 	}
-	p.wanted = slices.Clone(places)
-	for _, w := range places {
+	p.wanted = slices.Clone(endpoints)
+	for _, w := range endpoints {
 		p.discardStale(w)
 	}
 }
@@ -164,10 +164,10 @@
 	return out
 }
 
-// warm opens a connection to the first wanted place without one, to save requests the dial
+// warm opens a connection to the first wanted endpoint without one, to save requests the dial
 // time. It opens one at a time, and none while requests are waiting.
 func (p *Pool) warm(ctx context.Context) []func() taskResult {
-	if p.waiters > 0 || len(p.dialing) > 0 || p.orderWaiting() {
+	if p.waiters > 0 || len(p.dialing) > 0 || p.failoverWaiting() {
 		return nil
 	}
 	for i, w := range p.wanted {
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -84,20 +84,20 @@
 // ErrBusy means that no connection became free in time. It doesn't indicate a target failure.
 var ErrBusy = commander.ErrNoConnection
 
-// Borrow checks out a connection to the place, or opens one if the share allows.
-func (p *Pool) Borrow(ctx context.Context, place Endpoint) (*Conn, error) {
+// Borrow checks out a connection to the endpoint, or opens one if the share allows.
+func (p *Pool) Borrow(ctx context.Context, endpoint Endpoint) (*Conn, error) {
 	p.addWaiters(1)
 	defer p.addWaiters(-1)
 	probed := false
 	for {
-		o := p.tryCheckout(place, probed)
+		o := p.tryCheckout(endpoint, probed)
 		switch {
 		case o.conn != nil:
 			return o.conn, nil
 		case o.dial:
-			return p.dial(ctx, place)
+			return p.dial(ctx, endpoint)
 		case o.probe:
-			if err := p.probe(ctx, place.Address); err != nil {
+			if err := p.probe(ctx, endpoint.Address); err != nil {
 				return nil, err
 			}
 			probed = true
@@ -135,24 +135,24 @@
 }
 
 // tryCheckout attempts to get a connection for a client request.
-func (p *Pool) tryCheckout(place Endpoint, probed bool) checkout {
+func (p *Pool) tryCheckout(endpoint Endpoint, probed bool) checkout {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.discardStale(place)
-	if c := p.takeIdle(func(c *Conn) bool { return c.Endpoint == place }); c != nil {
+	p.discardStale(endpoint)
+	if c := p.takeIdle(func(c *Conn) bool { return c.Endpoint == endpoint }); c != nil {
 		return checkout{conn: c}
 	}
-	if p.orderWaiting() || !p.mayOpenAt(place.Address) {
+	if p.failoverWaiting() || !p.mayOpenAt(endpoint.Address) {
 		return checkout{wait: p.changed}
 	}
-	if !probed && p.mayHang(place.Address) {
+	if !probed && p.mayHang(endpoint.Address) {
 		return checkout{probe: true}
 	}
 	if p.held() < p.share.Connections {
-		p.dialing[place.Address]++
+		p.dialing[endpoint.Address]++
 		return checkout{dial: true}
 	}
-	p.evictIdleFor(place)
+	p.evictIdleFor(endpoint)
 	return checkout{wait: p.changed}
 }
 
@@ -170,12 +170,12 @@
 
 // discardStale closes idle connections to a primary that are bound to an older term or to none.
 // The primary refuses writes on them, and they would occupy slots.
-func (p *Pool) discardStale(place Endpoint) {
-	if place.Term == 0 {
+func (p *Pool) discardStale(endpoint Endpoint) {
+	if endpoint.Term == 0 {
 		return
 	}
 	p.closeIdleIf(func(c *Conn) bool {
-		return c.Endpoint.Address == place.Address && c.Endpoint.Term < place.Term
+		return c.Endpoint.Address == endpoint.Address && c.Endpoint.Term < endpoint.Term
 	})
 }
 
@@ -203,25 +203,25 @@
 // the whole share and block failover to another primary. The reserve is released if all
 // connections to the address are in open transactions.
 func (p *Pool) mayOpenAt(address string) bool {
-	n, allLong := p.countAt(address)
-	return n < max(1, p.share.Connections-1) || allLong
+	n, allInTransaction := p.countAt(address)
+	return n < max(1, p.share.Connections-1) || allInTransaction
 }
 
-// countAt counts the connections to an address; allLong is set if all of them are checked out
+// countAt counts the connections to an address; allInTransaction is set if all of them are checked out
 // by transactions.
-func (p *Pool) countAt(address string) (n int, allLong bool) {
+func (p *Pool) countAt(address string) (n int, allInTransaction bool) {
 	n = p.dialing[address]
-	allLong = n == 0
+	allInTransaction = n == 0
 	for c := range p.checkedOut {
 		if c.Endpoint.Address == address {
 			n++
-			allLong = allLong && c.InTransaction
+			allInTransaction = allInTransaction && c.InTransaction
 		}
 	}
 	for s := range p.closing {
 		if s.address == address {
 			n++
-			allLong = false
+			allInTransaction = false
 		}
 	}
 	for _, c := range p.idle {
@@ -229,20 +229,20 @@
 			n++
 		}
 	}
-	return n, allLong
+	return n, allInTransaction
 }
 
-// evictIdleFor closes the least recently used idle connection to another place, to free a slot
-// for this one. If a connection to the place will be returned soon, only connections idle for
+// evictIdleFor closes the least recently used idle connection to another endpoint, to free a slot
+// for this one. If a connection to the endpoint will be returned soon, only connections idle for
 // minIdleBeforeEviction are closed; this avoids thrashing when requests alternate between
 // members.
-func (p *Pool) evictIdleFor(place Endpoint) {
+func (p *Pool) evictIdleFor(endpoint Endpoint) {
 	if p.countClosingSoon() >= p.waiters {
 		return // enough are closing already
 	}
-	canWait := p.hasShortUse(place)
+	canWait := p.hasShortUse(endpoint)
 	for i, c := range p.idle {
-		if c.Endpoint == place || (canWait && time.Since(c.used) < minIdleBeforeEviction) {
+		if c.Endpoint == endpoint || (canWait && time.Since(c.used) < minIdleBeforeEviction) {
 			continue
 		}
 		p.idle = slices.Delete(p.idle, i, i+1)
@@ -251,15 +251,15 @@
 	}
 }
 
-// hasShortUse reports whether a connection to the place is being dialed, or is checked out
+// hasShortUse reports whether a connection to the endpoint is being dialed, or is checked out
 // outside a transaction.
-func (p *Pool) hasShortUse(place Endpoint) bool {
+func (p *Pool) hasShortUse(endpoint Endpoint) bool {
 	for c := range p.checkedOut {
-		if c.Endpoint == place && !c.InTransaction {
+		if c.Endpoint == endpoint && !c.InTransaction {
 			return true
 		}
 	}
-	return p.dialing[place.Address] > 0
+	return p.dialing[endpoint.Address] > 0
 }
 
 // held returns the number of occupied slots. The mutex is held.
@@ -271,15 +271,15 @@
 	return n
 }
 
-func (p *Pool) dial(ctx context.Context, place Endpoint) (*Conn, error) {
+func (p *Pool) dial(ctx context.Context, endpoint Endpoint) (*Conn, error) {
 	p.count("connection.opened")
 	p.mutex.Lock()
 	application := p.share.Application
 	p.mutex.Unlock()
-	c, s, err := openConn(ctx, p.Network, application, place)
+	c, s, err := openConn(ctx, p.Network, application, endpoint)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.dialDone(place.Address)
+	p.dialDone(endpoint.Address)
 	if s != nil {
 		s.application = application
 	}
@@ -306,8 +306,8 @@
 	p.notifyChanged()
 }
 
-// MarkInTransaction marks a connection as checked out by a transaction, whose duration the client
-// controls.
+// MarkInTransaction marks a connection as checked out by a transaction, whose duration the
+// client controls.
 func (p *Pool) MarkInTransaction(c *Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -333,7 +333,7 @@
 	switch {
 	case p.handToControl(c):
 		return
-	case p.orderWaiting():
+	case p.failoverWaiting():
 		p.closeIdle(c)
 		return
 	}
@@ -362,7 +362,7 @@
 		p.notifyChanged()
 	}
 	p.mutex.Unlock()
-	p.resized()
+	p.capacityChanged()
 }
 
 // DropIdle closes all idle connections.
@@ -397,7 +397,7 @@
 	return max(0, p.share.Connections-p.countStuck())
 }
 
-func (p *Pool) resized() {
+func (p *Pool) capacityChanged() {
 	if p.OnCapacityChange != nil {
 		p.OnCapacityChange()
 	}
--- a/internal/pooler/pooler_test.go
+++ b/internal/pooler/pooler_test.go
@@ -9,8 +9,8 @@
 	"github.com/go-kit/log"
 	"github.com/oriolegw/oriolegw/internal/commander"
 	"github.com/oriolegw/oriolegw/internal/pooler"
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/oriolegw/oriolegw/internal/standin/replicator"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
 	"github.com/shoenig/test/must"
 )
 
@@ -28,7 +28,7 @@
 // fixture is a pool with a primary and a replica that take 10 ms to open a connection.
 type fixture struct {
 	ctx     context.Context
-	net     *wirer.Net
+	net     *netsimulator.Net
 	pool    *pooler.Pool
 	primary *replicator.Member
 	replica *replicator.Member
@@ -39,8 +39,8 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		n := wirer.New(1)
-		n.Latency = func(_, _ *wirer.Host) time.Duration { return time.Millisecond }
+		n := netsimulator.New(1)
+		n.Latency = func(_, _ *netsimulator.Host) time.Duration { return time.Millisecond }
 		b := &fixture{ctx: ctx, net: n}
 		done := make(chan error, 3)
 		member := func(name, ip string) *replicator.Member {
@@ -66,20 +66,20 @@
 	})
 }
 
-func (b *fixture) borrow(t *testing.T, p pooler.Endpoint) *pooler.Conn {
+func (f *fixture) borrow(t *testing.T, p pooler.Endpoint) *pooler.Conn {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(b.ctx, time.Second)
+	ctx, cancel := context.WithTimeout(f.ctx, time.Second)
 	defer cancel()
-	c, err := b.pool.Borrow(ctx, p)
+	c, err := f.pool.Borrow(ctx, p)
 	must.NoError(t, err)
 	return c
 }
 
-func (b *fixture) mustNotBorrow(t *testing.T, p pooler.Endpoint) {
+func (f *fixture) mustNotBorrow(t *testing.T, p pooler.Endpoint) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(b.ctx, time.Second)
+	ctx, cancel := context.WithTimeout(f.ctx, time.Second)
 	defer cancel()
-	_, err := b.pool.Borrow(ctx, p)
+	_, err := f.pool.Borrow(ctx, p)
 	must.Error(t, err)
 }
 
@@ -88,7 +88,7 @@
 func TestSlotIsReleasedWhenTargetEndsSession(t *testing.T) {
 	withFixture(t, 2, func(t *testing.T, b *fixture) {
 		c := b.borrow(t, replica)
-		b.net.Cut(instanceIP, replicaIP)
+		b.net.Partition(instanceIP, replicaIP)
 		c.Broken = true
 		b.pool.Return(c)
 		time.Sleep(10 * time.Second)
@@ -140,11 +140,11 @@
 // All requests use the primary, which freezes. One slot remains for reaching another member.
 func TestOneSlotIsReservedForOtherTargets(t *testing.T) {
 	withFixture(t, 3, func(t *testing.T, b *fixture) {
-		lent := []*pooler.Conn{b.borrow(t, primary), b.borrow(t, primary)}
+		borrowed := []*pooler.Conn{b.borrow(t, primary), b.borrow(t, primary)}
 		b.mustNotBorrow(t, primary)
 		b.primary.Faults.Freeze()
 		b.pool.Return(b.borrow(t, replica))
-		for _, c := range lent {
+		for _, c := range borrowed {
 			b.pool.Return(c)
 		}
 	})
--- a/internal/prober/judge.go
+++ b/internal/prober/decide.go
@@ -21,7 +21,7 @@
 		TargetUnresponsive bool
 		// Retryable is set when the request can be retried on another target.
 		Retryable bool
-		// State is the latest probe result; Idle counts the consecutive results that
+		// State is the latest probe result; IdleReplies counts the consecutive results that
 		// found the session idle or absent.
 		State       State
 		IdleReplies int
@@ -29,7 +29,7 @@
 		ProbesFailingFor time.Duration
 		// MaxWait is the longest time that a request may wait for a primary.
 		MaxWait time.Duration
-		// NextProbe is the value of Silent at which the next probe is due.
+		// NextProbe is the value of SilentFor at which the next probe is due.
 		NextProbe time.Duration
 	}
 
@@ -72,26 +72,26 @@
 )
 
 // Decide decides whether to keep waiting for a response, probe the target, or give up.
-func Decide(l RequestStatus) Decision {
+func Decide(s RequestStatus) Decision {
 	switch {
-	case l.Superseded:
+	case s.Superseded:
 		// A majority accepted the newer term, so a response could not be used.
 		return GiveUp
-	case l.TargetUnresponsive && l.Retryable:
+	case s.TargetUnresponsive && s.Retryable:
 		return GiveUp
-	case l.IdleReplies >= minIdleReplies:
+	case s.IdleReplies >= minIdleReplies:
 		return GiveUp
-	case l.ProbesFailingFor > 0 && l.ProbesFailingFor >= l.MaxWait:
+	case s.ProbesFailingFor > 0 && s.ProbesFailingFor >= s.MaxWait:
 		// The target did not respond and no new primary appeared within the hold time.
 		return GiveUp
-	case l.SilentFor >= l.NextProbe:
+	case s.SilentFor >= s.NextProbe:
 		return Probe
 	}
 	return Wait
 }
 
-// NextProbe returns the value of Silent at which the next probe is due. The interval grows while
-// the session runs a statement; an idle or absent session is probed again soon.
+// NextProbe returns the value of SilentFor at which the next probe is due. The interval grows
+// while the session runs a statement; an idle or absent session is probed again soon.
 func NextProbe(silent time.Duration, s State) time.Duration {
 	switch s {
 	case Idle, Absent:
--- a/internal/prober/judge_test.go
+++ b/internal/prober/decide_test.go
@@ -8,11 +8,11 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestJudge(t *testing.T) {
+func TestDecide(t *testing.T) {
 	const hold = 10 * time.Second
 	for name, c := range map[string]struct {
-		look prober.RequestStatus
-		want prober.Decision
+		status prober.RequestStatus
+		want   prober.Decision
 	}{
 		"short silence":                        {prober.RequestStatus{SilentFor: 200 * time.Millisecond}, prober.Wait},
 		"long silence":                         {prober.RequestStatus{SilentFor: time.Second}, prober.Probe},
@@ -25,11 +25,11 @@
 		"hung target beyond the hold time":     {prober.RequestStatus{SilentFor: 11 * time.Second, TargetUnresponsive: true, ProbesFailingFor: hold, NextProbe: 12 * time.Second}, prober.GiveUp},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c.look.MaxWait = hold
-			if c.look.NextProbe == 0 {
-				c.look.NextProbe = prober.FirstProbeDelay
+			c.status.MaxWait = hold
+			if c.status.NextProbe == 0 {
+				c.status.NextProbe = prober.FirstProbeDelay
 			}
-			must.Eq(t, c.want, prober.Decide(c.look))
+			must.Eq(t, c.want, prober.Decide(c.status))
 		})
 	}
 }
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -12,14 +12,14 @@
 // probeTimeout bounds a probe, connecting included.
 const probeTimeout = time.Second
 
-// Prober queries targets over new connections. Set the exported fields, then call Ask.
+// Prober queries targets over new connections. Set the exported fields, then call SessionState.
 type Prober struct {
 	Network     networker.Network
 	Application string
 }
 
-// SessionState returns the state of a session on a target. It uses a connection that never becomes a
-// session, so it works when all connections of this instance's share are dead.
+// SessionState returns the state of a session on a target. It uses a connection that never
+// becomes a session, so it works when all connections of this instance's share are dead.
 func (p *Prober) SessionState(ctx context.Context, address string, pid uint32) (State, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/promoter/slice.go
+++ b/internal/promoter/slice.go
@@ -203,7 +203,7 @@
 }
 
 func (g *group) handleAgreed(e detector.FailureAgreed) {
-	if e.On {
+	if e.Active {
 		g.agreedFailure = &e
 	} else if g.agreedFailure != nil && g.agreedFailure.Term == e.Term && g.agreedFailure.Member == e.Member {
 		g.agreedFailure = nil
--- a/internal/promoter/slice_test.go
+++ b/internal/promoter/slice_test.go
@@ -41,7 +41,7 @@
 	for _, n := range memberNames {
 		h.step(observer.Observed{Service: "s", Member: n, Started: h.now, Status: h.status(n, 1)})
 	}
-	h.step(detector.FailureAgreed{Service: "s", Member: "m-1", Term: 1, On: true, Evidence: detector.EvidenceSilent})
+	h.step(detector.FailureAgreed{Service: "s", Member: "m-1", Term: 1, Active: true, Evidence: detector.EvidenceSilent})
 	h.advance(time.Second)
 	return h
 }
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -18,7 +18,7 @@
 	// Publisher publishes documents. Set the exported fields before use.
 	Publisher struct {
 		Store storer.Store
-		// RetryInterval is the time between reads after a lost response; 0 means DefaultPause.
+		// RetryInterval is the time between reads after a lost response; 0 means DefaultRetryInterval.
 		RetryInterval time.Duration
 	}
 
@@ -37,14 +37,14 @@
 		Outcome Outcome
 		Current Published
 		// Changes lists another operator's changes since the version seen, if the
-		// outcome is Raced.
+		// outcome is Conflict.
 		Changes []configurer.Change
 	}
 )
 
 // The outcomes.
 const (
-	// Accepted means that the document is in the store as Now.Version.
+	// Accepted means that the document is in the store as Current.Version.
 	Accepted Outcome = "accepted"
 	// Conflict means that another operator published first and nothing was changed.
 	Conflict Outcome = "raced"
@@ -53,7 +53,7 @@
 	Unknown Outcome = "unknown"
 )
 
-// DefaultPause is the default time between reads after a lost response.
+// DefaultRetryInterval is the default time between reads after a lost response.
 const DefaultRetryInterval = 200 * time.Millisecond
 
 // Current reads the published document.
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -47,11 +47,11 @@
 	})
 }
 
-func (s *harness) publish(seen publisher.Published, text []byte, want publisher.Outcome) publisher.Result {
-	s.Helper()
-	r, err := s.p.Publish(s.ctx, seen, "d.json", text)
-	must.NoError(s.T, err)
-	must.Eq(s.T, want, r.Outcome)
+func (h *harness) publish(seen publisher.Published, text []byte, want publisher.Outcome) publisher.Result {
+	h.Helper()
+	r, err := h.p.Publish(h.ctx, seen, "d.json", text)
+	must.NoError(h.T, err)
+	must.Eq(h.T, want, r.Outcome)
 	return r
 }
 
@@ -66,7 +66,7 @@
 	})
 }
 
-// A lost response to a successful swap is not reported as a race.
+// A lost response to a successful swap is not reported as a conflict.
 func TestLostResponse(t *testing.T) {
 	runPublished(t, func(s *harness, seen publisher.Published) {
 		s.store.SetFaults(func(f *storer.Faults) { f.LoseResponses = 1 })
--- a/internal/ranker/ranker_test.go
+++ b/internal/ranker/ranker_test.go
@@ -13,7 +13,7 @@
 
 // An entry's weight determines for how many keys it is first, and a change of its weight
 // doesn't reorder the others.
-func TestWeighted(t *testing.T) {
+func TestRankWeighted(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	weights := map[string]float64{"a": 4, "b": 1, "c": 1, "d": 1, "e": 1}
 	first := map[string]int{}
--- a/internal/relayer/answer.go
+++ b/internal/relayer/answer.go
@@ -73,7 +73,7 @@
 	return x.forward(ctx, m)
 }
 
-// forward sends a message to the caller in the expected order.
+// forward sends a message to the client in the expected order.
 func (x *exchange) forward(ctx context.Context, m pgproto3.BackendMessage) (e result, done bool) {
 	s := x.session
 	x.emitSkippedAnswers()
@@ -177,7 +177,7 @@
 	}
 	// Without a commit, only the held ReadyForQuery acknowledges the statement.
 	if s.flush() != nil {
-		return x.connectionLost(errors.New("the caller disconnected")), true
+		return x.connectionLost(errors.New("the client disconnected")), true
 	}
 	return 0, false
 }
@@ -223,7 +223,7 @@
 		}
 	default:
 		// Drivers rely on reported values such as TimeZone. Other reports concern the shared
-		// connection, not the caller's session.
+		// connection, not the client's session.
 		if len(x.request.settingStatements) > 0 && !x.awaitingInitialSync && !x.applyingSettings {
 			x.session.emit(m)
 		}
@@ -324,7 +324,7 @@
 }
 
 // confirmCommit asks the primary whether a majority of the group has the commit. A positive
-// answer is final: see runAwait of the stand-in and docs/TARGET.md.
+// answer is final (docs/TARGET.md).
 func (x *exchange) confirmCommit(ctx context.Context) bool {
 	q := fmt.Sprintf("SELECT oriole_await(%d, %d, %d)", x.commitPosition.Term, x.commitPosition.Offset, confirmTimeout.Milliseconds())
 	confirmed := false
