--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -30,7 +30,7 @@
 	request       *request
 	started       time.Time
 	waitContext   context.Context // done when the request is cancelled before it reaches a target
-	avoid         []int
+	excluded      []int
 	table         *router.Table
 	group         *router.Group
 	choice        router.Choice
@@ -53,73 +53,73 @@
 	}
 	wait, done := s.cancel.waitContext(ctx)
 	defer done()
-	t := &attempt{session: s, request: r, started: time.Now(), waitContext: wait}
+	a := &attempt{session: s, request: r, started: time.Now(), waitContext: wait}
 	s.Retries.RecordFirstAttempt()
 	for {
-		done, refusal := t.tryOnce(ctx)
+		done, refusal := a.tryOnce(ctx)
 		switch {
 		case done:
 		case ctx.Err() != nil:
 			refusal = refuser.New(refuser.NoPrimary, "the instance is stopping")
 		case wait.Err() != nil:
-			refusal = refuser.New(refuser.Cancelled, "while it waited")
+			refusal = refuser.New(refuser.Cancelled, "while waiting for a target or connection")
 		default:
 			continue
 		}
-		t.recordDecision(refusal)
+		a.recordDecision(refusal)
 		return refusal
 	}
 }
 
 // tryOnce makes one attempt; done is false if another may follow.
-func (t *attempt) tryOnce(ctx context.Context) (done bool, refusal *refuser.Refusal) {
-	if refusal := t.chooseTarget(); refusal != nil || t.choice.Member < 0 {
+func (a *attempt) tryOnce(ctx context.Context) (done bool, refusal *refuser.Refusal) {
+	if refusal := a.chooseTarget(); refusal != nil || a.choice.Member < 0 {
 		return refusal != nil, refusal
 	}
-	c, refusal := t.checkout()
+	c, refusal := a.checkout()
 	if c == nil {
 		return refusal != nil, refusal
 	}
-	return t.execute(ctx, c)
+	return a.execute(ctx, c)
 }
 
 // chooseTarget selects the target. If none is available, it waits for a change of the routing
 // table.
-func (t *attempt) chooseTarget() *refuser.Refusal {
-	s := t.session
-	t.choice.Member = -1
-	if refusal := t.loadTable(); refusal != nil {
+func (a *attempt) chooseTarget() *refuser.Refusal {
+	s := a.session
+	a.choice.Member = -1
+	if refusal := a.loadTable(); refusal != nil {
 		return refusal
 	}
-	left := holdTimeout(t.group) - time.Since(t.started)
-	if left <= 0 {
-		return t.noTargetRefusal()
+	remaining := holdTimeout(a.group) - time.Since(a.started)
+	if remaining <= 0 {
+		return a.noTargetRefusal()
 	}
-	missing, refusal := t.resolveFloor()
+	missing, refusal := a.resolveFloor()
 	switch {
 	case refusal != nil:
 		return refusal
 	case missing:
-		s.awaitTableChange(t.waitContext, t.table, min(left, quorumTimeout-time.Since(t.started)))
+		s.awaitTableChange(a.waitContext, a.table, min(remaining, quorumTimeout-time.Since(a.started)))
 		return nil
 	}
-	t.choice = t.group.Choose(time.Now(), t.routingRequest())
-	if t.choice.Member < 0 {
-		t.avoid = nil
-		s.awaitTableChange(t.waitContext, t.table, left)
+	a.choice = a.group.Choose(time.Now(), a.routingRequest())
+	if a.choice.Member < 0 {
+		a.excluded = nil
+		s.awaitTableChange(a.waitContext, a.table, remaining)
 	}
 	return nil
 }
 
 // checkout checks out a connection to the chosen target, nil if there is none.
-func (t *attempt) checkout() (*pooler.Conn, *refuser.Refusal) {
-	s := t.session
-	c, err := s.checkout(t.waitContext, t.group, t.choice, t.request, holdTimeout(t.group)-time.Since(t.started))
+func (a *attempt) checkout() (*pooler.Conn, *refuser.Refusal) {
+	s := a.session
+	c, err := s.checkout(a.waitContext, a.group, a.choice, a.request, holdTimeout(a.group)-time.Since(a.started))
 	var rejection *refuser.Refusal
 	switch {
 	case err == nil:
 		return c, nil
-	case t.waitContext.Err() != nil: // cancelled or shutting down
+	case a.waitContext.Err() != nil: // cancelled or shutting down
 		return nil, nil
 	case errors.As(err, &rejection):
 		return nil, rejection
@@ -127,87 +127,87 @@
 		return nil, refuser.New(refuser.NoConnection, "service %q", s.Service)
 	}
 	s.Count("retry.connect")
-	t.avoid = append(t.avoid, t.choice.Member)
-	s.awaitTableChange(t.waitContext, t.table, retryDelay)
+	a.excluded = append(a.excluded, a.choice.Member)
+	s.awaitTableChange(a.waitContext, a.table, retryDelay)
 	return nil, nil
 }
 
 // execute runs the request on a connection.
-func (t *attempt) execute(ctx context.Context, c *pooler.Conn) (done bool, refusal *refuser.Refusal) {
-	s := t.session
-	x := newExchange(s, c, t.request, false)
-	x.minPosition, x.replayTimeout, x.suspectSilent = t.choice.MinPosition, t.choice.CatchUpTimeout, t.suspectSilent
-	x.termCheckFrom, x.needsTermCheck = t.termCheck(x.started)
+func (a *attempt) execute(ctx context.Context, c *pooler.Conn) (done bool, refusal *refuser.Refusal) {
+	s := a.session
+	x := newExchange(s, c, a.request, false)
+	x.minPosition, x.replayTimeout, x.suspectSilent = a.choice.MinPosition, a.choice.CatchUpTimeout, a.suspectSilent
+	x.termCheckFrom, x.needsTermCheck = a.termCheck(x.started)
 	x.holdAnswer = x.needsTermCheck
 	if x.needsTermCheck && x.termCheckFrom.Equal(x.started) {
 		s.requestWatermark()
 	}
 	s.out = s.out[:0]
-	return t.handleResult(x, x.run(ctx, t.request))
+	return a.handleResult(x, x.run(ctx, a.request))
 }
 
 // handleResult decides whether to retry the request.
-func (t *attempt) handleResult(x *exchange, e result) (done bool, refusal *refuser.Refusal) {
-	s := t.session
-	again := e == resultBehind || (e == resultLost && !s.partlySent && x.state.outcome() == refuser.NotRun)
-	if !again {
+func (a *attempt) handleResult(x *exchange, e result) (done bool, refusal *refuser.Refusal) {
+	s := a.session
+	retry := e == resultBehind || (e == resultLost && !s.partlySent && x.state.outcome() == refuser.NotRun)
+	if !retry {
 		return true, s.finish(x, e)
 	}
 	s.release(x.conn, e == resultLost)
 	switch {
 	case e == resultBehind:
 		s.Count("retry.behind")
-		t.avoid = append(t.avoid, t.choice.Member)
+		a.excluded = append(a.excluded, a.choice.Member)
 	case x.writeOnReplica:
 		// The statement's tokens did not reveal the write: retry on the primary.
 		s.Count("retry.write")
-		t.request.readOnly, t.request.pure = false, false
+		a.request.readOnly, a.request.pure = false, false
 	case errors.Is(x.err, errStaleConnection):
 		s.Count("retry.not-quiet")
 		// After a target's restart all its idle connections are stale: skip them at once. The
 		// pause protects a target whose new connections fail, too.
-		if t.staleConns++; t.staleConns > maxStaleConns {
-			s.awaitTableChange(t.waitContext, t.table, retryDelay)
+		if a.staleConns++; a.staleConns > maxStaleConns {
+			s.awaitTableChange(a.waitContext, a.table, retryDelay)
 		}
 	case !s.Retries.AllowRetry():
 		return true, refuser.New(refuser.RetriesSpent, "service %q", s.Service)
 	default:
 		s.Count("retry.not-run")
-		if errors.Is(x.err, errSilent) {
-			t.suspectSilent = true
+		if errors.Is(x.err, errNoResponse) {
+			a.suspectSilent = true
 			s.Pool.DropIdle()
 		}
-		t.avoid = append(t.avoid, t.choice.Member)
-		if !t.choice.Replica {
-			s.awaitTableChange(t.waitContext, t.table, retryDelay)
+		a.excluded = append(a.excluded, a.choice.Member)
+		if !a.choice.Replica {
+			s.awaitTableChange(a.waitContext, a.table, retryDelay)
 		}
 	}
 	return false, nil
 }
 
 // loadTable loads the current routing table.
-func (t *attempt) loadTable() *refuser.Refusal {
-	t.table = t.session.Table()
-	if t.table == nil || t.table.Group(t.session.Service) == nil {
-		return refuser.New(refuser.NoService, "service %q", t.session.Service)
+func (a *attempt) loadTable() *refuser.Refusal {
+	a.table = a.session.Table()
+	if a.table == nil || a.table.Group(a.session.Service) == nil {
+		return refuser.New(refuser.NoService, "service %q", a.session.Service)
 	}
-	t.group = t.table.Group(t.session.Service)
+	a.group = a.table.Group(a.session.Service)
 	return nil
 }
 
 // resolveFloor sets the minimum position of a session without a token: a watermark taken after
 // the session connected covers every write acknowledged before, on any instance. Concurrent
 // sessions share the query.
-func (t *attempt) resolveFloor() (missing bool, refusal *refuser.Refusal) {
-	s := t.session
-	if s.floorKnown || (!t.request.readOnly && !t.request.beginsTransaction) {
+func (a *attempt) resolveFloor() (missing bool, refusal *refuser.Refusal) {
+	s := a.session
+	if s.floorKnown || (!a.request.readOnly && !a.request.beginsTransaction) {
 		return false, nil
 	}
-	if w, ok := t.group.WatermarkSince(s.Connected); ok {
+	if w, ok := a.group.WatermarkSince(s.Connected); ok {
 		s.Floor, s.floorKnown = w.Position, true
 		return false, nil
 	}
-	if time.Since(t.started) >= quorumTimeout {
+	if time.Since(a.started) >= quorumTimeout {
 		return false, refuser.New(refuser.FloorUnknown, "service %q: no majority answered within %v", s.Service, quorumTimeout)
 	}
 	s.requestWatermark()
@@ -220,61 +220,61 @@
 	}
 }
 
-func (t *attempt) routingRequest() router.Request {
-	s := t.session
+func (a *attempt) routingRequest() router.Request {
+	s := a.session
 	s.requestCount++
 	return router.Request{
-		Read: t.request.readOnly, Floor: s.Floor, LastRead: s.seenPosition, MaxAge: t.maxAge(),
-		Zone: s.Zone, Exclude: t.avoid, PreferenceSeed: s.PreferenceSeed, Sequence: s.requestCount,
+		Read: a.request.readOnly, Floor: s.Floor, LastRead: s.seenPosition, MaxAge: a.maxAge(),
+		Zone: s.Zone, Exclude: a.excluded, PreferenceSeed: s.PreferenceSeed, Sequence: s.requestCount,
 	}
 }
 
 // maxAge returns the staleness bound of the request's kind, 0 after an unknown outcome.
-func (t *attempt) maxAge() time.Duration {
-	if t.session.outcomeUnknown {
+func (a *attempt) maxAge() time.Duration {
+	if a.session.outcomeUnknown {
 		return 0
 	}
-	age, _ := t.group.Service.MaxAge(t.request.kind)
+	age, _ := a.group.Service.MaxAge(a.request.kind)
 	return age
 }
 
 // termCheck returns whether the answer requires a majority's confirmation of the term, and the
 // earliest time of that check. Reads without a staleness bound require it from their start;
 // transactions once, at BEGIN, since their reads are not checked one by one.
-func (t *attempt) termCheck(started time.Time) (from time.Time, needed bool) {
-	age := t.maxAge()
+func (a *attempt) termCheck(started time.Time) (from time.Time, needed bool) {
+	age := a.maxAge()
 	switch {
-	case t.choice.Replica: // covered by the required position
-	case t.request.beginsTransaction:
+	case a.choice.Replica: // covered by the required position
+	case a.request.beginsTransaction:
 		return started.Add(-min(age, maxBeginAge)), true
-	case t.request.readOnly && age == 0:
+	case a.request.readOnly && age == 0:
 		return started, true
 	}
 	return time.Time{}, false
 }
 
-func (t *attempt) noTargetRefusal() *refuser.Refusal {
+func (a *attempt) noTargetRefusal() *refuser.Refusal {
 	reason := refuser.NoPrimary
-	if t.request.readOnly {
+	if a.request.readOnly {
 		reason = refuser.NoTarget
 	}
-	return refuser.New(reason, "service %q: waited %v: %s", t.session.Service, holdTimeout(t.group), t.choice.Reason)
+	return refuser.New(reason, "service %q: waited %v: %s", a.session.Service, holdTimeout(a.group), a.choice.Reason)
 }
 
-func (t *attempt) recordDecision(f *refuser.Refusal) {
-	e := t.session.Explainer
+func (a *attempt) recordDecision(f *refuser.Refusal) {
+	e := a.session.Explainer
 	if e == nil {
 		return
 	}
 	d := router.Decision{
-		At: time.Now(), Service: t.session.Service, Kind: t.request.kind, Read: t.request.readOnly,
-		Member: t.choice.Member, Replica: t.choice.Replica, Reason: t.choice.Reason, Waited: time.Since(t.started),
+		At: time.Now(), Service: a.session.Service, Kind: a.request.kind, Read: a.request.readOnly,
+		Member: a.choice.Member, Replica: a.choice.Replica, Reason: a.choice.Reason, Waited: time.Since(a.started),
 	}
 	if f != nil {
 		d.Code = f.Reason.Code
 	}
-	if t.group != nil && t.choice.Member >= 0 && t.choice.Member < len(t.group.Service.Members) {
-		d.Target = t.group.Service.Members[t.choice.Member].Name
+	if a.group != nil && a.choice.Member >= 0 && a.choice.Member < len(a.group.Service.Members) {
+		d.Target = a.group.Service.Members[a.choice.Member].Name
 	}
 	e.Add(d)
 }
@@ -289,17 +289,17 @@
 	}
 }
 
-func (s *Session) checkout(ctx context.Context, g *router.Group, c router.Choice, r *request, left time.Duration) (*pooler.Conn, error) {
-	place := pooler.Endpoint{Address: g.Service.Members[c.Member].Address}
+func (s *Session) checkout(ctx context.Context, g *router.Group, c router.Choice, r *request, timeout time.Duration) (*pooler.Conn, error) {
+	endpoint := pooler.Endpoint{Address: g.Service.Members[c.Member].Address}
 	if !c.Replica {
-		place.Term = g.Members[c.Member].Status.Term
+		endpoint.Term = g.Members[c.Member].Status.Term
 	}
-	ctx, cancel := context.WithTimeout(ctx, left)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return s.Pool.Borrow(ctx, admitter.ConnectionRequest{Place: place, User: s.User, Class: r.admissionClass()})
+	return s.Pool.Borrow(ctx, admitter.ConnectionRequest{Endpoint: endpoint, User: s.User, Class: r.admissionClass()})
 }
 
-// finish decides what happens to the connection and the caller's transaction.
+// finish decides what happens to the connection and the client's transaction.
 func (s *Session) finish(x *exchange, e result) *refuser.Refusal {
 	switch e {
 	case resultFlushed:
--- a/internal/relayer/cancel.go
+++ b/internal/relayer/cancel.go
@@ -72,41 +72,41 @@
 }
 
 // setConn sets the connection that cancel requests apply to.
-func (q *cancelState) setConn(c *pooler.Conn) {
-	q.mutex.Lock()
-	defer q.mutex.Unlock()
-	q.conn, q.deliveryUnknown = c, false
+func (c *cancelState) setConn(conn *pooler.Conn) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.conn, c.deliveryUnknown = conn, false
 }
 
 // clearConn clears the connection and waits for cancel requests in flight: targets match them
 // by connection, so a late one could hit the next borrower's statement. It reports whether a
 // delivery's outcome is unknown, so that the connection must be destroyed.
-func (q *cancelState) clearConn() (deliveryUnknown bool) {
-	q.mutex.Lock()
-	q.conn = nil
-	delivered := q.allDelivered
-	if q.inFlight == 0 {
+func (c *cancelState) clearConn() (deliveryUnknown bool) {
+	c.mutex.Lock()
+	c.conn = nil
+	delivered := c.allDelivered
+	if c.inFlight == 0 {
 		delivered = nil
 	}
-	q.mutex.Unlock()
+	c.mutex.Unlock()
 	if delivered != nil {
 		<-delivered
 	}
-	q.mutex.Lock()
-	defer q.mutex.Unlock()
-	return q.deliveryUnknown
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.deliveryUnknown
 }
 
 // waitContext returns a context that a cancel request cancels.
-func (q *cancelState) waitContext(ctx context.Context) (context.Context, context.CancelFunc) {
+func (c *cancelState) waitContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	q.mutex.Lock()
-	defer q.mutex.Unlock()
-	q.cancelWait = cancel
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.cancelWait = cancel
 	return ctx, func() {
 		cancel()
-		q.mutex.Lock()
-		defer q.mutex.Unlock()
-		q.cancelWait = nil
+		c.mutex.Lock()
+		defer c.mutex.Unlock()
+		c.cancelWait = nil
 	}
 }
--- a/internal/relayer/cancel_test.go
+++ b/internal/relayer/cancel_test.go
@@ -29,7 +29,7 @@
 	must.NoError(s.T, c.PgConn().CancelRequest(s.ctx))
 }
 
-// A cancel request ends the caller's statement at the target.
+// A cancel request ends the client's statement at the target.
 func TestCancel(t *testing.T) {
 	runFleet(t, defaultPlan(), func(s *fleet) {
 		c := s.open(0, nil)
@@ -42,11 +42,11 @@
 	})
 }
 
-// A cancel request sent to another instance is forwarded to the one that serves the caller.
+// A cancel request sent to another instance is forwarded to the one that serves the client.
 func TestCancelOnOtherInstance(t *testing.T) {
 	runFleet(t, defaultPlan(), func(s *fleet) {
 		c := s.open(0, nil)
-		time.Sleep(2 * time.Second) // until the instances know each other
+		time.Sleep(2 * time.Second) // until the instances have discovered each other
 		done := s.execAsync(c, "SELECT pg_sleep(60)")
 		conn, err := s.Network.Host("10.0.9.1", "callers").Dial(s.ctx, s.Instances[1].IP+":5432")
 		must.NoError(t, err)
--- a/internal/relayer/classify.go
+++ b/internal/relayer/classify.go
@@ -69,7 +69,7 @@
 		generate_series unnest json_build_object jsonb_build_object json_build_array jsonb_build_array to_json to_jsonb
 		row_to_json md5 encode decode array_length cardinality array_to_string string_to_array pg_sleep current_setting version`))
 	// unsupportedStatements maps the first word of statements that leave session state to the
-	// reason shown to the caller.
+	// reason shown to the client.
 	unsupportedStatements = map[string]string{
 		"COPY":    "COPY",
 		"LISTEN":  "LISTEN",
@@ -78,7 +78,7 @@
 		"EXECUTE": "EXECUTE in SQL; use the driver's prepared statements",
 	}
 	// protectedSettings are settings that the proxy depends on or that would change the
-	// caller's privileges.
+	// client's privileges.
 	protectedSettings = wordSet("ROLE AUTHORIZATION CHARACTERISTICS STANDARD_CONFORMING_STRINGS")
 )
 
@@ -119,93 +119,93 @@
 	return c
 }
 
-func (w tokens) classify() statementClass {
-	switch first := w[0]; {
+func (t tokens) classify() statementClass {
+	switch first := t[0]; {
 	case readKeywords[first]:
-		if w.writesOrLocks() {
+		if t.writesOrLocks() {
 			return statementClass{kind: statementWrite}
 		}
-		return statementClass{kind: statementRead, pure: w.pure()}
+		return statementClass{kind: statementRead, pure: t.pure()}
 	case first == "BEGIN" || first == "START":
-		return statementClass{kind: statementBegin, pure: true, readOnly: w.containsSequence("READ", "ONLY")}
+		return statementClass{kind: statementBegin, pure: true, readOnly: t.containsSequence("READ", "ONLY")}
 	case transactionEndKeywords[first]:
-		return statementClass{kind: statementEnd, mayCommit: first == "COMMIT" || first == "END", endsTransaction: w.endsTransaction()}
+		return statementClass{kind: statementEnd, mayCommit: first == "COMMIT" || first == "END", endsTransaction: t.endsTransaction()}
 	case first == "SHOW":
-		if w.isProxySetting() {
+		if t.isProxySetting() {
 			return statementClass{kind: statementLocal, pure: true}
 		}
 		return statementClass{kind: statementRead, pure: true}
 	case settingKeywords[first], first == "CLOSE", first == "UNLISTEN":
-		return w.classifySetting()
+		return t.classifySetting()
 	}
-	return statementClass{kind: statementWrite, mayCommit: committingKeywords[w[0]]}
+	return statementClass{kind: statementWrite, mayCommit: committingKeywords[t[0]]}
 }
 
-func (w tokens) classifySetting() statementClass {
+func (t tokens) classifySetting() statementClass {
 	switch {
-	case w.isProxySetting(), w[0] == "DISCARD", w[0] == "DEALLOCATE", w[0] == "UNLISTEN", w.at(1) == "ALL":
+	case t.isProxySetting(), t[0] == "DISCARD", t[0] == "DEALLOCATE", t[0] == "UNLISTEN", t.at(1) == "ALL":
 		return statementClass{kind: statementLocal, pure: true}
-	case w[0] == "SET" && transactionScopeKeywords[w.at(1)]:
+	case t[0] == "SET" && transactionScopeKeywords[t.at(1)]:
 		return statementClass{kind: statementWrite, transactionScoped: true}
-	case w[0] == "CLOSE":
+	case t[0] == "CLOSE":
 		return statementClass{kind: statementWrite}
 	}
 	return statementClass{kind: statementSet, pure: true}
 }
 
 // isProxySetting reports whether the statement concerns one of the proxy's settings.
-func (w tokens) isProxySetting() bool {
+func (t tokens) isProxySetting() bool {
 	i := 1
-	if w.at(1) == "SESSION" {
+	if t.at(1) == "SESSION" {
 		i = 2
 	}
-	return w.hasSequenceAt(i, "ORIOLE", ".")
+	return t.hasSequenceAt(i, "ORIOLE", ".")
 }
 
 // endsTransaction reports whether the statement ends its transaction and begins no other.
-func (w tokens) endsTransaction() bool {
-	return transactionEndKeywords[w[0]] && (len(w) == 1 || (len(w) == 2 && (w[1] == "WORK" || w[1] == "TRANSACTION")))
+func (t tokens) endsTransaction() bool {
+	return transactionEndKeywords[t[0]] && (len(t) == 1 || (len(t) == 2 && (t[1] == "WORK" || t[1] == "TRANSACTION")))
 }
 
 // sessionStateReason returns which session state the statement would leave on its connection,
 // empty for none.
-func (w tokens) sessionStateReason() string {
-	if why := unsupportedStatements[w[0]]; why != "" {
+func (t tokens) sessionStateReason() string {
+	if why := unsupportedStatements[t[0]]; why != "" {
 		return why
 	}
 	switch {
-	case (w[0] == "SET" || w[0] == "RESET") && w.changesProtectedSetting():
+	case (t[0] == "SET" || t[0] == "RESET") && t.changesProtectedSetting():
 		return "change of the role, the transaction defaults or the literal syntax"
-	case w[0] == "CREATE" && w[:min(5, len(w))].containsAny(temporaryKeywords) && !w.containsSequence("ON", "COMMIT", "DROP"):
+	case t[0] == "CREATE" && t[:min(5, len(t))].containsAny(temporaryKeywords) && !t.containsSequence("ON", "COMMIT", "DROP"):
 		return "temporary object"
-	case w.containsSequence("WITH", "HOLD"):
+	case t.containsSequence("WITH", "HOLD"):
 		return "cursor WITH HOLD"
 	}
-	for i, s := range w {
+	for i, s := range t {
 		switch {
-		case w.at(i+1) == "(" && sessionLockFunction.MatchString(s):
+		case t.at(i+1) == "(" && sessionLockFunction.MatchString(s):
 			return "session advisory lock; use pg_advisory_xact_lock"
-		case w.at(i+1) == "(" && s == "SET_CONFIG":
+		case t.at(i+1) == "(" && s == "SET_CONFIG":
 			return "set_config; use SET"
-		case s == "INTO" && (temporaryKeywords[w.at(i+1)] || temporaryKeywords[w.at(i+2)]):
+		case s == "INTO" && (temporaryKeywords[t.at(i+1)] || temporaryKeywords[t.at(i+2)]):
 			return "temporary object"
 		}
 	}
 	return ""
 }
 
-func (w tokens) changesProtectedSetting() bool {
+func (t tokens) changesProtectedSetting() bool {
 	i := 1
-	if w.at(1) == "SESSION" || w.at(1) == "LOCAL" {
+	if t.at(1) == "SESSION" || t.at(1) == "LOCAL" {
 		i = 2
 	}
-	return protectedSettings[strings.ToUpper(strings.Trim(w.at(i), `"`))]
+	return protectedSettings[strings.ToUpper(strings.Trim(t.at(i), `"`))]
 }
 
 // writesOrLocks reports whether a SELECT writes data or takes locks.
-func (w tokens) writesOrLocks() bool {
-	for i, s := range w {
-		if writeWords[s] || (s == "FOR" && rowLockKeywords[w.at(i+1)]) || strings.HasPrefix(s, "PG_ADVISORY") || strings.HasPrefix(s, "LO_") {
+func (t tokens) writesOrLocks() bool {
+	for i, s := range t {
+		if writeWords[s] || (s == "FOR" && rowLockKeywords[t.at(i+1)]) || strings.HasPrefix(s, "PG_ADVISORY") || strings.HasPrefix(s, "LO_") {
 			return true
 		}
 	}
@@ -213,10 +213,10 @@
 }
 
 // pure reports whether all functions called are known to have no side effects.
-func (w tokens) pure() bool {
-	for i, s := range w {
-		call := w.at(i+1) == "(" && (isWordByte(s[0]) || s[0] == '"')
-		if call && (!sideEffectFreeWords[s] || w.at(i-1) == ".") {
+func (t tokens) pure() bool {
+	for i, s := range t {
+		call := t.at(i+1) == "(" && (isWordByte(s[0]) || s[0] == '"')
+		if call && (!sideEffectFreeWords[s] || t.at(i-1) == ".") {
 			return false
 		}
 	}
--- a/internal/relayer/collect.go
+++ b/internal/relayer/collect.go
@@ -10,18 +10,18 @@
 	// maxRequestBytes limits the size of one request, which is buffered whole so that it can be
 	// retried on another target.
 	maxRequestBytes = 16 << 20
-	// maxStatements limits a caller's prepared statements.
+	// maxStatements limits a client's prepared statements.
 	maxStatements = 2000
 )
 
-// collect reads messages up to a Query, Sync or Flush; nil means that the caller has
+// collect reads messages up to a Query, Sync or Flush; nil means that the client has
 // disconnected.
 func (s *Session) collect() (*request, error) {
 	r := &request{readOnly: true, pure: true, kind: s.Kind}
 	for {
 		m, err := s.Backend.Receive()
 		if err != nil {
-			return nil, errors.Wrap(err, "receive from caller")
+			return nil, errors.Wrap(err, "receive from client")
 		}
 		switch m := m.(type) {
 		case *pgproto3.Terminate:
--- a/internal/relayer/consistency_test.go
+++ b/internal/relayer/consistency_test.go
@@ -71,7 +71,7 @@
 	return true
 }
 
-// A write through one instance is visible to the same caller's reads through another, with or
+// A write through one instance is visible to the same client's reads through another, with or
 // without a token, across lag, promotions and failures.
 func TestReadYourWrites(t *testing.T) {
 	lag := func(s *fleet) {
@@ -91,9 +91,9 @@
 			s.KillTarget(s.Target("1"))
 			s.promote("10.0.9.9", "b")
 		}},
-		"first instance's zone cut": {before: lag, between: func(s *fleet) {
-			s.Network.Cut("a", "b")
-			s.Network.Cut("a", "c")
+		"first instance's zone partitioned": {before: lag, between: func(s *fleet) {
+			s.Network.Partition("a", "b")
+			s.Network.Partition("a", "c")
 			s.promote("10.0.9.9", "b")
 		}},
 	}
@@ -127,7 +127,7 @@
 	}
 }
 
-// A read-only transaction runs on a replica that has the caller's writes. A write in it fails
+// A read-only transaction runs on a replica that has the client's writes. A write in it fails
 // as in PostgreSQL; statements lost with the replica have not run.
 func TestReadOnlyTransaction(t *testing.T) {
 	runFleet(t, defaultPlan(), func(s *fleet) {
@@ -158,14 +158,14 @@
 	})
 }
 
-// After a zone with the old primary is partitioned, callers inside it get reads within their
+// After a zone with the old primary is partitioned, clients inside it get reads within their
 // staleness bound or a refusal, and never stale data as current.
 func TestPartitionedZone(t *testing.T) {
 	runFleet(t, defaultPlan(), func(s *fleet) {
 		early := s.open(0, nil)
 		s.exec(early, "INSERT INTO ledger VALUES ('a', '1')")
-		s.Network.Cut("a", "b")
-		s.Network.Cut("a", "c")
+		s.Network.Partition("a", "b")
+		s.Network.Partition("a", "c")
 		s.promote("10.0.9.9", "b")
 		other := s.open(1, nil)
 		s.exec(other, "UPDATE ledger SET value = value + 1 WHERE key = 'a'")
@@ -201,8 +201,8 @@
 		s.exec(c, "INSERT INTO ledger VALUES ('a', '1')")
 		must.Eq(t, "1", s.get(c, "SELECT value FROM ledger WHERE key = 'a'"))
 		// Member 1 and instance 1 share zone a.
-		s.Network.Cut("a", "b")
-		s.Network.Cut("a", "c")
+		s.Network.Partition("a", "b")
+		s.Network.Partition("a", "c")
 		s.promote("10.0.9.9", "b")
 		_, err := c.Exec(s.ctx, "/* kind=strict */ SELECT value FROM ledger WHERE key = 'a'")
 		s.assertRefused(err, refuser.NoTarget)
--- a/internal/relayer/drain.go
+++ b/internal/relayer/drain.go
@@ -14,12 +14,12 @@
 	// idleGrace is how long a session must be idle outside a transaction before it is closed,
 	// so that requests already sent are still served.
 	idleGrace = 100 * time.Millisecond
-	// busyGrace is how long to wait for a busy caller to become idle; after it, the session is
+	// busyGrace is how long to wait for a busy client to become idle; after it, the session is
 	// closed right after an answer. Requests already sent are then refused as not run.
 	busyGrace = 3 * time.Second
 )
 
-// Leaver closes the sessions of an instance that shuts down, each between two transactions,
+// Drainer closes the sessions of an instance that shuts down, each between two transactions,
 // with an error code on which drivers reconnect. The zero value is ready for use; all sessions
 // of an instance share it.
 type Drainer struct {
@@ -30,45 +30,45 @@
 }
 
 // Drain starts closing all sessions.
-func (l *Drainer) Drain() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if !l.requestedAt.IsZero() {
+func (d *Drainer) Drain() {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if !d.requestedAt.IsZero() {
 		return
 	}
-	l.requestedAt = time.Now()
-	for s, waiting := range l.sessions {
+	d.requestedAt = time.Now()
+	for s, waiting := range d.sessions {
 		if waiting {
-			_ = s.Conn.SetReadDeadline(l.requestedAt.Add(idleGrace))
+			_ = s.Conn.SetReadDeadline(d.requestedAt.Add(idleGrace))
 		}
 	}
 }
 
 // Sessions returns the number of sessions.
-func (l *Drainer) Sessions() int {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return len(l.sessions)
+func (d *Drainer) Sessions() int {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return len(d.sessions)
 }
 
 // markWaiting records that the session waits for a request. A session in a transaction is left
 // to finish.
-func (l *Drainer) markWaiting(s *Session) {
-	if l == nil {
+func (d *Drainer) markWaiting(s *Session) {
+	if d == nil {
 		return
 	}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	waiting := s.status == 'I' && s.pinned == nil && s.suspended == nil
-	if l.sessions == nil {
-		l.sessions = map[*Session]bool{}
+	if d.sessions == nil {
+		d.sessions = map[*Session]bool{}
 	}
-	l.sessions[s] = waiting
-	if !waiting || l.requestedAt.IsZero() {
+	d.sessions[s] = waiting
+	if !waiting || d.requestedAt.IsZero() {
 		return
 	}
 	now := time.Now()
-	if now.Sub(l.requestedAt) < busyGrace {
+	if now.Sub(d.requestedAt) < busyGrace {
 		now = now.Add(idleGrace)
 	}
 	_ = s.Conn.SetReadDeadline(now)
@@ -76,15 +76,15 @@
 
 // markBusy records that the session has a request, and reports whether it must be closed
 // instead.
-func (l *Drainer) markBusy(s *Session, err error) (mustClose bool) {
-	if l == nil {
+func (d *Drainer) markBusy(s *Session, err error) (mustClose bool) {
+	if d == nil {
 		return false
 	}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	wasWaiting := l.sessions[s]
-	l.sessions[s] = false
-	if l.requestedAt.IsZero() || !wasWaiting {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	wasWaiting := d.sessions[s]
+	d.sessions[s] = false
+	if d.requestedAt.IsZero() || !wasWaiting {
 		return false
 	}
 	var timeout net.Error
@@ -95,13 +95,13 @@
 	return false
 }
 
-func (l *Drainer) remove(s *Session) {
-	if l == nil {
+func (d *Drainer) remove(s *Session) {
+	if d == nil {
 		return
 	}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	delete(l.sessions, s)
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	delete(d.sessions, s)
 }
 
 // sendShutdownError sends the error that makes the driver reconnect.
--- a/internal/relayer/exchange.go
+++ b/internal/relayer/exchange.go
@@ -41,10 +41,10 @@
 
 		expected            []byte   // kinds of the outstanding answers, see the constants
 		unconfirmedParses   []string // target's names of Parse messages not yet answered
-		unconfirmedNames    []string // caller's names of Parse messages not yet answered
+		unconfirmedNames    []string // client's names of Parse messages not yet answered
 		answered            bool     // a statement has completed
 		failed              bool     // after an error; the target skips messages up to the Sync
-		applyingSettings    bool     // the caller's settings are being applied
+		applyingSettings    bool     // the client's settings are being applied
 		awaitingInitialSync bool     // the leading Sync is unanswered
 		awaitingReplayCheck bool     // the replay check is unanswered
 		behind              bool     // the replay check failed; discard what follows
@@ -70,7 +70,7 @@
 	resultBehind
 	// resultLost: the answer is incomplete; the request state determines the outcome.
 	resultLost
-	// resultRefused: the answer must not be sent to the caller.
+	// resultRefused: the answer must not be sent to the client.
 	resultRefused
 )
 
@@ -84,7 +84,7 @@
 
 const (
 	// maxConnStatements limits the prepared statements per connection, since each takes about
-	// 10 KB of the target's memory. Callers share statements of equal text.
+	// 10 KB of the target's memory. Clients share statements of equal text.
 	maxConnStatements = 500
 	// writeTimeout bounds sending a request to a target that does not read.
 	writeTimeout = 10 * time.Second
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// applySettings applies the caller's settings unless the connection already has them.
+// applySettings applies the client's settings unless the connection already has them.
 func (x *exchange) applySettings(ctx context.Context) error {
 	all := x.session.settings
 	if x.state.inTransaction || x.state.written || x.conn.Settings == all.script() {
@@ -187,7 +187,7 @@
 }
 
 // setupFailed ends an exchange whose settings could not be applied. A rejected setting is
-// reported to the caller, since a retry would fail, too. Its transaction is rolled back, so the
+// reported to the client, since a retry would fail, too. Its transaction is rolled back, so the
 // connection remains reusable.
 func (x *exchange) setupFailed(err error) result {
 	if !errors.Is(err, errInternalQueryRejected) {
@@ -197,7 +197,7 @@
 	return resultRefused
 }
 
-// runInternalQuery runs a query that is invisible to the caller and passes its rows to the
+// runInternalQuery runs a query that is invisible to the client and passes its rows to the
 // callback. Like every exchange, it starts with a Sync.
 func (x *exchange) runInternalQuery(ctx context.Context, q string, row func(pgproto3.BackendMessage)) error {
 	if _, err := x.conn.Write(append(slices.Clone(syncMessage), encode(&pgproto3.Query{String: q})...)); err != nil {
@@ -335,7 +335,7 @@
 	return out
 }
 
-// appendParse prepares a statement on the connection if it isn't yet, invisibly to the caller.
+// appendParse prepares a statement on the connection if it isn't yet, invisibly to the client.
 func (x *exchange) appendParse(out []byte, t *statement) []byte {
 	if t == nil || x.conn.Statements[t.name] {
 		return out
--- a/internal/relayer/exchange_test.go
+++ b/internal/relayer/exchange_test.go
@@ -14,7 +14,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// A stray answer to a finished request must not be taken for the answer to the next caller's
+// A stray answer to a finished request must not be taken for the answer to the next client's
 // request.
 func TestStrayAnswer(t *testing.T) {
 	for _, later := range []time.Duration{0, time.Millisecond, 10 * time.Millisecond} {
@@ -56,7 +56,7 @@
 }
 
 // After a connection loss in the middle of an answer, a read is retried only if no part of the
-// answer has been sent to the caller.
+// answer has been sent to the client.
 func TestInterruptedAnswer(t *testing.T) {
 	const sql = "SELECT * FROM generate_series(1, 20000)"
 	for rows, answered := range map[int]bool{3: true, 15000: false} {
--- a/internal/relayer/fleet_test.go
+++ b/internal/relayer/fleet_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// open connects a caller to instance i.
+// open connects a client to instance i.
 func (s *fleet) open(i int, parameters map[string]string) *pgx.Conn {
 	s.Helper()
 	c, err := s.Connect(s.ctx, s.Instances[i], service, parameters)
--- a/internal/relayer/fuzz_test.go
+++ b/internal/relayer/fuzz_test.go
@@ -13,14 +13,14 @@
 	"github.com/oriolegw/oriolegw/pkg/sealer"
 )
 
-// scriptedCaller is a caller's connection that sends fixed bytes.
-type scriptedCaller struct {
+// scriptedClient is a client's connection that sends fixed bytes.
+type scriptedClient struct {
 	scriptedConn
 	out *bytes.Buffer
 }
 
-func (c scriptedCaller) Write(p []byte) (int, error) { return c.out.Write(p) }
-func (scriptedCaller) Close() error                  { return nil }
+func (c scriptedClient) Write(p []byte) (int, error) { return c.out.Write(p) }
+func (scriptedClient) Close() error                  { return nil }
 
 func encodeMessages(messages ...pgproto3.FrontendMessage) []byte {
 	var b []byte
@@ -30,8 +30,8 @@
 	return b
 }
 
-// Arbitrary input never makes the session panic or emit incomplete messages.
-func FuzzCaller(f *testing.F) {
+// FuzzClient checks that no input makes the session panic or emit incomplete messages.
+func FuzzClient(f *testing.F) {
 	f.Add(encodeMessages(&pgproto3.Query{String: "SHOW oriole.token"}, &pgproto3.Query{String: "COMMIT"}, &pgproto3.Terminate{}))
 	f.Add(encodeMessages(&pgproto3.Parse{Name: "s", Query: "SET oriole.kind = 'x'"}, &pgproto3.Bind{PreparedStatement: "s"}, &pgproto3.Describe{ObjectType: 'S', Name: "s"}, &pgproto3.Execute{}, &pgproto3.Close{ObjectType: 'S', Name: "s"}, &pgproto3.Flush{}, &pgproto3.Sync{}))
 	f.Add(encodeMessages(&pgproto3.Execute{Portal: "p"}, &pgproto3.Flush{}, &pgproto3.Parse{Query: "LISTEN x"}, &pgproto3.Sync{}, &pgproto3.FunctionCall{}, &pgproto3.CopyData{}))
@@ -41,7 +41,7 @@
 	seal := &sealer.Sealer{Keys: []sealer.Key{{Number: 1, Secret: make([]byte, 16)}}}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		for _, status := range []byte{'I', 'E'} {
-			c := scriptedCaller{scriptedConn: scriptedConn{Reader: bytes.NewReader(data)}, out: &bytes.Buffer{}}
+			c := scriptedClient{scriptedConn: scriptedConn{Reader: bytes.NewReader(data)}, out: &bytes.Buffer{}}
 			s := &Session{
 				Conn: c, Backend: pgproto3.NewBackend(c, c), Service: "jobs", Sealer: seal, HasToken: true,
 				Table: func() *router.Table { return table }, Count: func(string) {},
--- a/internal/relayer/outcome.go
+++ b/internal/relayer/outcome.go
@@ -3,7 +3,7 @@
 import "github.com/oriolegw/oriolegw/pkg/refuser"
 
 // requestState is what is known of a request without a complete answer. The outcome reported to
-// the caller derives from it alone: a wrong "not run" makes callers repeat writes.
+// the client derives from it alone: a wrong "not run" makes clients repeat writes.
 type requestState struct {
 	// written: part of the request may have reached the target.
 	written bool
@@ -24,26 +24,26 @@
 }
 
 // outcome returns what is certain about the request.
-func (f requestState) outcome() refuser.Outcome {
+func (s requestState) outcome() refuser.Outcome {
 	switch {
-	case !f.written:
+	case !s.written:
 		return refuser.NotRun
-	case f.committed:
+	case s.committed:
 		return refuser.Unknown
-	case f.rejected, f.replica, f.pure:
+	case s.rejected, s.replica, s.pure:
 		return refuser.NotRun
-	case f.inTransaction && !f.mayCommit:
+	case s.inTransaction && !s.mayCommit:
 		return refuser.NotRun
 	}
 	return refuser.Unknown
 }
 
 // reason returns the refusal for a request that won't be retried.
-func (f requestState) reason() *refuser.Reason {
+func (s requestState) reason() *refuser.Reason {
 	switch {
-	case f.outcome() == refuser.Unknown:
+	case s.outcome() == refuser.Unknown:
 		return refuser.ConnectionLost
-	case f.inTransaction:
+	case s.inTransaction:
 		return refuser.TransactionLost
 	}
 	return refuser.ReadLost
--- a/internal/relayer/outcome_test.go
+++ b/internal/relayer/outcome_test.go
@@ -15,7 +15,7 @@
 
 const increment = "UPDATE ledger SET value = value + 1 WHERE key = 'a'"
 
-// When established connections stop responding but new ones work, waiting callers get the right
+// When established connections stop responding but new ones work, waiting clients get the right
 // outcome soon, and the next request uses a new connection.
 func TestSilentConnections(t *testing.T) {
 	cases := map[string]struct {
@@ -136,13 +136,13 @@
 	}
 }
 
-// outcomes groups the keys by the outcome reported to the caller.
+// outcomes groups the keys by the outcome reported to the client.
 type outcomes struct{ acknowledged, notRun, unknown, duplicates []string }
 
 func atMostOnce(s *fleet, seed uint64) {
-	const callers, requests = 3, 30
-	results := make(chan outcomes, callers)
-	for i := range callers {
+	const clients, requests = 3, 30
+	results := make(chan outcomes, clients)
+	for i := range clients {
 		go func() { results <- s.insertKeys(i, requests) }()
 	}
 	r := rand.New(rand.NewPCG(seed, 1))
@@ -151,7 +151,7 @@
 		s.injectFault(r)
 	}
 	var sum outcomes
-	for range callers {
+	for range clients {
 		one := <-results
 		sum.acknowledged = append(sum.acknowledged, one.acknowledged...)
 		sum.notRun = append(sum.notRun, one.notRun...)
@@ -161,7 +161,7 @@
 	time.Sleep(5 * time.Second)
 	c := s.open(1, nil)
 	s.Logf("seed %d: %d acknowledged, %d not run, %d unknown", seed, len(sum.acknowledged), len(sum.notRun), len(sum.unknown))
-	must.Eq(s.T, callers*requests, len(sum.acknowledged)+len(sum.notRun)+len(sum.unknown))
+	must.Eq(s.T, clients*requests, len(sum.acknowledged)+len(sum.notRun)+len(sum.unknown))
 	must.SliceEmpty(s.T, sum.duplicates)
 	for _, key := range sum.acknowledged {
 		must.Eq(s.T, 1, s.countRows(c, key), must.Sprint("acknowledged: ", key))
@@ -178,7 +178,7 @@
 	return int(tag.RowsAffected())
 }
 
-// insertKeys sends requests one after another, in the caller's form: a statement, a transaction
+// insertKeys sends requests one after another, in the client's form: a statement, a transaction
 // or a query of several statements.
 func (s *fleet) insertKeys(i, requests int) (t outcomes) {
 	var c *pgx.Conn
@@ -199,7 +199,7 @@
 	return t
 }
 
-func (t *outcomes) record(key string, done bool, err error) {
+func (o *outcomes) record(key string, done bool, err error) {
 	outcome := refuser.Unknown
 	var e *pgconn.PgError
 	if errors.As(err, &e) {
@@ -207,11 +207,11 @@
 	}
 	switch {
 	case err == nil && done:
-		t.acknowledged = append(t.acknowledged, key)
+		o.acknowledged = append(o.acknowledged, key)
 	case err == nil, outcome == refuser.NotRun:
-		t.notRun = append(t.notRun, key)
+		o.notRun = append(o.notRun, key)
 	default:
-		t.unknown = append(t.unknown, key)
+		o.unknown = append(o.unknown, key)
 	}
 }
 
@@ -263,11 +263,11 @@
 		primary.Faults.Unfreeze()
 	case 4:
 		s.promote("10.0.9.9", "b")
-	case 5: // the primary still serves callers of its own zone
+	case 5: // the primary still serves clients of its own zone
 		other := ""
 		for _, zone := range []string{"a", "b", "c"} {
 			if zone != primary.Zone {
-				s.Network.Cut(primary.Zone, zone)
+				s.Network.Partition(primary.Zone, zone)
 				other = zone
 			}
 		}
--- a/internal/relayer/replicas_test.go
+++ b/internal/relayer/replicas_test.go
@@ -94,7 +94,7 @@
 	return float64(replicas) / float64(all), times[len(times)/2], times[len(times)*99/100]
 }
 
-// runClient runs one caller that reads back its own write in one of ten rounds.
+// runClient runs one client that reads back its own write in one of ten rounds.
 func (s *fleet) runClient(i, rounds int) (times []time.Duration) {
 	c, err := s.Connect(s.ctx, s.Instances[i%3], service, nil)
 	if err != nil {
--- a/internal/relayer/request.go
+++ b/internal/relayer/request.go
@@ -10,7 +10,7 @@
 )
 
 type (
-	// request holds a caller's messages up to a Query, Sync or Flush. A request ended by Query
+	// request holds a client's messages up to a Query, Sync or Flush. A request ended by Query
 	// or Sync is routed, answered or refused as a whole; what follows a Flush uses the same
 	// connection.
 	request struct {
@@ -38,15 +38,15 @@
 	step struct {
 		kind byte // message type byte; 'd' and 'c' for Describe and Close of a statement
 		data []byte
-		// name is the caller's name of the statement or portal, or the text of a Query.
+		// name is the client's name of the statement or portal, or the text of a Query.
 		name string
 		// statement is the one that the step defines, references or executes.
 		statement *statement
 		bind      *pgproto3.Bind
 	}
 
-	// statement is a caller's prepared statement. Its name at the target is derived from the
-	// text, so that callers share it without collisions.
+	// statement is a client's prepared statement. Its name at the target is derived from the
+	// text, so that clients share it without collisions.
 	statement struct {
 		name  string
 		sql   string
@@ -58,7 +58,7 @@
 // stepOverhead is the estimated memory of a step beside its data, in bytes.
 const stepOverhead = 128
 
-// unknownStatementPrefix is prepended to names that the caller never prepared, so that they
+// unknownStatementPrefix is prepended to names that the client never prepared, so that they
 // match no statement at the target.
 const unknownStatementPrefix = "missing_"
 
@@ -74,8 +74,8 @@
 	}
 }
 
-func (t *statement) encodeParse() []byte {
-	return encode(&pgproto3.Parse{Name: t.name, Query: t.sql, ParameterOIDs: t.oids})
+func (s *statement) encodeParse() []byte {
+	return encode(&pgproto3.Parse{Name: s.name, Query: s.sql, ParameterOIDs: s.oids})
 }
 
 // addStep appends a step and records what its statement may do.
--- a/internal/relayer/session.go
+++ b/internal/relayer/session.go
@@ -22,7 +22,7 @@
 	"github.com/oriolegw/oriolegw/pkg/sealer"
 )
 
-// Session parameters exchanged with callers.
+// Session parameters exchanged with clients.
 const (
 	// ParameterToken is the session token.
 	ParameterToken = "oriole.token"
@@ -58,7 +58,7 @@
 		Connected time.Time
 		// PreferenceSeed selects the replica preferred among equal ones; see router.Request.
 		PreferenceSeed uint64
-		// HasToken is set when Floor comes from the caller's token.
+		// HasToken is set when Floor comes from the client's token.
 		HasToken bool
 		Table    func() *router.Table
 		// RequestWatermark requests a fresh watermark of the service; may be nil.
@@ -69,7 +69,7 @@
 		Sealer  *sealer.Sealer
 		// Network is used to send cancel requests to targets.
 		Network networker.Network
-		// PID and Secret are the caller's cancel key.
+		// PID and Secret are the client's cancel key.
 		PID, Secret uint32
 		// OnEnd is called when the session ends; may be nil.
 		OnEnd func()
@@ -90,11 +90,11 @@
 		pendingSettings []string     // SET statements of the open transaction
 		pinned          *pooler.Conn // connection of an open transaction
 		suspended       *exchange    // exchange that continues after a Flush
-		status          byte         // transaction status reported to the caller: I, T or E
+		status          byte         // transaction status reported to the client: I, T or E
 		skipToSync      bool         // discard messages up to the next Sync
 		floorKnown      bool
 		// outcomeUnknown is set after a refusal with an unknown outcome. Reads then go to the
-		// primary, so that the caller can check for its write.
+		// primary, so that the client can check for its write.
 		outcomeUnknown bool
 		requestCount   uint64           // used for slow start
 		seenPosition   orderer.Position // newest position observed by reads
@@ -111,7 +111,7 @@
 	maxHeldBytes = 1 << 20
 )
 
-// Run serves the caller until it disconnects or ctx is done.
+// Run serves the client until it disconnects or ctx is done.
 func (s *Session) Run(ctx context.Context) error {
 	s.begin()
 	stop := context.AfterFunc(ctx, func() { _ = s.Conn.Close() })
@@ -189,7 +189,7 @@
 	return s.flush()
 }
 
-// aborted reports whether the caller's transaction has been lost.
+// aborted reports whether the client's transaction has been lost.
 func (s *Session) aborted() bool { return s.status != 'I' && s.pinned == nil && s.suspended == nil }
 
 // abandonTransaction ends an open transaction after a refusal.
@@ -201,7 +201,7 @@
 }
 
 // failTransaction destroys the session's connections. As in PostgreSQL, a lost transaction
-// stays aborted until the caller ends it, so that pipelined statements don't run outside it.
+// stays aborted until the client ends it, so that pipelined statements don't run outside it.
 func (s *Session) failTransaction(inTransaction bool) {
 	s.destroyConns()
 	s.pendingSettings = nil
@@ -247,7 +247,7 @@
 	_, err := s.Conn.Write(s.out)
 	s.out, s.partlySent = s.out[:0], true
 	if err != nil {
-		return errors.Wrap(err, "send answer to caller")
+		return errors.Wrap(err, "send answer to client")
 	}
 	return nil
 }
--- a/internal/relayer/session_test.go
+++ b/internal/relayer/session_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Session state must not leak to the next caller on a shared connection.
+// Session state must not leak to the next client on a shared connection.
 func TestSessionStateIsolation(t *testing.T) {
 	for _, sql := range []string{
 		"SELECT pg_advisory_lock(1)",
@@ -116,7 +116,7 @@
 	})
 }
 
-// A COPY that classify misses is refused instead of blocking the caller, and its connection is
+// A COPY that classify misses is refused instead of blocking the client, and its connection is
 // destroyed.
 func TestUndetectedCopy(t *testing.T) {
 	runFleet(t, defaultPlan(), func(s *fleet) {
@@ -152,7 +152,7 @@
 	})
 }
 
-// The connection of a caller that disconnects in a transaction is destroyed; its next borrower
+// The connection of a client that disconnects in a transaction is destroyed; its next borrower
 // must not commit the transaction.
 func TestDisconnectInTransaction(t *testing.T) {
 	runFleet(t, defaultPlan(), func(s *fleet) {
--- a/internal/relayer/settings.go
+++ b/internal/relayer/settings.go
@@ -8,7 +8,7 @@
 )
 
 type (
-	// settings are the caller's session settings in the order of their changes. They are
+	// settings are the client's session settings in the order of their changes. They are
 	// applied to each connection that last served different settings.
 	settings []setting
 
@@ -26,8 +26,8 @@
 
 var plainName = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_]*(\.[A-Za-z_][A-Za-z0-9_]*)?$`)
 
-// ApplyStartupParameters applies a caller's startup parameters, such as search_path or TimeZone, as session
-// settings.
+// ApplyStartupParameters applies a client's startup parameters, such as search_path or TimeZone,
+// as session settings.
 func (s *Session) ApplyStartupParameters(parameters map[string]string) {
 	for _, name := range slices.Sorted(maps.Keys(parameters)) {
 		value := parameters[name]
@@ -63,7 +63,7 @@
 
 func quoteLiteral(s string) string { return "'" + strings.ReplaceAll(s, "'", "''") + "'" }
 
-// without returns the settings except those that the statements change, so that a caller can
+// without returns the settings except those that the statements change, so that a client can
 // correct a setting that targets reject.
 func (s settings) without(statements []string) settings {
 	for _, sql := range statements {
--- a/internal/relayer/silence.go
+++ b/internal/relayer/silence.go
@@ -22,7 +22,7 @@
 	unansweredSince time.Time // start of the current run of failed probes
 }
 
-var errSilent = errors.New("the target's connection stopped responding")
+var errNoResponse = errors.New("the target's connection stopped responding")
 
 // startSilenceWatch starts the silence detection for an answer.
 func (x *exchange) startSilenceWatch(now time.Time) {
@@ -50,7 +50,7 @@
 			return nil, ctx.Err()
 		}
 		if !x.checkSilence(ctx) {
-			return nil, errSilent
+			return nil, errNoResponse
 		}
 		_ = x.conn.SetReadDeadline(time.Now().Add(prober.CheckInterval))
 	}
--- a/internal/relayer/tokens.go
+++ b/internal/relayer/tokens.go
@@ -114,26 +114,26 @@
 }
 
 // at returns token i, empty if out of range.
-func (w tokens) at(i int) string {
-	if i < 0 || i >= len(w) {
+func (t tokens) at(i int) string {
+	if i < 0 || i >= len(t) {
 		return ""
 	}
-	return w[i]
+	return t[i]
 }
 
 // containsSequence reports whether the tokens occur in w consecutively.
-func (w tokens) containsSequence(want ...string) bool {
-	for i := range w {
-		if w.hasSequenceAt(i, want...) {
+func (t tokens) containsSequence(want ...string) bool {
+	for i := range t {
+		if t.hasSequenceAt(i, want...) {
 			return true
 		}
 	}
 	return false
 }
 
-func (w tokens) hasSequenceAt(i int, want ...string) bool {
+func (t tokens) hasSequenceAt(i int, want ...string) bool {
 	for k, s := range want {
-		if w.at(i+k) != s {
+		if t.at(i+k) != s {
 			return false
 		}
 	}
@@ -141,8 +141,8 @@
 }
 
 // containsAny reports whether w contains a token of the set.
-func (w tokens) containsAny(set map[string]bool) bool {
-	for _, s := range w {
+func (t tokens) containsAny(set map[string]bool) bool {
+	for _, s := range t {
 		if set[s] {
 			return true
 		}
--- a/internal/reporter/metrics.go
+++ b/internal/reporter/metrics.go
@@ -15,7 +15,7 @@
 )
 
 type (
-	// Metric describes a metric for docs/METRICS.md. Names are dotted; PageName
+	// Metric describes a metric for docs/METRICS.md. Names are dotted; PrometheusName
 	// converts them to Prometheus names.
 	Metric struct {
 		Name        string
@@ -32,7 +32,7 @@
 	}
 
 	series struct {
-		register *Registry
+		registry *Registry
 		name     string
 		labels   string
 		kind     string
@@ -46,7 +46,7 @@
 
 	// histogram creates a series for each bucket.
 	histogram struct {
-		register *Registry
+		registry *Registry
 		name     string
 		tags     map[string]string
 	}
@@ -117,13 +117,13 @@
 	}
 }
 
-// NewScope creates a scope that reports to the register until it is closed.
+// NewScope creates a scope that reports to the registry until it is closed.
 func (r *Registry) NewScope(tags map[string]string) (tally.Scope, io.Closer) {
 	return tally.NewRootScope(tally.ScopeOptions{CachedReporter: r, Tags: tags, OmitCardinalityMetrics: true}, ReportInterval)
 }
 
 // AddGaugeFunc adds a gauge whose value is read whenever the page is rendered. The function
-// must not use the register, whose lock is held.
+// must not use the registry, whose lock is held.
 func (r *Registry) AddGaugeFunc(name string, tags map[string]string, read func() float64) {
 	s := r.add(name, KindGauge, tags)
 	r.mutex.Lock()
@@ -137,7 +137,7 @@
 	if r.series == nil {
 		r.series = map[string]*series{}
 	}
-	s := &series{register: r, name: PrometheusName(name), labels: formatLabels(tags), kind: kind}
+	s := &series{registry: r, name: PrometheusName(name), labels: formatLabels(tags), kind: kind}
 	if old := r.series[s.name+s.labels]; old != nil {
 		return old
 	}
@@ -187,8 +187,8 @@
 }
 
 func (s *series) update(compute func(old float64) float64) {
-	s.register.mutex.Lock()
-	defer s.register.mutex.Unlock()
+	s.registry.mutex.Lock()
+	defer s.registry.mutex.Unlock()
 	s.value = compute(s.value)
 }
 
@@ -228,7 +228,7 @@
 
 // AllocateHistogram implements tally.CachedStatsReporter.
 func (r *Registry) AllocateHistogram(name string, tags map[string]string, _ tally.Buckets) tally.CachedHistogram {
-	return histogram{register: r, name: name, tags: tags}
+	return histogram{registry: r, name: name, tags: tags}
 }
 
 func (h histogram) bucket(upper string) tally.CachedHistogramBucket {
@@ -236,7 +236,7 @@
 	for k, v := range h.tags {
 		tags[k] = v
 	}
-	return h.register.add(h.name+".samples", KindCounter, tags)
+	return h.registry.add(h.name+".samples", KindCounter, tags)
 }
 
 // ValueBucket implements tally.CachedHistogram.
--- a/internal/reporter/state.go
+++ b/internal/reporter/state.go
@@ -29,7 +29,7 @@
 		// Primary is the name of the primary, or empty if unknown.
 		Primary string
 		// Connections is the number of connections from the instance to the group,
-		// Share its maximum.
+		// MaxConnections the instance's share.
 		Connections, MaxConnections int
 		Members                     []MemberState
 	}
--- a/internal/retrier/retrier.go
+++ b/internal/retrier/retrier.go
@@ -17,7 +17,7 @@
 // attempts, so it needs no clock. Set the exported fields before use. A nil Budget allows
 // every retry.
 type Budget struct {
-	// Ratio is the number of retries that a first attempt allows; 0 means DefaultPart.
+	// Ratio is the number of retries that a first attempt allows; 0 means DefaultRatio.
 	Ratio float64
 	// Reserve is the largest number of unused retries; 0 means DefaultReserve.
 	Reserve float64
--- a/internal/router/explainer.go
+++ b/internal/router/decision_log.go
@@ -26,35 +26,35 @@
 	// DecisionLog keeps the most recent decisions of an instance in a ring buffer.
 	DecisionLog struct {
 		mutex   sync.Mutex
-		ring    [explainerCapacity]Decision
+		ring    [decisionLogCapacity]Decision
 		next    int
 		wrapped bool
 	}
 )
 
-// explainerCapacity is the number of decisions kept, about 40 KB.
-const explainerCapacity = 256
+// decisionLogCapacity is the number of decisions kept, about 40 KB.
+const decisionLogCapacity = 256
 
 // Add records a decision, overwriting the oldest.
-func (e *DecisionLog) Add(d Decision) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	e.ring[e.next] = d
-	e.next = (e.next + 1) % explainerCapacity
-	e.wrapped = e.wrapped || e.next == 0
+func (l *DecisionLog) Add(d Decision) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.ring[l.next] = d
+	l.next = (l.next + 1) % decisionLogCapacity
+	l.wrapped = l.wrapped || l.next == 0
 }
 
 // Recent returns the kept decisions, newest first.
-func (e *DecisionLog) Recent() []Decision {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	n := e.next
-	if e.wrapped {
-		n = explainerCapacity
+func (l *DecisionLog) Recent() []Decision {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	n := l.next
+	if l.wrapped {
+		n = decisionLogCapacity
 	}
 	out := make([]Decision, 0, n)
 	for k := range n {
-		out = append(out, e.ring[(e.next-1-k+explainerCapacity)%explainerCapacity])
+		out = append(out, l.ring[(l.next-1-k+decisionLogCapacity)%decisionLogCapacity])
 	}
 	return out
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -25,8 +25,8 @@
 		Zone string
 		// Exclude lists the indexes of members that have just failed this request.
 		Exclude []int
-		// PreferenceSeed differs between instances. Among equal replicas an instance prefers the same
-		// one, to reuse its connections, and the instances together spread over all.
+		// PreferenceSeed differs between instances. Among equal replicas an instance prefers the
+		// same one, to reuse its connections, and the instances together spread over all.
 		PreferenceSeed uint64
 		// Sequence differs between requests; slow start selects requests by it.
 		Sequence uint64
@@ -38,7 +38,8 @@
 		Replica bool
 		// MinPosition is the position that the member must have replayed.
 		MinPosition orderer.Position
-		// CatchUpTimeout is how long the replica may take to reach Need; 0 when it is known to hold it.
+		// CatchUpTimeout is how long the replica may take to reach MinPosition; 0 when it is known
+		// to hold it.
 		CatchUpTimeout time.Duration
 		// Reason explains the choice, for the status page.
 		Reason string
@@ -140,17 +141,17 @@
 	return Choice{Member: best.member, Replica: true, MinPosition: need, CatchUpTimeout: catchUpTimeout, Reason: reasonCatchUp}, true
 }
 
-// memberAt returns the member at place k of the instance's own order. A fixed order keeps an
+// memberAt returns the member at index k of the instance's own order. A fixed order keeps an
 // instance from alternating between replicas and reopening connections.
 func (r Request) memberAt(k, members int) int { return PreferredMember(r.PreferenceSeed, k, members) }
 
-// PreferredMember returns the member at place k of an instance's order. Instances differ in both the
+// PreferredMember returns the member at index k of an instance's order. Instances differ in both the
 // start and the direction: with the start alone, the member behind the primary would be the
 // first replica for two thirds of them.
-func PreferredMember(home uint64, k, members int) int {
+func PreferredMember(seed uint64, k, members int) int {
 	n := uint64(members)
-	first := int(home % n)
-	if home/n%2 == 1 {
+	first := int(seed % n)
+	if seed/n%2 == 1 {
 		k = members - k
 	}
 	return (first + k) % members
@@ -191,13 +192,13 @@
 
 // admitsRead reports whether a recovered member gets a read: a fraction that grows over
 // slowStartDuration. Other reads use another replica or the primary.
-func (m Member) admitsRead(now time.Time, turn uint64) bool {
+func (m Member) admitsRead(now time.Time, sequence uint64) bool {
 	const parts = 10
 	up := now.Sub(m.RecoveredAt)
 	if m.RecoveredAt.IsZero() || up >= slowStartDuration {
 		return true
 	}
-	return turn%parts <= uint64(up*parts/slowStartDuration)
+	return sequence%parts <= uint64(up*parts/slowStartDuration)
 }
 
 // lagUpperBound returns an upper bound of a member's lag when it was last queried, by the
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -24,31 +24,31 @@
 
 func newFixture() *fixture {
 	s := &Slice{Published: &atomic.Pointer[Table]{}}
-	g := &fixture{Slice: s, now: time.Unix(1000, 0)}
+	f := &fixture{Slice: s, now: time.Unix(1000, 0)}
 	d := &configurer.Document{Services: []configurer.Service{{Name: "jobs"}}}
 	for i, zone := range []string{"a", "b", "c"} {
 		d.Services[0].Members = append(d.Services[0].Members, configurer.Member{Name: zone, Address: fmt.Sprint(i), Zone: zone})
 	}
-	s.Step(g.now, configurer.Activated{Version: 1, Document: d})
-	return g
+	s.Step(f.now, configurer.Activated{Version: 1, Document: d})
+	return f
 }
 
 // observeMember supplies a member's status, queried now.
-func (g *fixture) observeMember(member string, role string, term, offset uint64) {
+func (f *fixture) observeMember(member string, role string, term, offset uint64) {
 	p := orderer.Position{Term: term, Offset: offset}
-	g.Step(g.now, observer.Observed{Service: "jobs", Member: member, Started: g.now, Status: commander.Status{Role: role, Term: term, Received: p, Replayed: p}})
+	f.Step(f.now, observer.Observed{Service: "jobs", Member: member, Started: f.now, Status: commander.Status{Role: role, Term: term, Received: p, Replayed: p}})
 }
 
 // observeAll supplies the statuses of all three members; a is the primary.
-func (g *fixture) observeAll(a, b, c uint64) {
-	g.now = g.now.Add(100 * time.Millisecond)
-	g.observeMember("a", commander.RolePrimary, 1, a)
-	g.observeMember("b", commander.RoleReplica, 1, b)
-	g.observeMember("c", commander.RoleReplica, 1, c)
+func (f *fixture) observeAll(a, b, c uint64) {
+	f.now = f.now.Add(100 * time.Millisecond)
+	f.observeMember("a", commander.RolePrimary, 1, a)
+	f.observeMember("b", commander.RoleReplica, 1, b)
+	f.observeMember("c", commander.RoleReplica, 1, c)
 }
 
-func (g *fixture) choose(r Request) Choice {
-	return g.Published.Load().Group("jobs").Choose(g.now, r)
+func (f *fixture) choose(r Request) Choice {
+	return f.Published.Load().Group("jobs").Choose(f.now, r)
 }
 
 func position(offset uint64) orderer.Position { return orderer.Position{Term: 1, Offset: offset} }
@@ -57,100 +57,100 @@
 	read := Request{Read: true, MaxAge: time.Second, Zone: "b"}
 	withFloor := func(o uint64) Request { r := read; r.Floor = position(o); return r }
 	cases := map[string]struct {
-		observe func(g *fixture)
+		observe func(f *fixture)
 		request Request
 		member  int
-		await   bool
-		why     string
+		catchUp bool
+		reason  string
 	}{
-		"a write":                                         {request: Request{}, member: 0, why: reasonWrite},
-		"a read that accepts no staleness":                {request: Request{Read: true}, member: 0, why: reasonNoStaleness},
-		"a read, replica in its zone":                     {request: read, member: 1, why: reasonReplica},
-		"a read with a floor past the replicas' position": {request: withFloor(11), member: 1, await: true, why: reasonCatchUp},
+		"a write":                                         {request: Request{}, member: 0, reason: reasonWrite},
+		"a read that accepts no staleness":                {request: Request{Read: true}, member: 0, reason: reasonNoStaleness},
+		"a read, replica in its zone":                     {request: read, member: 1, reason: reasonReplica},
+		"a read with a floor past the replicas' position": {request: withFloor(11), member: 1, catchUp: true, reason: reasonCatchUp},
 		"the replica in the zone lags": {
-			observe: func(g *fixture) { g.observeAll(20, 5, 20) },
-			request: withFloor(15), member: 2, why: reasonReplica,
+			observe: func(f *fixture) { f.observeAll(20, 5, 20) },
+			request: withFloor(15), member: 2, reason: reasonReplica,
 		},
 		"all replicas lag": {
-			observe: func(g *fixture) {
+			observe: func(f *fixture) {
 				for i := range uint64(12) {
-					g.observeAll(20+i, 10, 10)
+					f.observeAll(20+i, 10, 10)
 				}
 			},
-			request: withFloor(31), member: 0, why: reasonReplicasBehind,
+			request: withFloor(31), member: 0, reason: reasonReplicasBehind,
 		},
 		"lagging replica within the staleness bound": {
-			observe: func(g *fixture) {
+			observe: func(f *fixture) {
 				for i := range uint64(5) {
-					g.observeAll(20+i, 10, 20+i)
+					f.observeAll(20+i, 10, 20+i)
 				}
 			},
-			request: Request{Read: true, MaxAge: time.Minute, Zone: "b"}, member: 1, why: reasonReplica,
+			request: Request{Read: true, MaxAge: time.Minute, Zone: "b"}, member: 1, reason: reasonReplica,
 		},
 		"no majority within the staleness bound": {
-			observe: func(g *fixture) {
-				g.now = g.now.Add(2 * time.Second)
-				g.observeMember("b", commander.RoleReplica, 1, 10)
+			observe: func(f *fixture) {
+				f.now = f.now.Add(2 * time.Second)
+				f.observeMember("b", commander.RoleReplica, 1, 10)
 			},
-			request: read, member: -1, why: reasonNoWatermark,
+			request: read, member: -1, reason: reasonNoWatermark,
 		},
 		"floor of a newer term than the primary's": {
-			request: Request{Floor: orderer.Position{Term: 2, Offset: 1}}, member: -1, why: reasonOldPrimary,
+			request: Request{Floor: orderer.Position{Term: 2, Offset: 1}}, member: -1, reason: reasonOldPrimary,
 		},
 		"the replica in the zone is draining": {
-			observe: func(g *fixture) { g.Step(g.now, drainer.TargetLeaving{Service: "jobs", Member: "b", Leaving: true}) },
-			request: read, member: 2, why: reasonReplica,
+			observe: func(f *fixture) { f.Step(f.now, drainer.TargetLeaving{Service: "jobs", Member: "b", Leaving: true}) },
+			request: read, member: 2, reason: reasonReplica,
 		},
 		"both replicas are unresponsive": {
-			observe: func(g *fixture) {
+			observe: func(f *fixture) {
 				for _, m := range []string{"b", "c"} {
-					g.Step(g.now, observer.Observed{Service: "jobs", Member: m, Err: errors.New("no answer")})
+					f.Step(f.now, observer.Observed{Service: "jobs", Member: m, Err: errors.New("no answer")})
 				}
 			},
-			request: read, member: 0, why: reasonReplicasBehind,
+			request: read, member: 0, reason: reasonReplicasBehind,
 		},
 		"a replica that holds the newest position read": {
-			observe: func(g *fixture) { g.observeAll(20, 11, 20) },
-			request: Request{Read: true, MaxAge: time.Minute, Zone: "b", LastRead: position(15)}, member: 2, why: reasonReplica,
+			observe: func(f *fixture) { f.observeAll(20, 11, 20) },
+			request: Request{Read: true, MaxAge: time.Minute, Zone: "b", LastRead: position(15)}, member: 2, reason: reasonReplica,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			g := newFixture()
-			g.observeAll(10, 10, 10)
+			f := newFixture()
+			f.observeAll(10, 10, 10)
 			if c.observe != nil {
-				c.observe(g)
+				c.observe(f)
 			}
-			got := g.choose(c.request)
+			got := f.choose(c.request)
 			must.Eq(t, c.member, got.Member, must.Sprint(got.Reason))
-			must.Eq(t, c.why, got.Reason)
-			must.Eq(t, c.await, got.CatchUpTimeout > 0)
+			must.Eq(t, c.reason, got.Reason)
+			must.Eq(t, c.catchUp, got.CatchUpTimeout > 0)
 		})
 	}
 }
 
 // A watermark whose queries were sent at the very time of the request satisfies it.
-func TestSinceIncludesExactTime(t *testing.T) {
-	g := newFixture()
-	g.observeAll(10, 10, 10)
-	_, ok := g.groups["jobs"].WatermarkSince(g.now)
+func TestWatermarkSinceIncludesExactTime(t *testing.T) {
+	f := newFixture()
+	f.observeAll(10, 10, 10)
+	_, ok := f.groups["jobs"].WatermarkSince(f.now)
 	must.True(t, ok)
-	_, ok = g.groups["jobs"].WatermarkSince(g.now.Add(time.Nanosecond))
+	_, ok = f.groups["jobs"].WatermarkSince(f.now.Add(time.Nanosecond))
 	must.False(t, ok)
 }
 
 // An instance keeps to one of two equal replicas, to reuse its connections, while instances
 // together use both.
 func TestInstanceKeepsToOneOfEqualReplicas(t *testing.T) {
-	g := newFixture()
-	g.observeAll(10, 10, 10)
+	f := newFixture()
+	f.observeAll(10, 10, 10)
 	used := map[int]bool{}
 	for _, name := range []string{"entry-1", "entry-2", "entry-3", "entry-4", "entry-5", "entry-6"} {
 		r := Request{Read: true, MaxAge: time.Minute, Zone: "none", PreferenceSeed: PreferenceSeed(name)}
-		first := g.choose(r).Member
+		first := f.choose(r).Member
 		for i := range uint64(10) {
 			r.Sequence = i
-			must.Eq(t, first, g.choose(r).Member)
+			must.Eq(t, first, f.choose(r).Member)
 		}
 		used[first] = true
 	}
@@ -160,13 +160,13 @@
 // A recovered replica gets a growing fraction of the reads, and no read is left without a
 // target.
 func TestSlowStart(t *testing.T) {
-	g := newFixture()
-	g.observeAll(10, 10, 10)
-	g.Step(g.now, observer.Observed{Service: "jobs", Member: "b", Err: errors.New("no answer")})
+	f := newFixture()
+	f.observeAll(10, 10, 10)
+	f.Step(f.now, observer.Observed{Service: "jobs", Member: "b", Err: errors.New("no answer")})
 	share := func() int {
 		n := 0
 		for i := range uint64(100) {
-			c := g.choose(Request{Read: true, MaxAge: time.Minute, Zone: "b", Sequence: i})
+			c := f.choose(Request{Read: true, MaxAge: time.Minute, Zone: "b", Sequence: i})
 			must.GreaterEq(t, 0, c.Member)
 			if c.Member == 1 {
 				n++
@@ -177,9 +177,9 @@
 	must.Eq(t, 0, share())
 	var shares []int
 	for range 3 {
-		g.observeAll(10, 10, 10)
+		f.observeAll(10, 10, 10)
 		shares = append(shares, share())
-		g.now = g.now.Add(5 * time.Second)
+		f.now = f.now.Add(5 * time.Second)
 	}
 	must.Eq(t, []int{10, 60, 100}, shares)
 }
@@ -187,14 +187,14 @@
 // An hour of watermarks is thinned to maxWatermarks, and each staleness bound still finds one
 // that is not much younger.
 func TestThinWatermarks(t *testing.T) {
-	g := newFixture()
+	f := newFixture()
 	for i := range uint64(36000) {
-		g.observeAll(i, i, i)
+		f.observeAll(i, i, i)
 	}
-	w := g.Published.Load().Group("jobs")
+	w := f.Published.Load().Group("jobs")
 	must.LessEq(t, maxWatermarks, len(w.Watermarks))
 	for _, age := range []time.Duration{time.Second, 10 * time.Second, time.Minute, 30 * time.Minute} {
-		p, ok := w.positionForAge(g.now, age)
+		p, ok := w.positionForAge(f.now, age)
 		must.True(t, ok)
 		found := time.Duration(35999-p.Offset) * 100 * time.Millisecond
 		must.LessEq(t, age, found)
@@ -204,29 +204,29 @@
 
 // Concurrent requests for a watermark share one query, repeated only after minQueryInterval.
 func TestWatermarkQueriesAreRateLimited(t *testing.T) {
-	g := newFixture()
+	f := newFixture()
 	count := func() (n int) {
 		for range 100 {
-			n += len(g.Step(g.now, WatermarkWanted{Service: "jobs"}))
+			n += len(f.Step(f.now, WatermarkWanted{Service: "jobs"}))
 		}
 		return n
 	}
 	must.Eq(t, 3, count())
-	g.now = g.now.Add(minQueryInterval - time.Millisecond)
+	f.now = f.now.Add(minQueryInterval - time.Millisecond)
 	must.Eq(t, 0, count())
-	g.now = g.now.Add(time.Millisecond)
-	must.Eq(t, 3, len(g.Step(g.now, controller.Tick{})))
-	must.Eq(t, 0, len(g.Step(g.now, controller.Tick{})))
+	f.now = f.now.Add(time.Millisecond)
+	must.Eq(t, 3, len(f.Step(f.now, controller.Tick{})))
+	must.Eq(t, 0, len(f.Step(f.now, controller.Tick{})))
 }
 
-func TestExplainerKeepsNewestDecisions(t *testing.T) {
+func TestDecisionLogKeepsNewestDecisions(t *testing.T) {
 	e := &DecisionLog{}
 	must.Eq(t, 0, len(e.Recent()))
-	for i := range explainerCapacity + 3 {
+	for i := range decisionLogCapacity + 3 {
 		e.Add(Decision{Member: i})
 	}
 	r := e.Recent()
-	must.Eq(t, explainerCapacity, len(r))
-	must.Eq(t, explainerCapacity+2, r[0].Member)
-	must.Eq(t, 3, r[explainerCapacity-1].Member)
+	must.Eq(t, decisionLogCapacity, len(r))
+	must.Eq(t, decisionLogCapacity+2, r[0].Member)
+	must.Eq(t, 3, r[decisionLogCapacity-1].Member)
 }
--- a/internal/router/table.go
+++ b/internal/router/table.go
@@ -69,7 +69,7 @@
 		version  int64
 		document *configurer.Document
 		groups   map[string]*Group
-		asker    WatermarkQuerier
+		querier  WatermarkQuerier
 	}
 )
 
@@ -91,7 +91,7 @@
 			s.publish(e.Service)
 		}
 	case WatermarkWanted:
-		s.asker.request(e.Service)
+		s.querier.request(e.Service)
 	case controller.Tick:
 	default:
 		return nil
@@ -102,9 +102,9 @@
 // pendingQueries returns the queries that callers wait for.
 func (s *Slice) pendingQueries(now time.Time) []controller.Action {
 	var out []controller.Action
-	for service := range s.asker.groups {
+	for service := range s.querier.groups {
 		if g := s.groups[service]; g != nil {
-			out = append(out, s.asker.dueQueries(now, g)...)
+			out = append(out, s.querier.dueQueries(now, g)...)
 		}
 	}
 	return out
--- a/internal/router/asker.go
+++ b/internal/router/watermark_querier.go
@@ -34,20 +34,20 @@
 func (WatermarkWanted) EventName() string { return "watermark-wanted" }
 
 // request records that a fresh watermark of a group is wanted.
-func (a *WatermarkQuerier) request(service string) {
-	if a.groups == nil {
-		a.groups = map[string]*queryState{}
+func (q *WatermarkQuerier) request(service string) {
+	if q.groups == nil {
+		q.groups = map[string]*queryState{}
 	}
-	if a.groups[service] == nil {
-		a.groups[service] = &queryState{}
+	if q.groups[service] == nil {
+		q.groups[service] = &queryState{}
 	}
-	a.groups[service].wanted = true
+	q.groups[service].wanted = true
 }
 
 // dueQueries returns the queries that may be sent now. Members that don't respond are
 // left to the observer: a watermark needs a majority only.
-func (a *WatermarkQuerier) dueQueries(now time.Time, g *Group) []controller.Action {
-	state := a.groups[g.Service.Name]
+func (q *WatermarkQuerier) dueQueries(now time.Time, g *Group) []controller.Action {
+	state := q.groups[g.Service.Name]
 	if state == nil || !state.wanted || now.Before(state.nextAllowed) {
 		return nil
 	}
--- a/internal/runner/callers.go
+++ b/internal/runner/callers.go
@@ -14,14 +14,14 @@
 )
 
 // statusPages returns the HTTP status pages, and registers the gauges that they show.
-func (i *Instance) statusPages(ctx context.Context, control *controller.Controller, clients *acceptor.Greeter) *reporter.Pages {
-	if i.Register != nil {
+func (i *Instance) statusPages(ctx context.Context, control *controller.Controller, clients *acceptor.Acceptor) *reporter.Pages {
+	if i.Registry != nil {
 		tags := map[string]string{reporter.TagInstance: i.Settings.Name}
-		i.Register.AddGaugeFunc(reporter.GaugeCallers, tags, func() float64 { return float64(clients.Callers()) })
-		i.Register.AddGaugeFunc(reporter.GaugeVersion, tags, func() float64 { return float64(i.statusState().Version) })
+		i.Registry.AddGaugeFunc(reporter.GaugeCallers, tags, func() float64 { return float64(clients.Callers()) })
+		i.Registry.AddGaugeFunc(reporter.GaugeVersion, tags, func() float64 { return float64(i.statusState().Version) })
 	}
 	return &reporter.Pages{
-		Address: i.Settings.StatusAddress, Network: i.Network, State: i.statusState, RecentDecisions: i.sessions.explainer.Recent, Registry: i.Register,
+		Address: i.Settings.StatusAddress, Network: i.Network, State: i.statusState, RecentDecisions: i.sessions.explainer.Recent, Registry: i.Registry,
 		Drain: func() { control.Post(ctx, drainer.InstanceLeaving{}) },
 	}
 }
@@ -41,9 +41,9 @@
 	return state
 }
 
-// newGreeter returns the listener for client connections.
-func (i *Instance) newGreeter() (*acceptor.Greeter, error) {
-	g := &acceptor.Greeter{
+// newAcceptor returns the acceptor of client connections.
+func (i *Instance) newAcceptor() (*acceptor.Acceptor, error) {
+	g := &acceptor.Acceptor{
 		Address: i.Settings.Callers, Network: i.Network, Log: i.Log, Open: i.openSession, Cancel: i.cancelRequest,
 		Authentication: i.Settings.Authentication, EncryptionMode: i.Settings.Encryption.Mode,
 		Verifier: i.passwordVerifier, Limits: i.Settings.Limits,
--- a/internal/runner/configuration_test.go
+++ b/internal/runner/configuration_test.go
@@ -65,7 +65,7 @@
 			time.Sleep(time.Second)
 			s.Store.SetFaults(func(f *storer.Faults) { f.Down = true })
 		}},
-		"zone partitioned from the platform": {func(s *stager.Fleet) { s.Network.Cut("a", "platform") }, noFault},
+		"zone partitioned from the platform": {func(s *stager.Fleet) { s.Network.Partition("a", "platform") }, noFault},
 	} {
 		t.Run(name, func(t *testing.T) {
 			withFleet(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
--- a/internal/runner/drain.go
+++ b/internal/runner/drain.go
@@ -12,18 +12,18 @@
 	"github.com/oriolegw/oriolegw/internal/relayer"
 )
 
-// drain implements the graceful shutdown of the instance, as decided by drainer.Leaver.
+// drain implements the graceful shutdown of the instance, as decided by drainer.InstanceDrainer.
 type drain struct {
-	instance     *Instance
-	clientLeaver relayer.Drainer
-	leaving      atomic.Bool
-	drained      atomic.Bool
-	clients      *acceptor.Greeter
-	stop         context.CancelFunc
+	instance       *Instance
+	sessionDrainer relayer.Drainer
+	leaving        atomic.Bool
+	drained        atomic.Bool
+	clients        *acceptor.Acceptor
+	stop           context.CancelFunc
 }
 
 // initialize prepares the drain and returns the slice that decides its steps.
-func (d *drain) initialize(i *Instance, clients *acceptor.Greeter, stop context.CancelFunc) controller.Slice {
+func (d *drain) initialize(i *Instance, clients *acceptor.Acceptor, stop context.CancelFunc) controller.Slice {
 	d.instance, d.clients, d.stop = i, clients, stop
 	limit := i.Settings.Limits.DrainTimeout
 	if limit == 0 {
@@ -51,7 +51,7 @@
 	switch a.(type) {
 	case drainer.StopAccepting:
 		d.clients.StopAccepting()
-		d.clientLeaver.Drain()
+		d.sessionDrainer.Drain()
 	case drainer.CountCallers:
 		return drainer.CallersLeft{Callers: d.clients.Callers()}, true
 	case drainer.Stop:
--- a/internal/runner/drain_test.go
+++ b/internal/runner/drain_test.go
@@ -130,9 +130,9 @@
 func TestDrainUnderLoad(t *testing.T) {
 	withFleet(t, func(t *testing.T, ctx context.Context, s *stager.Fleet) {
 		const clients = 10
-		// A client without pauses between its requests isn't disconnected until busyFor
+		// A client without pauses between its requests isn't disconnected until busyGrace
 		// after the instance has stopped accepting.
-		const unreadyFor, busyFor = 2 * time.Second, 3 * time.Second
+		const unreadyDuration, busyGrace = 2 * time.Second, 3 * time.Second
 		type result struct {
 			written int
 			refused time.Time
@@ -156,7 +156,7 @@
 		for range clients {
 			r := <-done
 			must.NoError(t, r.err)
-			must.Between(t, unreadyFor+busyFor, r.refused.Sub(start), unreadyFor+busyFor+time.Second)
+			must.Between(t, unreadyDuration+busyGrace, r.refused.Sub(start), unreadyDuration+busyGrace+time.Second)
 			written += r.written
 		}
 		c := connect(t, ctx, s, 1)
@@ -168,7 +168,7 @@
 }
 
 // writeUntil writes keys in sequence until stop closes. It reconnects to another instance and
-// repeats a write only if the error says that the write has not run. It returns the number
+// repeats a write only if the error guarantees that the write has not run. It returns the number
 // of writes and the time of the last refusal.
 func writeUntil(ctx context.Context, s *stager.Fleet, conn *pgx.Conn, client int, stop <-chan struct{}) (written int, refusedAt time.Time, err error) {
 	defer func() { _ = conn.Close(ctx) }()
--- a/internal/runner/terms.go
+++ b/internal/runner/failover.go
@@ -17,14 +17,14 @@
 type externalEvents struct{ events <-chan controller.Event }
 
 // Step implements controller.Slice.
-func (n *externalEvents) Step(_ time.Time, e controller.Event) []controller.Action {
+func (s *externalEvents) Step(_ time.Time, e controller.Event) []controller.Action {
 	if _, tick := e.(controller.Tick); !tick {
 		return nil
 	}
 	var out []controller.Action
 	for {
 		select {
-		case e := <-n.events:
+		case e := <-s.events:
 			out = append(out, controller.Emit{Event: e})
 		default:
 			return out
@@ -60,35 +60,35 @@
 }
 
 // Step implements controller.Slice.
-func (a *failoverLogger) Step(_ time.Time, e controller.Event) []controller.Action {
+func (l *failoverLogger) Step(_ time.Time, e controller.Event) []controller.Action {
 	switch e := e.(type) {
 	case detector.Suspected:
-		if e.On {
-			a.count("suspected")
-			a.log("Member is suspected.", "service", e.Service, "member", e.Member, "term", e.Term, "evidence", e.Evidence, "answer-age", e.Age)
+		if e.Active {
+			l.count("suspected")
+			l.log("Member is suspected.", "service", e.Service, "member", e.Member, "term", e.Term, "evidence", e.Evidence, "answer-age", e.Age)
 		} else {
-			a.log("Suspicion has ended.", "service", e.Service, "member", e.Member, "term", e.Term)
+			l.log("Suspicion has ended.", "service", e.Service, "member", e.Member, "term", e.Term)
 		}
 	case detector.FailureAgreed:
-		if e.On {
-			a.log("Failure is agreed.", "service", e.Service, "member", e.Member, "term", e.Term, "evidence", e.Evidence)
+		if e.Active {
+			l.log("Failure is agreed.", "service", e.Service, "member", e.Member, "term", e.Term, "evidence", e.Evidence)
 		} else {
-			a.log("Agreement has ended.", "service", e.Service, "member", e.Member, "term", e.Term)
+			l.log("Agreement has ended.", "service", e.Service, "member", e.Member, "term", e.Term)
 		}
 	case promoter.PromotionStarted:
-		a.log("Promotion begins.", "service", e.Service, "replaces", e.Member, "term", e.Term, "planned", e.Planned, "evidence", e.Evidence)
+		l.log("Promotion begins.", "service", e.Service, "replaces", e.Member, "term", e.Term, "planned", e.Planned, "evidence", e.Evidence)
 	case promoter.Promoted:
-		a.count("promoted")
-		a.log("Member was promoted.", "service", e.Service, "member", e.Member, "term", e.Term, "planned", e.Planned, "took", e.Duration)
+		l.count("promoted")
+		l.log("Member was promoted.", "service", e.Service, "member", e.Member, "term", e.Term, "planned", e.Planned, "took", e.Duration)
 	case promoter.Abandoned:
-		a.count("promotion-abandoned." + string(e.Reason))
-		a.log("Promotion was abandoned.", "service", e.Service, "term", e.Term, "reason", string(e.Reason))
+		l.count("promotion-abandoned." + string(e.Reason))
+		l.log("Promotion was abandoned.", "service", e.Service, "term", e.Term, "reason", string(e.Reason))
 	}
 	return nil
 }
 
-func (a *failoverLogger) count(name string) { a.instance.Metrics.Counter(name).Inc(1) }
+func (l *failoverLogger) count(name string) { l.instance.Metrics.Counter(name).Inc(1) }
 
-func (a *failoverLogger) log(text string, pairs ...any) {
-	_ = a.instance.Log.Log(append([]any{"part", "terms", "msg", text}, pairs...)...)
+func (l *failoverLogger) log(text string, pairs ...any) {
+	_ = l.instance.Log.Log(append([]any{"part", "terms", "msg", text}, pairs...)...)
 }
--- a/internal/runner/peers.go
+++ b/internal/runner/peers.go
@@ -24,11 +24,11 @@
 	// peers is the communication of an instance with the others: gossip, configuration
 	// fetches and forwarded cancel requests.
 	peers struct {
-		instance          *Instance
-		published         atomic.Pointer[gossiper.Snapshot]
-		heldConfiguration atomic.Pointer[configurer.ActiveDocument]
-		client            *gossiper.Client
-		post              func(context.Context, controller.Event)
+		instance            *Instance
+		published           atomic.Pointer[gossiper.Snapshot]
+		activeConfiguration atomic.Pointer[configurer.ActiveDocument]
+		client              *gossiper.Client
+		post                func(context.Context, controller.Event)
 	}
 
 	// suspicionForwarder passes suspicions of the detector on to the gossiper, so that neither
@@ -89,12 +89,12 @@
 	settings, self := p.instance.Settings, p.self()
 	return []controller.Slice{
 		&lister.Slice{Self: self, Random: p.newRandom("lister")},
-		&configurer.Slice{Instance: settings.Name, Zone: settings.Zone, Random: p.newRandom("configurer"), Active: &p.heldConfiguration},
+		&configurer.Slice{Instance: settings.Name, Zone: settings.Zone, Random: p.newRandom("configurer"), Active: &p.activeConfiguration},
 		&drainer.Slice{},
 		&observer.Slice{Instance: settings.Name, Zone: settings.Zone},
 		suspicionForwarder{},
 		&gossiper.Slice{
-			Self: self, Run: rand.Uint32(), Random: p.newRandom("gossiper"), Published: &p.published, Seeds: settings.Seeds,
+			Self: self, Incarnation: rand.Uint32(), Random: p.newRandom("gossiper"), Published: &p.published, Seeds: settings.Seeds,
 		},
 		&usageTimer{},
 		&eventLogger{instance: p.instance},
@@ -143,7 +143,7 @@
 }
 
 func (p *peers) answerFetch(request *wire.FetchRequest) *wire.FetchReply {
-	return gossiper.MakeFetchReply(p.heldConfiguration.Load(), p.published.Load(), request)
+	return gossiper.MakeFetchReply(p.activeConfiguration.Load(), p.published.Load(), request)
 }
 
 // ForwardCancel implements canceller.Forwarder. Several instances may have the same tag:
@@ -171,7 +171,7 @@
 	if !ok {
 		return nil
 	}
-	return []controller.Action{controller.Emit{Event: gossiper.Suspicion{Service: d.Service, Member: d.Member, On: d.On}}}
+	return []controller.Action{controller.Emit{Event: gossiper.Suspicion{Service: d.Service, Member: d.Member, On: d.Active}}}
 }
 
 // Step implements controller.Slice.
@@ -193,8 +193,8 @@
 }
 
 // Step implements controller.Slice.
-func (r *eventLogger) Step(_ time.Time, e controller.Event) []controller.Action {
-	i := r.instance
+func (l *eventLogger) Step(_ time.Time, e controller.Event) []controller.Action {
+	i := l.instance
 	switch e := e.(type) {
 	case configurer.Activated:
 		_ = i.Log.Log("part", "configuration", "msg", "Configuration applied.", "version", e.Version)
@@ -205,26 +205,26 @@
 		i.Metrics.Counter("target-leaving." + e.Source).Inc(1)
 		_ = i.Log.Log("part", "drain", "msg", "Draining state of a target has changed.", "service", e.Service, "member", e.Member, "leaving", e.Leaving, "source", e.Source)
 	case gossiper.Exchanged:
-		r.recordExchange(e)
+		l.recordExchange(e)
 	}
 	return nil
 }
 
 // recordExchange counts failures. It logs mismatched keys and versions, once per peer, since
 // retries can't resolve them.
-func (r *eventLogger) recordExchange(e gossiper.Exchanged) {
+func (l *eventLogger) recordExchange(e gossiper.Exchanged) {
 	if e.Err == nil {
-		delete(r.refusalLogged, e.Peer.Name)
+		delete(l.refusalLogged, e.Peer.Name)
 		return
 	}
-	r.instance.Metrics.Counter("peer-failed.exchange").Inc(1)
+	l.instance.Metrics.Counter("peer-failed.exchange").Inc(1)
 	permanent := errors.Is(e.Err, linker.ErrForeignFleet) || errors.Is(e.Err, linker.ErrWireVersion)
-	if !permanent || r.refusalLogged[e.Peer.Name] {
+	if !permanent || l.refusalLogged[e.Peer.Name] {
 		return
 	}
-	if r.refusalLogged == nil {
-		r.refusalLogged = map[string]bool{}
+	if l.refusalLogged == nil {
+		l.refusalLogged = map[string]bool{}
 	}
-	r.refusalLogged[e.Peer.Name] = true
-	_ = r.instance.Log.Log("part", "peers", "msg", "Link to a peer refused: keys or protocol versions differ.", "peer", e.Peer.Name, "address", e.Peer.Address, "cause", e.Err)
+	l.refusalLogged[e.Peer.Name] = true
+	_ = l.instance.Log.Log("part", "peers", "msg", "Link to a peer refused: keys or protocol versions differ.", "peer", e.Peer.Name, "address", e.Peer.Address, "cause", e.Err)
 }
--- a/internal/runner/pools.go
+++ b/internal/runner/pools.go
@@ -179,10 +179,10 @@
 // primary, replicas in the own zone, then the other replicas in routing order. Without a known
 // primary it returns only the members in the own zone: idle connections to both replicas would
 // exhaust a share of two, leaving none to query the third member, which is the primary.
-func preferredTargets(g *router.Group, zone string, home uint64) []pooler.Endpoint {
+func preferredTargets(g *router.Group, zone string, seed uint64) []pooler.Endpoint {
 	var ownZone, others []pooler.Endpoint
 	for k := range g.Service.Members {
-		i := router.PreferredMember(home, k, len(g.Service.Members))
+		i := router.PreferredMember(seed, k, len(g.Service.Members))
 		member := g.Service.Members[i]
 		switch {
 		case i == g.Primary:
@@ -224,10 +224,10 @@
 
 // runControlStatement runs a control statement on the member at an address, over the
 // connections of its group.
-func (i *Instance) runControlStatement(ctx context.Context, address, sql string, urgency commander.Priority) ([][][]byte, error) {
+func (i *Instance) runControlStatement(ctx context.Context, address, sql string, priority commander.Priority) ([][][]byte, error) {
 	if table := i.groups.Load(); table != nil {
 		if entry := table.byAddress[address]; entry != nil {
-			return entry.pool.QueryControl(ctx, address, sql, urgency)
+			return entry.pool.QueryControl(ctx, address, sql, priority)
 		}
 	}
 	return nil, commander.ErrNoConnection
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -29,8 +29,8 @@
 	Network  networker.Network
 	Log      log.Logger
 	Metrics  tally.Scope
-	// Register holds the metrics for the status pages; nil if they show none.
-	Register *reporter.Registry
+	// Registry is the registry of the metrics for the status pages; nil if they show none.
+	Registry *reporter.Registry
 	// Store and List are clients of the platform's key-value store and instance list.
 	Store     storer.Store
 	Instances lister.List
@@ -77,7 +77,7 @@
 	control.Open()
 	i.sessions.initialize(i, func(e controller.Event) { control.Post(ctx, e) })
 	i.sessions.cancels.Forwarder = peers
-	clients, err := i.newGreeter()
+	clients, err := i.newAcceptor()
 	if err != nil {
 		return err
 	}
--- a/internal/runner/sessions.go
+++ b/internal/runner/sessions.go
@@ -36,7 +36,7 @@
 	s.ApplyStartupParameters(parameters)
 	s.Connected = time.Now()
 	s.HasToken = parameters[relayer.ParameterToken] != ""
-	s.Drainer, s.PreferenceSeed = &i.drain.clientLeaver, router.PreferenceSeed(i.Settings.Name)
+	s.Drainer, s.PreferenceSeed = &i.drain.sessionDrainer, router.PreferenceSeed(i.Settings.Name)
 	s.Explainer, s.Prober = &i.sessions.explainer, &i.sessions.prober
 	s.RequestWatermark = func(service string) { i.sessions.post(router.WatermarkWanted{Service: service}) }
 	key, err := i.sessions.cancels.Add(s)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -18,9 +18,9 @@
 func (c *VirtualClock) NextStart(f *Flow) float64 { return max(f.finish, c.virtual) }
 
 // StartNext advances the virtual time to the start of the flow's next item.
-func (t *VirtualClock) StartNext(f *Flow) {
-	f.finish = t.NextStart(f)
-	t.virtual = f.finish
+func (c *VirtualClock) StartNext(f *Flow) {
+	f.finish = c.NextStart(f)
+	c.virtual = f.finish
 }
 
 // AdvanceTo advances the virtual time to the virtual start of an item that has started.
@@ -28,8 +28,8 @@
 
 // Enqueue returns the virtual start of a new item with the given cost, for a flow with the given
 // share.
-func (t *VirtualClock) Enqueue(f *Flow, cost, share float64) float64 {
-	start := t.NextStart(f)
+func (c *VirtualClock) Enqueue(f *Flow, cost, share float64) float64 {
+	start := c.NextStart(f)
 	f.finish = start + cost/share
 	return start
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -11,17 +11,17 @@
 )
 
 func ExampleVirtualClock_Enqueue() {
-	var t scheduler.VirtualClock
-	var hot, calm scheduler.Flow
+	var clock scheduler.VirtualClock
+	var heavy, light scheduler.Flow
 	for range 3 {
-		fmt.Println("hot", t.Enqueue(&hot, 1, 1))
+		fmt.Println("heavy", clock.Enqueue(&heavy, 1, 1))
 	}
-	fmt.Println("calm", t.Enqueue(&calm, 1, 1))
+	fmt.Println("light", clock.Enqueue(&light, 1, 1))
 	// Output:
-	// hot 0
-	// hot 1
-	// hot 2
-	// calm 0
+	// heavy 0
+	// heavy 1
+	// heavy 2
+	// light 0
 }
 
 // Guards against a flow with a large backlog delaying the others, and against ignored shares.
--- a/internal/standin/failer/failer_test.go
+++ b/internal/standin/failer/failer_test.go
@@ -46,16 +46,16 @@
 func partitionZone(f *stager.Fleet, p *stager.Target) {
 	for _, z := range f.Plan.Zones {
 		if z != p.Zone {
-			f.Network.Cut(p.Zone, z)
+			f.Network.Partition(p.Zone, z)
 		}
 	}
-	f.Network.Cut(p.Zone, "platform")
+	f.Network.Partition(p.Zone, "platform")
 }
 
 // partitionStore partitions the platform from all zones.
 func partitionStore(f *stager.Fleet, _ *stager.Target) {
 	for _, z := range f.Plan.Zones {
-		f.Network.Cut(z, "platform")
+		f.Network.Partition(z, "platform")
 	}
 }
 
@@ -66,7 +66,7 @@
 // delayResponses partitions the primary from its replicas, and delays its responses to the
 // first instance until another primary is promoted.
 func delayResponses(f *stager.Fleet, p *stager.Target) {
-	f.Network.CutOneWay(p.IP, f.Instances[0].IP)
+	f.Network.PartitionOneWay(p.IP, f.Instances[0].IP)
 	failer.PartitionFromReplicas(f, p)
 	time.Sleep(5 * time.Second)
 	f.Network.HealAll()
@@ -151,7 +151,7 @@
 				m.Faults.SetStreamLag(100 * time.Millisecond)
 			}
 		}},
-		{"one zone can't reach the primary", 0, func(f *stager.Fleet, p *stager.Target) { f.Network.Cut(f.Instances[1].IP, p.IP) }},
+		{"one zone can't reach the primary", 0, func(f *stager.Fleet, p *stager.Target) { f.Network.Partition(f.Instances[1].IP, p.IP) }},
 		{"many short pauses", 0, func(f *stager.Fleet, p *stager.Target) {
 			r := rand.New(rand.NewPCG(3, 3))
 			for range 30 {
@@ -186,7 +186,7 @@
 		must.NoError(t, err)
 		defer f.Close()
 		must.NoError(t, f.AwaitReady(ctx))
-		f.Network.Cut(f.Instances[1].IP, f.Members[0].IP)
+		f.Network.Partition(f.Instances[1].IP, f.Members[0].IP)
 		time.Sleep(20 * time.Second)
 		f.Network.HealAll()
 		time.Sleep(20 * time.Second)
--- a/internal/standin/failer/fault_pairs_test.go
+++ b/internal/standin/failer/fault_pairs_test.go
@@ -39,7 +39,7 @@
 
 // partition partitions two hosts or zones and returns the function that heals the partition.
 func partition(f *stager.Fleet, a, b string) func() {
-	f.Network.Cut(a, b)
+	f.Network.Partition(a, b)
 	return func() { f.Network.Heal(a, b) }
 }
 
@@ -81,7 +81,7 @@
 	}},
 	{"cut-one-way", func(f *stager.Fleet, r *rand.Rand) func() {
 		a, b := randomTarget(f, r).IP, randomInstance(f, r).IP
-		f.Network.CutOneWay(a, b)
+		f.Network.PartitionOneWay(a, b)
 		return func() { f.Network.Heal(a, b) }
 	}},
 	{"cut-zone", func(f *stager.Fleet, r *rand.Rand) func() {
--- a/internal/standin/failer/faults.go
+++ b/internal/standin/failer/faults.go
@@ -15,7 +15,7 @@
 func PartitionFromReplicas(f *stager.Fleet, p *stager.Target) {
 	for _, m := range f.Members {
 		if m != p {
-			f.Network.Cut(p.IP, m.IP)
+			f.Network.Partition(p.IP, m.IP)
 		}
 	}
 }
@@ -24,7 +24,7 @@
 func PartitionFromAll(f *stager.Fleet, p *stager.Target) {
 	PartitionFromReplicas(f, p)
 	for _, e := range f.Instances {
-		f.Network.Cut(p.IP, e.IP)
+		f.Network.Partition(p.IP, e.IP)
 	}
 }
 
--- a/internal/standin/failer/promoter_test.go
+++ b/internal/standin/failer/promoter_test.go
@@ -132,7 +132,7 @@
 		}},
 		{"receives no responses", func(f *stager.Fleet, e *stager.Instance) func() {
 			for _, m := range f.Members {
-				f.Network.CutOneWay(m.IP, e.IP)
+				f.Network.PartitionOneWay(m.IP, e.IP)
 			}
 			return f.Network.HealAll
 		}},
--- a/internal/standin/failer/replay_test.go
+++ b/internal/standin/failer/replay_test.go
@@ -18,7 +18,7 @@
 		Prepare: func(f *stager.Fleet) { f.Members[1].Faults.SetReplayLag(900 * time.Millisecond) },
 		Inject: func(f *stager.Fleet, p *stager.Target) {
 			for _, z := range f.Plan.Zones {
-				f.Network.Cut("callers", z)
+				f.Network.Partition("callers", z)
 			}
 			time.Sleep(50 * time.Millisecond)
 			f.Network.HealAll()
--- a/internal/standin/measurer/customers.go
+++ b/internal/standin/measurer/customers.go
@@ -17,46 +17,45 @@
 const (
 	largeUser = "large"
 	smallUser = "small"
-	// smallPause is between two requests of a small customer's caller, of which
-	// there is one on each instance.
-	smallPause = 50 * time.Millisecond
-	// customersWarm is for shares and latencies to settle, customersLength what
-	// is measured.
-	customersWarm   = 10 * time.Second
-	customersLength = 10 * time.Second
-	// smallWrites: one request in five of the small customer is a write.
-	smallWrites = 5
+	// smallThinkTime is the time between two requests of a small customer's client, of
+	// which there is one per instance.
+	smallThinkTime = 50 * time.Millisecond
+	// customersWarmup precedes the measured customersDuration.
+	customersWarmup   = 10 * time.Second
+	customersDuration = 10 * time.Second
+	// smallWriteInterval is the number of requests per write.
+	smallWriteInterval = 5
 )
 
 type (
-	// Customers is what a small customer got beside a large one.
-	Customers struct {
-		Small, Large Served
-		// Peak is the most connections at the members, of Budget.
-		Peak, Budget int
+	// FairnessResult holds the results of a small and a large customer run together.
+	FairnessResult struct {
+		Small, Large CustomerResult
+		// PeakConnections is the maximum of connections to the members; ConnectionBudget
+		// its limit.
+		PeakConnections, ConnectionBudget int
 	}
 
-	// Served is what the callers of one customer got.
-	Served struct {
-		Times   []time.Duration
-		Refused int
+	// CustomerResult holds the latencies and refusals of one customer's requests.
+	CustomerResult struct {
+		Latencies []time.Duration
+		Refused   int
 	}
 
-	// customerRun is one run's callers.
-	customerRun struct {
-		fleet   *stager.Fleet
-		service string
-		from    time.Time
+	// fairnessRun collects the results of one run's clients.
+	fairnessRun struct {
+		fleet       *stager.Fleet
+		service     string
+		measureFrom time.Time
 
-		mutex  sync.Mutex
-		served map[string]*Served
+		mutex   sync.Mutex
+		results map[string]*CustomerResult
 	}
 )
 
-// MeasureCustomers runs one small customer's callers, and beside them the callers
-// of a large customer, so many on each instance, that ask without pause. Both have
-// the same share.
-func MeasureCustomers(ctx context.Context, p stager.Plan, large int) (*Customers, error) {
+// MeasureFairness runs a small customer's clients beside those of a large customer with the
+// same share, which send requests without pause; large is their number per instance.
+func MeasureFairness(ctx context.Context, p stager.Plan, large int) (*FairnessResult, error) {
 	p.Services = p.Services[:1]
 	p.Services[0].Customers = []configurer.Customer{
 		{Name: largeUser, Share: 1, Users: []string{largeUser}}, {Name: smallUser, Share: 1, Users: []string{smallUser}},
@@ -69,43 +68,43 @@
 	if err := f.AwaitReady(ctx); err != nil {
 		return nil, err
 	}
-	r := &customerRun{
-		fleet: f, service: p.Services[0].Name, from: time.Now().Add(customersWarm),
-		served: map[string]*Served{largeUser: {}, smallUser: {}},
+	r := &fairnessRun{
+		fleet: f, service: p.Services[0].Name, measureFrom: time.Now().Add(customersWarmup),
+		results: map[string]*CustomerResult{largeUser: {}, smallUser: {}},
 	}
 	r.run(ctx, large)
-	return &Customers{
-		Small: *r.served[smallUser], Large: *r.served[largeUser],
-		Peak: f.Members[0].Counter.Peak(), Budget: p.Services[0].Connections,
+	return &FairnessResult{
+		Small: *r.results[smallUser], Large: *r.results[largeUser],
+		PeakConnections: f.Members[0].Counter.Peak(), ConnectionBudget: p.Services[0].Connections,
 	}, nil
 }
 
-func (r *customerRun) run(ctx context.Context, large int) {
-	ctx, cancel := context.WithTimeout(ctx, customersWarm+customersLength)
+func (r *fairnessRun) run(ctx context.Context, large int) {
+	ctx, cancel := context.WithTimeout(ctx, customersWarmup+customersDuration)
 	defer cancel()
 	done := make(chan struct{})
-	open := 0
+	running := 0
 	start := func(e *stager.Instance, user string, pause time.Duration) {
-		open++
-		number := open
+		running++
+		number := running
 		go func() {
-			r.call(ctx, e, user, pause, number)
+			r.runCaller(ctx, e, user, pause, number)
 			done <- struct{}{}
 		}()
 	}
 	for _, e := range r.fleet.Instances {
-		start(e, smallUser, smallPause)
+		start(e, smallUser, smallThinkTime)
 		for range large {
 			start(e, largeUser, 0)
 		}
 	}
-	for ; open > 0; open-- {
+	for ; running > 0; running-- {
 		<-done
 	}
 }
 
-// call is one caller. A refused one comes back after what it was told.
-func (r *customerRun) call(ctx context.Context, e *stager.Instance, user string, pause time.Duration, number int) {
+// runCaller sends one client's requests; after a refusal it waits the retry-after time.
+func (r *fairnessRun) runCaller(ctx context.Context, e *stager.Instance, user string, pause time.Duration, number int) {
 	c, err := r.fleet.ConnectAs(ctx, e, user, r.service, nil)
 	if err != nil {
 		return
@@ -113,15 +112,15 @@
 	defer c.PgConn().Conn().Close()
 	for k := 0; ctx.Err() == nil; k++ {
 		sql := "SELECT value FROM ledger WHERE key = 'a'"
-		if k%smallWrites == 0 {
+		if k%smallWriteInterval == 0 {
 			sql = fmt.Sprintf("INSERT INTO ledger (key, value) VALUES ('%s-%s-%d-%d', 'x')", user, e.Name, number, k)
 		}
-		began := time.Now()
+		started := time.Now()
 		_, err := c.Exec(ctx, sql)
 		if ctx.Err() != nil {
 			return
 		}
-		r.note(user, began, err)
+		r.record(user, started, err)
 		time.Sleep(max(pause, retryAfter(err)))
 	}
 }
@@ -135,40 +134,40 @@
 	return after
 }
 
-func (r *customerRun) note(user string, began time.Time, err error) {
+func (r *fairnessRun) record(user string, started time.Time, err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	s := r.served[user]
+	s := r.results[user]
 	switch {
-	case began.Before(r.from):
+	case started.Before(r.measureFrom):
 	case err != nil:
 		s.Refused++
 	default:
-		s.Times = append(s.Times, time.Since(began))
+		s.Latencies = append(s.Latencies, time.Since(started))
 	}
 }
 
-// percentile is that of the times.
-func (s Served) percentile(p float64) time.Duration {
-	if len(s.Times) == 0 {
+// percentile returns the latency percentile p, in 0 to 1.
+func (s CustomerResult) percentile(p float64) time.Duration {
+	if len(s.Latencies) == 0 {
 		return 0
 	}
-	t := slices.Clone(s.Times)
-	slices.Sort(t)
-	return t[min(len(t)-1, int(p*float64(len(t))))]
+	sorted := slices.Clone(s.Latencies)
+	slices.Sort(sorted)
+	return sorted[min(len(sorted)-1, int(p*float64(len(sorted))))]
 }
 
-// Figures compares the small customer beside the large one with it alone.
-func (c *Customers) Figures(deployment string, alone *Customers) []Figure {
+// Figures returns the figures of a run, with the small customer alone as the baseline.
+func (c *FairnessResult) Figures(deployment string, alone *FairnessResult) []Figure {
 	milliseconds := func(d time.Duration) string { return fmt.Sprintf("%.1f", float64(d.Microseconds())/1000) }
 	name := func(s string) string { return s + "/" + deployment }
 	return []Figure{
 		{Name: name("small-customer-p50"), Value: milliseconds(c.Small.percentile(0.5)), Unit: "ms", Baseline: milliseconds(alone.Small.percentile(0.5))},
 		{Name: name("small-customer-p99"), Value: milliseconds(c.Small.percentile(0.99)), Unit: "ms", Baseline: milliseconds(alone.Small.percentile(0.99))},
 		{Name: name("small-customer-refused"), Value: fmt.Sprint(c.Small.Refused), Unit: "requests", Baseline: fmt.Sprint(alone.Small.Refused)},
-		{Name: name("small-customer-served"), Value: fmt.Sprint(len(c.Small.Times)), Unit: "requests", Baseline: fmt.Sprint(len(alone.Small.Times))},
-		{Name: name("large-customer-served"), Value: fmt.Sprint(len(c.Large.Times)), Unit: "requests"},
+		{Name: name("small-customer-served"), Value: fmt.Sprint(len(c.Small.Latencies)), Unit: "requests", Baseline: fmt.Sprint(len(alone.Small.Latencies))},
+		{Name: name("large-customer-served"), Value: fmt.Sprint(len(c.Large.Latencies)), Unit: "requests"},
 		{Name: name("large-customer-refused"), Value: fmt.Sprint(c.Large.Refused), Unit: "requests"},
-		{Name: name("peak-connections"), Value: fmt.Sprint(c.Peak), Unit: "connections", Baseline: fmt.Sprint(c.Budget)},
+		{Name: name("peak-connections"), Value: fmt.Sprint(c.PeakConnections), Unit: "connections", Baseline: fmt.Sprint(c.ConnectionBudget)},
 	}
 }
--- a/internal/standin/measurer/customers_test.go
+++ b/internal/standin/measurer/customers_test.go
@@ -9,27 +9,26 @@
 	"github.com/shoenig/test/must"
 )
 
-// largeCallers is how many callers of the large customer ask on each instance
-// without pause: beside one small caller every 50 ms that is far over 20 times the
-// small customer's load.
+// largeCallers is the number of the large customer's clients per instance, for over 20
+// times the small customer's load.
 const largeCallers = 12
 
-// A small customer alone and beside a large one. It runs with make measure only.
-func TestCustomers(t *testing.T) {
-	if !*measure {
-		t.Skip("a measure: make measure")
+// Compares a small customer alone with the same beside a large one; run by make measure only.
+func TestCustomerFairness(t *testing.T) {
+	if !*measureAll {
+		t.Skip("run by make measure only")
 	}
 	for _, d := range deployments {
-		bubble(t, d.name, func(t *testing.T, ctx context.Context) {
+		runInBubble(t, d.name, func(t *testing.T, ctx context.Context) {
 			p := d.plan()
 			p.Seed = 1
-			alone, err := measurer.MeasureCustomers(ctx, p, 0)
+			alone, err := measurer.MeasureFairness(ctx, p, 0)
 			must.NoError(t, err)
-			both, err := measurer.MeasureCustomers(ctx, p, largeCallers)
+			shared, err := measurer.MeasureFairness(ctx, p, largeCallers)
 			must.NoError(t, err)
-			time.Sleep(time.Minute) // what drivers and peers still close
-			show(both.Figures(d.name, alone))
-			must.LessEq(t, both.Budget, both.Peak)
+			time.Sleep(time.Minute) // lets drivers and peers close their connections
+			printFigures(shared.Figures(d.name, alone))
+			must.LessEq(t, shared.ConnectionBudget, shared.PeakConnections)
 		})
 	}
 }
--- a/internal/standin/measurer/gaps.go
+++ b/internal/standin/measurer/gaps.go
@@ -12,64 +12,64 @@
 )
 
 type (
-	// Failure is one way in which a primary ends.
+	// Failure is one way to make a primary fail.
 	Failure struct {
-		Name  string
-		Throw func(f *stager.Fleet, primary *stager.Target)
-		Heal  func(f *stager.Fleet, primary *stager.Target)
+		Name   string
+		Inject func(f *stager.Fleet, primary *stager.Target)
+		Heal   func(f *stager.Fleet, primary *stager.Target)
 	}
 
-	// Gaps collects the runs of one failure.
-	Gaps struct {
-		Gaps          []time.Duration
-		Baseline      []time.Duration
-		NotRun        int
-		Unknown       int
-		MoreTerms     int // runs in which the term rose more than once
-		Violations    []string
-		RefusalCounts map[string]int
+	// FailoverResults accumulates the results of several runs of one failure.
+	FailoverResults struct {
+		Gaps             []time.Duration
+		Baseline         []time.Duration
+		NotRun           int
+		Unknown          int
+		MultipleTermRuns int // runs in which the term rose more than once
+		Violations       []string
+		RefusalCounts    map[string]int
 	}
 )
 
-// Failures returns the four ways.
+// Failures returns all failures.
 func Failures() []Failure {
 	return []Failure{
 		{
-			Name:  "crash",
-			Throw: func(f *stager.Fleet, p *stager.Target) { f.KillTarget(p) },
-			Heal:  func(f *stager.Fleet, p *stager.Target) { f.RestartTarget(p) },
+			Name:   "crash",
+			Inject: func(f *stager.Fleet, p *stager.Target) { f.KillTarget(p) },
+			Heal:   func(f *stager.Fleet, p *stager.Target) { f.RestartTarget(p) },
 		},
 		{
-			Name:  "freeze",
-			Throw: func(_ *stager.Fleet, p *stager.Target) { p.Faults.Freeze() },
-			Heal:  func(_ *stager.Fleet, p *stager.Target) { p.Faults.Unfreeze() },
+			Name:   "freeze",
+			Inject: func(_ *stager.Fleet, p *stager.Target) { p.Faults.Freeze() },
+			Heal:   func(_ *stager.Fleet, p *stager.Target) { p.Faults.Unfreeze() },
 		},
 		{
 			Name: "cut",
-			Throw: func(f *stager.Fleet, p *stager.Target) {
-				for _, z := range append([]string{"platform", "callers", agentsZone}, f.Plan.Zones...) {
-					f.Network.Cut(p.IP, z)
+			Inject: func(f *stager.Fleet, p *stager.Target) {
+				for _, z := range append([]string{"platform", "callers", agentZone}, f.Plan.Zones...) {
+					f.Network.Partition(p.IP, z)
 				}
 			},
 			Heal: func(f *stager.Fleet, _ *stager.Target) { f.Network.HealAll() },
 		},
-		{Name: "planned", Throw: leave},
+		{Name: "planned", Inject: sendTargetLeaving},
 	}
 }
 
-// leave tells every instance that the primary is leaving, as an operator's order
-// does that has reached them all.
-func leave(f *stager.Fleet, p *stager.Target) {
+// sendTargetLeaving marks the primary as leaving on every instance, as an operator's command
+// would.
+func sendTargetLeaving(f *stager.Fleet, p *stager.Target) {
 	for _, e := range f.Instances {
 		e.Events <- drainer.TargetLeaving{Service: p.Service, Member: p.Name, Leaving: true, Source: "operator"}
 	}
 }
 
-// Add plays a failure once, and its baseline once.
-func (g *Gaps) Add(ctx context.Context, p stager.Plan, w Failure, storeDown bool) error {
+// Run measures a failure and its baseline once each.
+func (g *FailoverResults) Run(ctx context.Context, p stager.Plan, failure Failure, storeDown bool) error {
 	p.Services = p.Services[:1]
 	before := func(f *stager.Fleet) { f.Store.SetFaults(func(s *storer.Faults) { s.Down = storeDown }) }
-	r, err := failer.Run(ctx, failer.Scenario{Plan: p, Prepare: before, Inject: w.Throw, Heal: w.Heal})
+	r, err := failer.Run(ctx, failer.Scenario{Plan: p, Prepare: before, Inject: failure.Inject, Heal: failure.Heal})
 	if err != nil {
 		return err
 	}
@@ -83,21 +83,21 @@
 		g.RefusalCounts[c] += n
 	}
 	if r.TermIncrease > 1 {
-		g.MoreTerms++
+		g.MultipleTermRuns++
 	}
 	for _, v := range r.Violations {
 		g.Violations = append(g.Violations, fmt.Sprintf("seed %d: %s: %s", p.Seed, v.Guarantee, v.Detail))
 	}
-	b, err := baselineGap(ctx, p, w, storeDown)
+	baselineGap, err := measureBaselineGap(ctx, p, failure, storeDown)
 	if err != nil {
 		return err
 	}
-	g.Baseline = append(g.Baseline, b)
+	g.Baseline = append(g.Baseline, baselineGap)
 	return nil
 }
 
-// Figures returns the lines of all runs of a failure.
-func (g *Gaps) Figures(deployment, failure, store string) []Figure {
+// Figures returns the figures over all runs of a failure.
+func (g *FailoverResults) Figures(deployment, failure, store string) []Figure {
 	suffix := "/" + deployment + "/" + failure + "/store-" + store
 	n := len(g.Gaps)
 	out := []Figure{
@@ -106,7 +106,7 @@
 		{"failover-gap-max" + suffix, milliseconds(quantile(g.Gaps, 1)), "ms", milliseconds(quantile(g.Baseline, 1))},
 		{"unknown-outcomes-per-failover" + suffix, fmt.Sprintf("%.2f", float64(g.Unknown)/float64(n)), "requests", "-"},
 		{"not-run-per-failover" + suffix, fmt.Sprintf("%.2f", float64(g.NotRun)/float64(n)), "requests", "-"},
-		{"failovers-with-more-than-one-term" + suffix, fmt.Sprint(g.MoreTerms), "of-" + fmt.Sprint(n), "-"},
+		{"failovers-with-more-than-one-term" + suffix, fmt.Sprint(g.MultipleTermRuns), "of-" + fmt.Sprint(n), "-"},
 		{"failover-violations" + suffix, fmt.Sprint(len(g.Violations)), "violations", "-"},
 	}
 	for c, k := range g.RefusalCounts {
--- a/internal/standin/measurer/measurer.go
+++ b/internal/standin/measurer/measurer.go
@@ -1,6 +1,5 @@
-// Package measurer takes the product's two measures, reads served by replicas and
-// failover gap, and what stands beside them, on the deployments of the two users,
-// on virtual time, each against a baseline in the same run.
+// Package measurer measures the share of reads served by replicas, failover gaps and
+// fairness between customers, on virtual time, against baselines from the same run.
 package measurer
 
 import (
@@ -10,16 +9,16 @@
 	"time"
 )
 
-// Figure is one line of output: name, value, unit, baseline.
+// Figure is one measured value.
 type Figure struct {
 	Name  string
 	Value string
 	Unit  string
-	// Baseline is what the baseline got in the same run, or "-".
+	// Baseline is the baseline's value in the same run, or "-".
 	Baseline string
 }
 
-// String is the line: "name value unit baseline".
+// String returns "name value unit baseline".
 func (f Figure) String() string {
 	if f.Baseline == "" {
 		f.Baseline = "-"
@@ -27,11 +26,11 @@
 	return fmt.Sprintf("%s %s %s %s", f.Name, f.Value, f.Unit, f.Baseline)
 }
 
-func percent(part, all int) string {
-	if all == 0 {
+func percent(part, total int) string {
+	if total == 0 {
 		return "none"
 	}
-	return strconv.FormatFloat(100*float64(part)/float64(all), 'f', 1, 64)
+	return strconv.FormatFloat(100*float64(part)/float64(total), 'f', 1, 64)
 }
 
 func milliseconds(d time.Duration) string {
@@ -43,7 +42,7 @@
 	if len(all) == 0 {
 		return 0
 	}
-	s := slices.Clone(all)
-	slices.Sort(s)
-	return s[min(len(s)-1, int(q*float64(len(s))))]
+	sorted := slices.Clone(all)
+	slices.Sort(sorted)
+	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
--- a/internal/standin/measurer/measurer_test.go
+++ b/internal/standin/measurer/measurer_test.go
@@ -15,35 +15,35 @@
 )
 
 var (
-	measure = flag.Bool("measure", false, "take all measures (make measure)")
-	seeds   = flag.Uint64("seeds", 12, "how many seeds per failover")
+	measureAll = flag.Bool("measure", false, "run all measurements (make measure)")
+	seeds      = flag.Uint64("seeds", 12, "number of seeds per failover")
 )
 
 type deployment struct {
-	name string
-	plan func() stager.Plan
-	mix  measurer.Mix
+	name     string
+	plan     func() stager.Plan
+	workload measurer.Workload
 }
 
 var (
 	deployments = []deployment{
-		{"keyhold", stager.KeyholdPlan, measurer.KeyholdMix()},
-		{"kellerman", stager.KellermanPlan, measurer.KellermanMix()},
+		{"keyhold", stager.KeyholdPlan, measurer.KeyholdWorkload()},
+		{"kellerman", stager.KellermanPlan, measurer.KellermanWorkload()},
 	}
 
-	printing sync.Mutex
+	printMutex sync.Mutex
 )
 
-func show(figures []measurer.Figure) {
-	printing.Lock()
-	defer printing.Unlock()
+func printFigures(figures []measurer.Figure) {
+	printMutex.Lock()
+	defer printMutex.Unlock()
 	for _, f := range figures {
 		fmt.Println("measure", f)
 	}
 }
 
-// bubble runs f on virtual time, side by side with the other measures.
-func bubble(t *testing.T, name string, f func(t *testing.T, ctx context.Context)) {
+// runInBubble runs f as a parallel subtest on virtual time.
+func runInBubble(t *testing.T, name string, f func(t *testing.T, ctx context.Context)) {
 	t.Run(name, func(t *testing.T) {
 		t.Parallel()
 		synctest.Test(t, func(t *testing.T) {
@@ -54,76 +54,75 @@
 	})
 }
 
-// slowestRead is far above what a read takes with the fewest connections, and below
-// the second for which one that waits for itself would wait.
-const slowestRead = 300 * time.Millisecond
+// maxReadP99 is well below the 1 s wait of a read that blocks on its own session.
+const maxReadP99 = 300 * time.Millisecond
 
-// longestGap is what the measures are to reach, by failure.
-var longestGap = map[string]time.Duration{
+// maxGap is the target failover gap by failure.
+var maxGap = map[string]time.Duration{
 	"crash": 2 * time.Second, "freeze": 4 * time.Second, "cut": 4 * time.Second, "planned": 200 * time.Millisecond,
 }
 
-// Reads served by replicas, over the three kinds of lag. One kind of lag runs
-// with the tests; all run with make measure.
-func TestShares(t *testing.T) {
+// Checks the share of reads served by replicas for each lag model; without -measure, for
+// the long-tailed one only.
+func TestReadShares(t *testing.T) {
 	for _, d := range deployments {
-		for _, l := range measurer.Lags() {
-			if !*measure && l.Name != "long-tailed" {
+		for _, l := range measurer.LagModels() {
+			if !*measureAll && l.Name != "long-tailed" {
 				continue
 			}
-			bubble(t, d.name+"/"+l.Name, func(t *testing.T, ctx context.Context) {
+			runInBubble(t, d.name+"/"+l.Name, func(t *testing.T, ctx context.Context) {
 				p := d.plan()
 				p.Seed = 1
-				s, err := measurer.MeasureShares(ctx, p, d.mix, l)
+				s, err := measurer.MeasureReadShares(ctx, p, d.workload, l)
 				must.NoError(t, err)
-				show(s.Figures(d.name, l.Name))
-				if l.Name != "stuck" { // measured, below the aim: see docs/MEASURES.md
-					must.GreaterEq(t, 95, 100*s.Replica/s.Allowed)
-					must.GreaterEq(t, 85, 100*s.Replica/s.Reads)
+				printFigures(s.Figures(d.name, l.Name))
+				if l.Name != "stuck" { // below the target: see docs/MEASURES.md
+					must.GreaterEq(t, 95, 100*s.ServedByReplicas/s.StaleAllowed)
+					must.GreaterEq(t, 85, 100*s.ServedByReplicas/s.Reads)
 				}
-				must.LessEq(t, slowestRead, s.P99())
+				must.LessEq(t, maxReadP99, s.P99())
 			})
 		}
 	}
 }
 
-// Failover gaps, over failures, the store up and down, and seeds.
-func TestGaps(t *testing.T) {
+// Checks failover gaps over failures, seeds and the store up or down.
+func TestFailoverGaps(t *testing.T) {
 	n := *seeds
-	if !*measure {
+	if !*measureAll {
 		n = 1
 	}
 	for _, d := range deployments {
-		for _, w := range measurer.Failures() {
+		for _, failure := range measurer.Failures() {
 			for _, store := range []string{"up", "down"} {
-				if !*measure && (store == "down" || d.name != "keyhold") {
+				if !*measureAll && (store == "down" || d.name != "keyhold") {
 					continue
 				}
-				gaps(t, d, w, store, n)
+				runFailovers(t, d, failure, store, n)
 			}
 		}
 	}
 }
 
-// gaps runs the seeds one after the other, each in a bubble of its own.
-func gaps(t *testing.T, d deployment, w measurer.Failure, store string, n uint64) {
-	t.Run(d.name+"/"+w.Name+"/store-"+store, func(t *testing.T) {
+// runFailovers runs the seeds in sequence, each in its own bubble.
+func runFailovers(t *testing.T, d deployment, failure measurer.Failure, store string, n uint64) {
+	t.Run(d.name+"/"+failure.Name+"/store-"+store, func(t *testing.T) {
 		t.Parallel()
-		g := &measurer.Gaps{}
+		g := &measurer.FailoverResults{}
 		for seed := range n {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 				defer cancel()
 				p := d.plan()
 				p.Seed = seed + 1
-				must.NoError(t, g.Add(ctx, p, w, store == "down"))
+				must.NoError(t, g.Run(ctx, p, failure, store == "down"))
 			})
 		}
-		show(g.Figures(d.name, w.Name, store))
+		printFigures(g.Figures(d.name, failure.Name, store))
 		for _, gap := range g.Gaps {
-			must.LessEq(t, longestGap[w.Name], gap)
+			must.LessEq(t, maxGap[failure.Name], gap)
 		}
-		must.True(t, w.Name != "planned" || g.NotRun+g.Unknown == 0)
+		must.True(t, failure.Name != "planned" || g.NotRun+g.Unknown == 0)
 		for _, v := range g.Violations {
 			t.Error(v)
 		}
--- a/internal/standin/mesher/mesher.go
+++ b/internal/standin/mesher/mesher.go
@@ -1,8 +1,6 @@
-// Package mesher runs the control slices of many instances in one goroutine, on
-// virtual time, and carries their actions out directly: calls between instances,
-// the store, the platform's list and the targets are functions here, each with
-// the faults that tests need. There is no network and no goroutine, so a run of
-// 144 instances takes seconds and is the same every time.
+// Package mesher simulates the control plane of many instances deterministically, in one
+// goroutine and on virtual time. Calls between instances and to the store, the platform's
+// instance list and the targets are functions with injectable faults, without a network.
 package mesher
 
 import (
@@ -22,118 +20,116 @@
 )
 
 type (
-	// Plan says what to run.
+	// Plan configures a mesh.
 	Plan struct {
 		Seed    uint64
 		Zones   []string
 		PerZone int
-		// Document is published at the start.
+		// Document is the configuration published at the start.
 		Document *configurer.Document
-		// Used returns the services that callers of an instance use; nil for
+		// UsedServices returns the services that clients of an instance use; nil means
 		// all.
-		Used func(n *Node) []string
+		UsedServices func(n *Node) []string
 	}
 
-	// Mesh is the instances and what is around them. Its exported switches may
-	// be changed between calls of Run.
+	// Mesh is a set of simulated instances with their store, list and targets. Its
+	// exported faults may be changed between calls of Run.
 	Mesh struct {
 		Plan  Plan
 		Now   time.Time
 		Nodes []*Node
-		// List is the platform's list as it is shown now; ListDown refuses it.
+		// List is the platform's instance list; ListDown makes reading it fail.
 		List     []lister.Instance
 		ListDown bool
-		// StoreDown refuses the store's calls and ends its watches.
+		// StoreDown makes calls to the store and its watches fail.
 		StoreDown bool
-		// Cut tells whether two zones can't reach each other; the store and the
-		// list stand in zone "platform". nil means no cut.
-		Cut func(a, b string) bool
-		// Mute makes announcements get lost.
-		Mute bool
-		// Counts of what went over the wire, since the start.
-		Counts Counts
-
-		version  int64
-		text     []byte
-		waiting  []*watch
-		queue    queue
-		sequence int
-		random   *rand.Rand
-		start    time.Time
+		// Partitioned reports whether two zones are partitioned; nil means none are. The
+		// store and the list are in the zone "platform".
+		Partitioned func(a, b string) bool
+		// DropAnnouncements drops all announcements.
+		DropAnnouncements bool
+		// Totals counts messages and bytes since the start.
+		Totals Counters
+
+		version      int64
+		text         []byte
+		watches      []*watch
+		events       eventQueue
+		lastSequence int
+		random       *rand.Rand
+		start        time.Time
 	}
 
-	// Counts add up over all instances.
-	Counts struct {
-		Events    int
-		Exchanges int
-		Announces int
-		Fetches   int
-		Questions int
-		// Bytes are those of exchanges, announcements and fetches, both ways.
+	// Counters holds totals over all instances.
+	Counters struct {
+		Events        int
+		Exchanges     int
+		Announcements int
+		Fetches       int
+		StatusQueries int
+		// Bytes is the size of exchanges, announcements and fetches in both directions.
 		Bytes int64
-		// FetchBytes are those of them that carried documents.
-		FetchBytes int64
-		// StoreCalls, by the store's method, and ListCalls.
+		// FetchBytes is the part of Bytes for fetches.
+		FetchBytes                          int64
 		StoreReads, StoreWatches, ListCalls int
 	}
 
-	// Node is one instance.
+	// Node is one simulated instance.
 	Node struct {
 		Name   string
 		Zone   string
 		Slices []controller.Slice
-		// Versions are those that came into force, in order.
-		Versions []int64
-		// Seen is when the observation was made that the node knows of a
-		// member, by "service/member".
-		Seen map[string]time.Time
-		// Leaving are the targets that are leaving, with when that was learnt.
-		Leaving map[string]time.Time
-		// Asked counts the questions to targets.
-		Asked int
-		// Dead nodes neither answer nor run; Paused ones run on when woken.
+		// ActivatedVersions lists the configuration versions in order of activation.
+		ActivatedVersions []int64
+		// LastObserved is the time of the newest known observation per "service/member".
+		LastObserved map[string]time.Time
+		// LeavingTargets maps each leaving "service/member" to when the node learned of it.
+		LeavingTargets map[string]time.Time
+		// StatusQueries counts the status queries to targets.
+		StatusQueries int
+		// Dead and Paused nodes neither run nor respond; Resume continues a paused one.
 		Dead   bool
 		Paused bool
 
-		mesh      *Mesh
-		published atomic.Pointer[gossiper.Snapshot]
-		held      atomic.Pointer[configurer.ActiveDocument]
-		backlog   []controller.Event
+		mesh           *Mesh
+		gossipSnapshot atomic.Pointer[gossiper.Snapshot]
+		activeDocument atomic.Pointer[configurer.ActiveDocument]
+		deferredEvents []controller.Event
 	}
 
 	watch struct {
-		node  *Node
-		since int64
-		ended bool
+		node         *Node
+		sinceVersion int64
+		ended        bool
 	}
 
-	recorder struct{ node *Node }
+	eventRecorder struct{ node *Node }
 
-	item struct {
+	scheduledEvent struct {
 		at       time.Time
 		sequence int
 		run      func()
 	}
 
-	queue []item
+	eventQueue []scheduledEvent
 )
 
 const (
 	// Latency is the one-way delay of every message.
 	Latency = 2 * time.Millisecond
-	// CallTimeout is after how long a call without answer fails.
+	// CallTimeout is the time after which a call without response fails.
 	CallTimeout = 500 * time.Millisecond
-	// Overhead is what the frames of an exchange take beside the two
-	// messages themselves, as TestOverhead of package gossiper measures it.
-	Overhead     = 53
-	watchFor     = 10 * time.Second
-	usedEvery    = 500 * time.Millisecond
-	platformZone = "platform"
+	// ExchangeOverhead is the size in bytes of an exchange's frames without the two messages;
+	// TestOverhead of package gossiper checks it.
+	ExchangeOverhead = 53
+	watchTimeout     = 10 * time.Second
+	usageInterval    = 500 * time.Millisecond
+	platformZone     = "platform"
 )
 
-var errCut = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
-// New makes a mesh with all its nodes running.
+// New returns a mesh with all nodes of the plan running.
 func New(p Plan) *Mesh {
 	m := &Mesh{Plan: p, Now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(p.Seed, 1))}
 	m.start = m.Now
@@ -148,96 +144,96 @@
 	return m
 }
 
-// Add starts a node with an empty memory and puts it into the list.
+// Add starts a node without state and adds it to the list.
 func (m *Mesh) Add(name, zone string) *Node {
-	n := &Node{Name: name, Zone: zone, mesh: m, Seen: map[string]time.Time{}, Leaving: map[string]time.Time{}}
-	self := n.Self()
-	random := func() *rand.Rand { return rand.New(rand.NewPCG(m.random.Uint64(), m.random.Uint64())) }
+	n := &Node{Name: name, Zone: zone, mesh: m, LastObserved: map[string]time.Time{}, LeavingTargets: map[string]time.Time{}}
+	entry := n.ListEntry()
+	newRandom := func() *rand.Rand { return rand.New(rand.NewPCG(m.random.Uint64(), m.random.Uint64())) }
 	var seeds []string
 	for _, o := range m.Nodes {
 		seeds = append(seeds, o.Name)
 	}
 	n.Slices = []controller.Slice{
-		&lister.Slice{Self: self, Random: random()},
-		&configurer.Slice{Instance: name, Zone: zone, Random: random(), Active: &n.held},
+		&lister.Slice{Self: entry, Random: newRandom()},
+		&configurer.Slice{Instance: name, Zone: zone, Random: newRandom(), Active: &n.activeDocument},
 		&drainer.Slice{},
 		&observer.Slice{Instance: name, Zone: zone},
-		&gossiper.Slice{Self: self, Run: m.random.Uint32(), Random: random(), Published: &n.published, Seeds: seeds},
-		&recorder{node: n},
+		&gossiper.Slice{Self: entry, Incarnation: m.random.Uint32(), Random: newRandom(), Published: &n.gossipSnapshot, Seeds: seeds},
+		&eventRecorder{node: n},
 	}
 	m.Nodes = append(m.Nodes, n)
-	m.List = append(m.List, self)
-	m.after(time.Duration(m.random.Int64N(int64(controller.DefaultInterval))), n.tick)
-	m.after(0, n.use)
+	m.List = append(m.List, entry)
+	m.schedule(time.Duration(m.random.Int64N(int64(controller.DefaultInterval))), n.tick)
+	m.schedule(0, n.reportUsage)
 	return n
 }
 
-// Self is the node's row of the list. Its address is its name.
-func (n *Node) Self() lister.Instance {
+// ListEntry returns the node's entry in the list; its address is its name.
+func (n *Node) ListEntry() lister.Instance {
 	return lister.Instance{Name: n.Name, Kind: lister.KindEntry, Address: n.Name, Zone: n.Zone, State: lister.StateLive}
 }
 
-// Kill ends a node as a crash does.
+// Kill crashes a node.
 func (n *Node) Kill() { n.Dead = true }
 
-// Wake lets a paused node go on: what came in the meantime is waiting.
-func (n *Node) Wake() {
+// Resume continues a paused node and delivers the events deferred meanwhile.
+func (n *Node) Resume() {
 	n.Paused = false
-	for _, e := range n.backlog {
-		n.Give(e)
+	for _, e := range n.deferredEvents {
+		n.Deliver(e)
 	}
-	n.backlog = nil
+	n.deferredEvents = nil
 }
 
-// Give hands an event to a node and carries out what it decides.
-func (n *Node) Give(e controller.Event) {
+// Deliver passes an event to a node's slices and performs the actions they return.
+func (n *Node) Deliver(e controller.Event) {
 	switch {
 	case n.Dead:
 		return
 	case n.Paused:
-		n.backlog = append(n.backlog, e)
+		n.deferredEvents = append(n.deferredEvents, e)
 		return
 	}
-	n.mesh.Counts.Events++
+	n.mesh.Totals.Events++
 	for _, a := range controller.Dispatch(n.Slices, n.mesh.Now, e) {
 		n.perform(a)
 	}
 }
 
-// InForce returns the version in force on the node.
-func (n *Node) InForce() int64 {
-	if len(n.Versions) == 0 {
+// ActiveVersion returns the node's active configuration version, 0 if there is none.
+func (n *Node) ActiveVersion() int64 {
+	if len(n.ActivatedVersions) == 0 {
 		return 0
 	}
-	return n.Versions[len(n.Versions)-1]
+	return n.ActivatedVersions[len(n.ActivatedVersions)-1]
 }
 
-// Publish puts a document into the store and returns its version.
-func (m *Mesh) Publish(d *configurer.Document) int64 { return m.PublishText(configurer.Encode(d)) }
+// Publish writes a configuration to the store and returns its version.
+func (m *Mesh) Publish(d *configurer.Document) int64 { return m.PublishRaw(configurer.Encode(d)) }
 
-// PublishText puts any text into the store.
-func (m *Mesh) PublishText(text []byte) int64 {
+// PublishRaw writes arbitrary text to the store as the configuration.
+func (m *Mesh) PublishRaw(text []byte) int64 {
 	m.version++
 	m.text = text
-	for _, w := range m.waiting {
-		m.answer(w)
+	for _, w := range m.watches {
+		m.scheduleWatchResponse(w)
 	}
 	return m.version
 }
 
-// Run lets the time pass.
+// Run advances virtual time by d.
 func (m *Mesh) Run(d time.Duration) {
 	end := m.Now.Add(d)
-	for len(m.queue) > 0 && !m.queue[0].at.After(end) {
-		i := heap.Pop(&m.queue).(item)
+	for len(m.events) > 0 && !m.events[0].at.After(end) {
+		i := heap.Pop(&m.events).(scheduledEvent)
 		m.Now = i.at
 		i.run()
 	}
 	m.Now = end
 }
 
-// Live returns the nodes that run.
-func (m *Mesh) Live() []*Node {
+// RunningNodes returns the nodes that are neither dead nor paused.
+func (m *Mesh) RunningNodes() []*Node {
 	var out []*Node
 	for _, n := range m.Nodes {
 		if !n.Dead && !n.Paused {
@@ -247,7 +243,7 @@
 	return out
 }
 
-// Node returns the newest node of the name.
+// Node returns the latest node added under a name.
 func (m *Mesh) Node(name string) *Node {
 	for i := len(m.Nodes) - 1; i >= 0; i-- {
 		if m.Nodes[i].Name == name {
@@ -257,65 +253,67 @@
 	return nil
 }
 
-func (m *Mesh) after(d time.Duration, run func()) {
-	m.sequence++
-	heap.Push(&m.queue, item{at: m.Now.Add(d), sequence: m.sequence, run: run})
+func (m *Mesh) schedule(d time.Duration, run func()) {
+	m.lastSequence++
+	heap.Push(&m.events, scheduledEvent{at: m.Now.Add(d), sequence: m.lastSequence, run: run})
 }
 
-func (m *Mesh) cut(a, b string) bool { return m.Cut != nil && a != b && m.Cut(a, b) }
+func (m *Mesh) partitioned(a, b string) bool {
+	return m.Partitioned != nil && a != b && m.Partitioned(a, b)
+}
 
 func (n *Node) tick() {
 	if n.Dead {
 		return
 	}
 	if !n.Paused {
-		n.Give(controller.Tick{})
+		n.Deliver(controller.Tick{})
 	}
-	n.mesh.after(controller.DefaultInterval, n.tick)
+	n.mesh.schedule(controller.DefaultInterval, n.tick)
 }
 
-func (n *Node) use() {
+func (n *Node) reportUsage() {
 	if n.Dead {
 		return
 	}
 	var u observer.ServicesInUse
-	if f := n.mesh.Plan.Used; f != nil {
+	if f := n.mesh.Plan.UsedServices; f != nil {
 		u.Services = f(n)
 	} else if d := n.mesh.Plan.Document; d != nil {
 		for _, v := range d.Services {
 			u.Services = append(u.Services, v.Name)
 		}
 	}
-	n.Give(u)
-	n.mesh.after(usedEvery, n.use)
+	n.Deliver(u)
+	n.mesh.schedule(usageInterval, n.reportUsage)
 }
 
 // Step implements controller.Slice.
-func (r *recorder) Step(now time.Time, e controller.Event) []controller.Action {
+func (r *eventRecorder) Step(now time.Time, e controller.Event) []controller.Action {
 	n := r.node
 	switch e := e.(type) {
 	case configurer.Activated:
-		n.Versions = append(n.Versions, e.Version)
+		n.ActivatedVersions = append(n.ActivatedVersions, e.Version)
 	case observer.Observed:
-		if k := e.Service + "/" + e.Member; e.Err == nil && e.Started.After(n.Seen[k]) {
-			n.Seen[k] = e.Started
+		if k := e.Service + "/" + e.Member; e.Err == nil && e.Started.After(n.LastObserved[k]) {
+			n.LastObserved[k] = e.Started
 		}
 	case drainer.TargetLeaving:
 		k := e.Service + "/" + e.Member
 		if e.Leaving {
-			n.Leaving[k] = now
+			n.LeavingTargets[k] = now
 		} else {
-			delete(n.Leaving, k)
+			delete(n.LeavingTargets, k)
 		}
 	}
 	return nil
 }
 
 // Len implements heap.Interface.
-func (q queue) Len() int { return len(q) }
+func (q eventQueue) Len() int { return len(q) }
 
 // Less implements heap.Interface.
-func (q queue) Less(i, j int) bool {
+func (q eventQueue) Less(i, j int) bool {
 	if !q[i].at.Equal(q[j].at) {
 		return q[i].at.Before(q[j].at)
 	}
@@ -323,13 +321,13 @@
 }
 
 // Swap implements heap.Interface.
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (q *queue) Push(x any) { *q = append(*q, x.(item)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduledEvent)) }
 
 // Pop implements heap.Interface.
-func (q *queue) Pop() any {
+func (q *eventQueue) Pop() any {
 	old := *q
 	x := old[len(old)-1]
 	*q = old[:len(old)-1]
--- a/internal/standin/mesher/mesher_test.go
+++ b/internal/standin/mesher/mesher_test.go
@@ -14,8 +14,8 @@
 
 var zones = []string{"a", "b", "c"}
 
-// document has a member of each service in each zone.
-func document(services int) *configurer.Document {
+// newDocument returns a configuration whose services have one member per zone.
+func newDocument(services int) *configurer.Document {
 	d := &configurer.Document{}
 	for i := range services {
 		s := configurer.Service{Name: fmt.Sprintf("service-%d", i+1), Connections: 60, Slots: 3}
@@ -29,77 +29,78 @@
 	return d
 }
 
-func mesh(perZone, services int, seed uint64) *mesher.Mesh {
-	m := mesher.New(mesher.Plan{Seed: seed, Zones: zones, PerZone: perZone, Document: document(services)})
+func newMesh(perZone, services int, seed uint64) *mesher.Mesh {
+	m := mesher.New(mesher.Plan{Seed: seed, Zones: zones, PerZone: perZone, Document: newDocument(services)})
 	m.Run(10 * time.Second)
 	return m
 }
 
-// mustBeInForce runs until the version is in force on every live node that the
-// test names, and fails when that takes longer than the brief allows.
-func mustBeInForce(t *testing.T, m *mesher.Mesh, version int64, where func(*mesher.Node) bool) time.Duration {
+// requireActive runs the mesh until the version is active on every running node that
+// selected accepts, and returns the time taken. It fails after 5 s.
+func requireActive(t *testing.T, m *mesher.Mesh, version int64, selected func(*mesher.Node) bool) time.Duration {
 	t.Helper()
 	const limit = 5 * time.Second
-	for began := m.Now; ; m.Run(50 * time.Millisecond) {
+	for start := m.Now; ; m.Run(50 * time.Millisecond) {
 		missing := ""
-		for _, n := range m.Live() {
-			if where(n) && n.InForce() < version {
-				missing = fmt.Sprintf("%s has %d", n.Name, n.InForce())
+		for _, n := range m.RunningNodes() {
+			if selected(n) && n.ActiveVersion() < version {
+				missing = fmt.Sprintf("%s has %d", n.Name, n.ActiveVersion())
 			}
 		}
 		if missing == "" {
-			return m.Now.Sub(began)
+			return m.Now.Sub(start)
 		}
-		must.Less(t, limit, m.Now.Sub(began), must.Sprint(missing))
+		must.Less(t, limit, m.Now.Sub(start), must.Sprint(missing))
 	}
 }
 
-func mustOnlyRise(t *testing.T, m *mesher.Mesh) {
+// requireIncreasingVersions checks that no node went back to an older configuration.
+func requireIncreasingVersions(t *testing.T, m *mesher.Mesh) {
 	t.Helper()
 	for _, n := range m.Nodes {
-		for i := 1; i < len(n.Versions); i++ {
-			must.Greater(t, n.Versions[i-1], n.Versions[i], must.Sprint(n.Name))
+		for i := 1; i < len(n.ActivatedVersions); i++ {
+			must.Greater(t, n.ActivatedVersions[i-1], n.ActivatedVersions[i], must.Sprint(n.Name))
 		}
 	}
 }
 
-func everywhere(*mesher.Node) bool { return true }
+func allNodes(*mesher.Node) bool { return true }
 
-// Operators publish while something else goes wrong. Every instance that can be
-// reached has the version in force within 5 s, and none ever goes back.
-func TestInForceWithinFiveSeconds(t *testing.T) {
+// A published configuration is active on every instance within 5 s despite a fault, and no
+// instance goes back to an older one.
+func TestActivationWithinFiveSeconds(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault func(m *mesher.Mesh)
 	}{
 		{"no fault", func(*mesher.Mesh) {}},
-		{"announcements lost", func(m *mesher.Mesh) { m.Mute = true }},
+		{"announcements lost", func(m *mesher.Mesh) { m.DropAnnouncements = true }},
 		{"list down", func(m *mesher.Mesh) { m.ListDown = true }},
-		{"half the list wrong", wrongList},
+		{"half the list wrong", corruptList},
 		{"a third replaced, list stale", replaceThird},
 		{"watchers killed", killWatchers},
 		{"watchers paused", pauseWatchers},
 		{"one zone cut from the store", func(m *mesher.Mesh) {
-			m.Cut = func(a, b string) bool { return a == "a" && b == "platform" }
+			m.Partitioned = func(a, b string) bool { return a == "a" && b == "platform" }
 		}},
 		{"two zones cut from the store", func(m *mesher.Mesh) {
-			m.Cut = func(a, b string) bool { return (a == "a" || a == "b") && b == "platform" }
+			m.Partitioned = func(a, b string) bool { return (a == "a" || a == "b") && b == "platform" }
 		}},
 	} {
 		for _, perZone := range []int{3, 12} {
 			for seed := range seeds(perZone) {
 				t.Run(fmt.Sprintf("%s/%d/%d", c.name, 3*perZone, seed), func(t *testing.T) {
-					m := mesh(perZone, 3, seed)
+					m := newMesh(perZone, 3, seed)
 					c.fault(m)
-					mustBeInForce(t, m, m.Publish(document(3)), everywhere)
-					mustOnlyRise(t, m)
+					requireActive(t, m, m.Publish(newDocument(3)), allNodes)
+					requireIncreasingVersions(t, m)
 				})
 			}
 		}
 	}
 }
 
-// seeds runs small meshes with more seeds than large ones.
+// seeds returns the number of seeds to run, fewer for large meshes.
 func seeds(perZone int) uint64 {
 	if perZone > 3 {
 		return 1
@@ -107,8 +108,8 @@
 	return 4
 }
 
-// wrongList loses a quarter of the instances and shows as many that never were.
-func wrongList(m *mesher.Mesh) {
+// corruptList replaces a quarter of the list's entries by instances that don't exist.
+func corruptList(m *mesher.Mesh) {
 	list := append([]lister.Instance(nil), m.List...)
 	for i := range list {
 		switch i % 4 {
@@ -120,8 +121,7 @@
 	m.Run(20 * time.Second)
 }
 
-// replaceThird replaces every third instance within the last minute, of which
-// the list knows nothing.
+// replaceThird replaces every third instance while the list stays unchanged.
 func replaceThird(m *mesher.Mesh) {
 	stale := append([]lister.Instance(nil), m.List...)
 	for i, n := range append([]*mesher.Node(nil), m.Nodes...) {
@@ -157,123 +157,118 @@
 	}
 }
 
-// No caller uses any group, as at night, so reports are asked for rarely.
-// Instances tell each other of a version at once, and do not wait for the
-// repair, which takes seconds.
-func TestInForceAtOnce(t *testing.T) {
+// Without client traffic, when exchanges are rare, a new version still spreads at once by
+// announcements and not by the slower anti-entropy.
+func TestActivationWithoutTraffic(t *testing.T) {
 	m := mesher.New(mesher.Plan{
-		Seed: 1, Zones: zones, PerZone: 12, Document: document(3),
-		Used: func(*mesher.Node) []string { return nil },
+		Seed: 1, Zones: zones, PerZone: 12, Document: newDocument(3),
+		UsedServices: func(*mesher.Node) []string { return nil },
 	})
 	m.Run(10 * time.Second)
-	v := m.Publish(document(3))
-	must.Less(t, 300*time.Millisecond, mustBeInForce(t, m, v, everywhere))
+	v := m.Publish(newDocument(3))
+	must.Less(t, 300*time.Millisecond, requireActive(t, m, v, allNodes))
 }
 
-// The fleet grows, the calls to the store do not: two watchers in each zone, and
-// an instance that starts.
-func TestStoreCallsDoNotGrow(t *testing.T) {
+// The rate of store calls doesn't grow with the fleet: only two instances per zone watch
+// the store.
+func TestStoreCallsIndependentOfFleetSize(t *testing.T) {
 	for _, perZone := range []int{3, 12} {
 		t.Run(fmt.Sprint(3*perZone), func(t *testing.T) {
-			m := mesh(perZone, 3, 1)
-			before := m.Counts
+			m := newMesh(perZone, 3, 1)
+			before := m.Totals
 			m.Run(time.Minute)
 			const watchers, perMinute = 6, 6
-			must.LessEq(t, watchers*(perMinute+1), m.Counts.StoreWatches-before.StoreWatches)
-			must.Eq(t, before.StoreReads, m.Counts.StoreReads)
+			must.LessEq(t, watchers*(perMinute+1), m.Totals.StoreWatches-before.StoreWatches)
+			must.Eq(t, before.StoreReads, m.Totals.StoreReads)
 		})
 	}
 }
 
-// A zone is cut off for an hour, from the store and from the other zones, while
-// operators publish. Its instances keep what they have. Healed, they have the
-// newest within 5 s, and nobody takes their old document over.
-func TestZoneCutForAnHour(t *testing.T) {
-	m := mesh(2, 3, 1)
-	m.Cut = func(a, b string) bool { return a == "c" || b == "c" }
-	v := m.Publish(document(4))
+// A partitioned zone keeps its configuration. After the partition heals it has the newest
+// one within 5 s, and no other instance goes back to the old one.
+func TestZonePartitionedForAnHour(t *testing.T) {
+	m := newMesh(2, 3, 1)
+	m.Partitioned = func(a, b string) bool { return a == "c" || b == "c" }
+	v := m.Publish(newDocument(4))
 	m.Run(30 * time.Minute)
-	v = max(v, m.Publish(document(5)))
+	v = max(v, m.Publish(newDocument(5)))
 	m.Run(30 * time.Minute)
-	for _, n := range m.Live() {
-		must.Eq(t, n.Zone == "c", n.InForce() == 1, must.Sprint(n.Name))
+	for _, n := range m.RunningNodes() {
+		must.Eq(t, n.Zone == "c", n.ActiveVersion() == 1, must.Sprint(n.Name))
 	}
-	m.Cut = nil
-	mustBeInForce(t, m, v, everywhere)
-	mustOnlyRise(t, m)
+	m.Partitioned = nil
+	requireActive(t, m, v, allNodes)
+	requireIncreasingVersions(t, m)
 }
 
-// The store and the list are down when an instance is started with an empty
-// memory. It learns the newest version from a peer that its settings name, also
-// when another peer still holds an older one.
+// With the store and the list down, a new instance fetches the newest version from a seed
+// peer, even if another peer has an older one.
 func TestFreshInstanceWithPlatformDown(t *testing.T) {
-	m := mesh(3, 3, 1)
+	m := newMesh(3, 3, 1)
 	m.Nodes[0].Paused = true
-	v := m.Publish(document(4))
+	v := m.Publish(newDocument(4))
 	m.Run(5 * time.Second)
 	m.StoreDown, m.ListDown = true, true
-	m.Nodes[0].Wake() // an old peer with an old document
+	m.Nodes[0].Resume() // has an older version
 	n := m.Add("entry-a-9", "a")
-	mustBeInForce(t, m, v, func(x *mesher.Node) bool { return x == n })
-	mustOnlyRise(t, m)
+	requireActive(t, m, v, func(x *mesher.Node) bool { return x == n })
+	requireIncreasingVersions(t, m)
 }
 
-// Someone writes a document into the store that can't be read. It is in force
-// nowhere, a fresh instance gets the last one that can be from its peers, and
-// the next readable one replaces it.
-func TestUnreadableDocument(t *testing.T) {
-	m := mesh(3, 3, 1)
-	m.PublishText([]byte(`{"services": [`))
+// A malformed configuration in the store is never activated: new instances get the last
+// valid one from peers, and the next valid one replaces it.
+func TestMalformedDocument(t *testing.T) {
+	m := newMesh(3, 3, 1)
+	m.PublishRaw([]byte(`{"services": [`))
 	m.Run(20 * time.Second)
 	n := m.Add("entry-a-9", "a")
-	mustBeInForce(t, m, 1, func(x *mesher.Node) bool { return x == n })
-	for _, n := range m.Live() {
-		must.Eq(t, 1, n.InForce())
+	requireActive(t, m, 1, func(x *mesher.Node) bool { return x == n })
+	for _, n := range m.RunningNodes() {
+		must.Eq(t, 1, n.ActiveVersion())
 	}
-	mustBeInForce(t, m, m.Publish(document(4)), everywhere)
+	requireActive(t, m, m.Publish(newDocument(4)), allNodes)
 }
 
-// mustBeFresh fails when a live node of the zones knows a member of the service
-// only as it was longer than limit ago.
-func mustBeFresh(t *testing.T, m *mesher.Mesh, service string, limit time.Duration) {
+// requireFreshObservations fails if a running node's newest observation of a member of the
+// service is older than limit.
+func requireFreshObservations(t *testing.T, m *mesher.Mesh, service string, limit time.Duration) {
 	t.Helper()
-	for _, n := range m.Live() {
+	for _, n := range m.RunningNodes() {
 		for k := range zones {
 			key := fmt.Sprintf("%s/%s-%d", service, service, k+1)
-			must.Less(t, limit, m.Now.Sub(n.Seen[key]), must.Sprint(n.Name, " of ", key))
+			must.Less(t, limit, m.Now.Sub(n.LastObserved[key]), must.Sprint(n.Name, " of ", key))
 		}
 	}
 }
 
-// Instances know the state of every member of the groups that they use, no older
-// than the bound, whatever happens to the observers: nothing that is chosen by
-// the list may fail with the list.
+// Observations of members stay within the staleness bound when observers or the list that
+// they are selected from fail.
 func TestObservationsStayFresh(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault func(m *mesher.Mesh)
-		// settle is how long the fault may show.
+		// settle is the time allowed to recover from the fault.
 		settle time.Duration
 	}{
 		{"no fault", func(*mesher.Mesh) {}, 0},
 		{"list stale, a third replaced", replaceThird, 5 * time.Second},
-		{"half the list wrong", wrongList, 0},
-		{"all observers of a group killed", func(m *mesher.Mesh) { onObservers(m, (*mesher.Node).Kill) }, 5 * time.Second},
-		{"all observers of a group paused", func(m *mesher.Mesh) { onObservers(m, func(n *mesher.Node) { n.Paused = true }) }, 5 * time.Second},
+		{"half the list wrong", corruptList, 0},
+		{"all observers of a group killed", func(m *mesher.Mesh) { forEachObserver(m, (*mesher.Node).Kill) }, 5 * time.Second},
+		{"all observers of a group paused", func(m *mesher.Mesh) { forEachObserver(m, func(n *mesher.Node) { n.Paused = true }) }, 5 * time.Second},
 		{"store and list down", func(m *mesher.Mesh) { m.StoreDown, m.ListDown = true, true; m.Run(time.Minute) }, 0},
 	} {
 		for seed := range uint64(1) {
 			t.Run(fmt.Sprintf("%s/%d", c.name, seed), func(t *testing.T) {
-				m := mesh(12, 3, seed)
+				m := newMesh(12, 3, seed)
 				c.fault(m)
 				m.Run(c.settle)
-				mustBeFresh(t, m, "service-1", time.Second)
+				requireFreshObservations(t, m, "service-1", time.Second)
 			})
 		}
 	}
 }
 
-func onObservers(m *mesher.Mesh, f func(*mesher.Node)) {
+func forEachObserver(m *mesher.Mesh, f func(*mesher.Node)) {
 	for _, z := range zones {
 		for _, i := range observer.ShardObservers(observer.Shard("service-1"), z, m.List) {
 			f(m.Node(i.Name))
@@ -281,35 +276,34 @@
 	}
 }
 
-// A leaving sign that one source gives reaches every instance within 3 s, also
-// when the announcements are lost, and its end does.
-func TestLeavingSignReachesAll(t *testing.T) {
+// A leaving mark from one source reaches every instance within 3 s, even if announcements
+// are lost.
+func TestLeavingMarkReachesAll(t *testing.T) {
 	for _, perZone := range []int{3, 12} {
-		for _, mute := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%d/mute=%v", 3*perZone, mute), func(t *testing.T) {
-				m := mesh(perZone, 3, 1)
-				m.Mute = mute
+		for _, dropped := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%d/dropped=%v", 3*perZone, dropped), func(t *testing.T) {
+				m := newMesh(perZone, 3, 1)
+				m.DropAnnouncements = dropped
 				target := lister.Instance{Name: "service-1-2", Kind: lister.KindTarget, Zone: "b", State: lister.StateLeaving}
 				m.List = append(m.List, target)
 				m.Run(3 * time.Second)
-				for _, n := range m.Live() {
-					must.MapContainsKey(t, n.Leaving, "service-1/service-1-2", must.Sprint(n.Name))
+				for _, n := range m.RunningNodes() {
+					must.MapContainsKey(t, n.LeavingTargets, "service-1/service-1-2", must.Sprint(n.Name))
 				}
 			})
 		}
 	}
 }
 
-// One instance is alone before many groups, which would take 69,000 questions a
-// second at the full pace. It asks no more than its bound.
-func TestQuestionsAreBounded(t *testing.T) {
+// The rate of status queries is bounded if a single instance observes many groups.
+func TestStatusQueryRateIsBounded(t *testing.T) {
 	for _, services := range []int{3, 100, 2300} {
 		t.Run(fmt.Sprint(services), func(t *testing.T) {
-			m := mesher.New(mesher.Plan{Seed: 1, Zones: []string{"a"}, PerZone: 1, Document: document(services)})
+			m := mesher.New(mesher.Plan{Seed: 1, Zones: []string{"a"}, PerZone: 1, Document: newDocument(services)})
 			m.Run(10 * time.Second)
-			before := m.Nodes[0].Asked
+			before := m.Nodes[0].StatusQueries
 			m.Run(60 * time.Second)
-			must.LessEq(t, 110*60, m.Nodes[0].Asked-before)
+			must.LessEq(t, 110*60, m.Nodes[0].StatusQueries-before)
 		})
 	}
 }
--- a/internal/standin/mesher/performer.go
+++ b/internal/standin/mesher/performer.go
@@ -15,28 +15,28 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// perform carries an action out; the event that answers it comes later.
+// perform starts an action; its result is delivered as a later event.
 func (n *Node) perform(a controller.Action) {
 	m := n.mesh
 	switch a := a.(type) {
 	case lister.Read:
-		m.Counts.ListCalls++
-		n.platform(func(down bool) controller.Event {
+		m.Totals.ListCalls++
+		n.callPlatform(func(down bool) controller.Event {
 			if down || m.ListDown {
-				return lister.Listed{Err: errCut}
+				return lister.Listed{Err: errNoResponse}
 			}
 			return lister.Listed{Instances: append([]lister.Instance(nil), m.List...)}
 		})
 	case configurer.Read:
-		m.Counts.StoreReads++
-		n.platform(func(down bool) controller.Event {
+		m.Totals.StoreReads++
+		n.callPlatform(func(down bool) controller.Event {
 			if down || m.StoreDown || m.version == 0 {
-				return configurer.ReadResult{Err: errCut, Source: configurer.SourceStore}
+				return configurer.ReadResult{Err: errNoResponse, Source: configurer.SourceStore}
 			}
 			return configurer.DecodeResult(m.version, m.text, configurer.SourceStore)
 		})
 	case configurer.Watch:
-		m.Counts.StoreWatches++
+		m.Totals.StoreWatches++
 		m.watch(n, a.Since)
 	case configurer.Fetch:
 		n.fetch(a.Address, a.NewerThan, a.Base, func(o configurer.ReadResult, _ []lister.Instance) controller.Event { return o })
@@ -49,135 +49,136 @@
 	case gossiper.Announce:
 		n.announce(a)
 	case observer.Poll:
-		n.ask(a)
+		n.queryTarget(a)
 	}
 }
 
-// platform calls the platform.
-func (n *Node) platform(f func(down bool) controller.Event) {
+// callPlatform delivers the event returned by f, whose argument reports whether the
+// platform is unreachable.
+func (n *Node) callPlatform(f func(down bool) controller.Event) {
 	m := n.mesh
-	if m.cut(n.Zone, platformZone) {
-		m.after(2*time.Second, func() { n.Give(f(true)) })
+	if m.partitioned(n.Zone, platformZone) {
+		m.schedule(2*time.Second, func() { n.Deliver(f(true)) })
 		return
 	}
-	m.after(2*Latency, func() { n.Give(f(false)) })
+	m.schedule(2*Latency, func() { n.Deliver(f(false)) })
 }
 
 func (m *Mesh) watch(n *Node, since int64) {
-	w := &watch{node: n, since: since}
-	m.waiting = append(m.waiting, w)
-	m.after(watchFor, func() { m.end(w, configurer.ReadResult{Source: configurer.SourceWatch}) })
-	m.answer(w)
+	w := &watch{node: n, sinceVersion: since}
+	m.watches = append(m.watches, w)
+	m.schedule(watchTimeout, func() { m.endWatch(w, configurer.ReadResult{Source: configurer.SourceWatch}) })
+	m.scheduleWatchResponse(w)
 }
 
-// answer ends a watch that has something to tell.
-func (m *Mesh) answer(w *watch) {
-	m.after(2*Latency, func() {
+// scheduleWatchResponse ends the watch after a round trip if there is a result to return.
+func (m *Mesh) scheduleWatchResponse(w *watch) {
+	m.schedule(2*Latency, func() {
 		switch {
-		case m.cut(w.node.Zone, platformZone): // nothing arrives; the watch runs out
+		case m.partitioned(w.node.Zone, platformZone): // the watch times out
 		case m.StoreDown:
-			m.end(w, configurer.ReadResult{Err: errCut, Source: configurer.SourceWatch})
-		case m.version > w.since:
-			m.end(w, configurer.DecodeResult(m.version, m.text, configurer.SourceWatch))
+			m.endWatch(w, configurer.ReadResult{Err: errNoResponse, Source: configurer.SourceWatch})
+		case m.version > w.sinceVersion:
+			m.endWatch(w, configurer.DecodeResult(m.version, m.text, configurer.SourceWatch))
 		}
 	})
 }
 
-func (m *Mesh) end(w *watch, o configurer.ReadResult) {
+func (m *Mesh) endWatch(w *watch, o configurer.ReadResult) {
 	if w.ended {
 		return
 	}
 	w.ended = true
-	for i, x := range m.waiting {
+	for i, x := range m.watches {
 		if x == w {
-			m.waiting = append(m.waiting[:i], m.waiting[i+1:]...)
+			m.watches = append(m.watches[:i], m.watches[i+1:]...)
 			break
 		}
 	}
-	w.node.Give(o)
+	w.node.Deliver(o)
 }
 
-// reach calls f on another node after the latency, or lost after the timeout.
-func (n *Node) reach(address string, f func(*Node), lost func()) {
+// call runs f on another node after the latency, or onFailure if it can't be reached.
+func (n *Node) call(address string, f func(*Node), onFailure func()) {
 	m := n.mesh
 	to := m.Node(address)
 	switch {
 	case to == nil || to.Dead:
-		m.after(2*Latency, lost) // refused
-	case m.cut(n.Zone, to.Zone) || to.Paused:
-		m.after(CallTimeout, lost)
+		m.schedule(2*Latency, onFailure) // refused
+	case m.partitioned(n.Zone, to.Zone) || to.Paused:
+		m.schedule(CallTimeout, onFailure)
 	default:
-		m.after(Latency, func() { f(to) })
+		m.schedule(Latency, func() { f(to) })
 	}
 }
 
-func (m *Mesh) carry(messages ...proto.Message) int64 {
-	b := int64(Overhead)
+func (m *Mesh) countBytes(messages ...proto.Message) int64 {
+	b := int64(ExchangeOverhead)
 	for _, p := range messages {
 		b += int64(proto.Size(p))
 	}
-	m.Counts.Bytes += b
+	m.Totals.Bytes += b
 	return b
 }
 
 func (n *Node) exchange(a gossiper.Exchange) {
-	m, asked := n.mesh, n.mesh.Now
-	m.Counts.Exchanges++
-	// The connection's other end remembers who calls.
+	m, requestedAt := n.mesh, n.mesh.Now
+	m.Totals.Exchanges++
+	// The sender is sent once per connection; the peer remembers it.
 	sender := a.Request.Sender
 	if a.Request.Run != 0 {
 		a.Request.Sender = nil
 	}
-	n.reach(a.Peer.Address, func(to *Node) {
-		to.Give(gossiper.ExchangeRequestFromWire(&wire.ExchangeRequest{Version: a.Request.Version, Sender: sender}))
-		s := to.published.Load()
+	n.call(a.Peer.Address, func(to *Node) {
+		to.Deliver(gossiper.ExchangeRequestFromWire(&wire.ExchangeRequest{Version: a.Request.Version, Sender: sender}))
+		s := to.gossipSnapshot.Load()
 		if s == nil {
-			s = &gossiper.Snapshot{Self: to.Self()}
+			s = &gossiper.Snapshot{Self: to.ListEntry()}
 		}
 		r := s.Report(m.Now, a.Request)
-		bytes := m.carry(a.Request, r)
-		m.after(Latency, func() { n.Give(gossiper.Exchanged{Peer: a.Peer, Report: r, RequestedAt: asked, Bytes: bytes}) })
-	}, func() { n.Give(gossiper.Exchanged{Peer: a.Peer, RequestedAt: asked, Err: errCut}) })
+		bytes := m.countBytes(a.Request, r)
+		m.schedule(Latency, func() { n.Deliver(gossiper.Exchanged{Peer: a.Peer, Report: r, RequestedAt: requestedAt, Bytes: bytes}) })
+	}, func() { n.Deliver(gossiper.Exchanged{Peer: a.Peer, RequestedAt: requestedAt, Err: errNoResponse}) })
 }
 
 func (n *Node) announce(a gossiper.Announce) {
 	m := n.mesh
-	m.Counts.Announces++
-	m.carry(a.Message)
-	if m.Mute {
-		m.after(CallTimeout, func() { n.Give(lister.PeerCalled{Name: a.Peer.Name}) })
+	m.Totals.Announcements++
+	m.countBytes(a.Message)
+	if m.DropAnnouncements {
+		m.schedule(CallTimeout, func() { n.Deliver(lister.PeerCalled{Name: a.Peer.Name}) })
 		return
 	}
-	n.reach(a.Peer.Address, func(to *Node) {
-		to.Give(gossiper.AnnouncementFromWire(a.Message))
-		m.after(Latency, func() { n.Give(lister.PeerCalled{Name: a.Peer.Name, OK: true}) })
-	}, func() { n.Give(lister.PeerCalled{Name: a.Peer.Name}) })
+	n.call(a.Peer.Address, func(to *Node) {
+		to.Deliver(gossiper.AnnouncementFromWire(a.Message))
+		m.schedule(Latency, func() { n.Deliver(lister.PeerCalled{Name: a.Peer.Name, OK: true}) })
+	}, func() { n.Deliver(lister.PeerCalled{Name: a.Peer.Name}) })
 }
 
 func (n *Node) fetch(address string, newerThan int64, base []byte, f func(configurer.ReadResult, []lister.Instance) controller.Event) {
 	m := n.mesh
-	m.Counts.Fetches++
-	n.reach(address, func(to *Node) {
-		w := gossiper.MakeFetchReply(to.held.Load(), to.published.Load(), &wire.FetchRequest{NewerThan: newerThan})
+	m.Totals.Fetches++
+	n.call(address, func(to *Node) {
+		w := gossiper.MakeFetchReply(to.activeDocument.Load(), to.gossipSnapshot.Load(), &wire.FetchRequest{NewerThan: newerThan})
 		var peers []lister.Instance
-		if s := to.published.Load(); s != nil && newerThan == 0 {
-			peers = append(append(peers, to.Self()), s.Peers...)
+		if s := to.gossipSnapshot.Load(); s != nil && newerThan == 0 {
+			peers = append(append(peers, to.ListEntry()), s.Peers...)
 		}
-		m.Counts.FetchBytes += m.carry(w)
+		m.Totals.FetchBytes += m.countBytes(w)
 		o := gossiper.DecodeFetchReply(w, base)
-		m.after(Latency, func() { n.Give(f(o, peers)) })
-	}, func() { n.Give(f(configurer.ReadResult{Err: errCut, Source: configurer.SourcePeer}, nil)) })
+		m.schedule(Latency, func() { n.Deliver(f(o, peers)) })
+	}, func() { n.Deliver(f(configurer.ReadResult{Err: errNoResponse, Source: configurer.SourcePeer}, nil)) })
 }
 
-// ask answers for a target, whose log grows by an entry each millisecond.
-func (n *Node) ask(a observer.Poll) {
+// queryTarget simulates a target whose log grows by one entry per millisecond.
+func (n *Node) queryTarget(a observer.Poll) {
 	m, started := n.mesh, n.mesh.Now
-	n.Asked++
-	m.Counts.Questions++
+	n.StatusQueries++
+	m.Totals.StatusQueries++
 	o := observer.Observed{Service: a.Service, Member: a.Member.Name, Started: started}
-	if m.cut(n.Zone, a.Member.Zone) {
-		o.Err = errCut
-		m.after(CallTimeout, func() { n.Give(o) })
+	if m.partitioned(n.Zone, a.Member.Zone) {
+		o.Err = errNoResponse
+		m.schedule(CallTimeout, func() { n.Deliver(o) })
 		return
 	}
 	p := orderer.Position{Term: 1, Offset: 1<<40 + uint64(m.Now.Sub(m.start)/time.Millisecond)}
@@ -185,5 +186,5 @@
 	if strings.HasSuffix(a.Member.Name, "-1") {
 		o.Status.Role = commander.RolePrimary
 	}
-	m.after(2*Latency, func() { n.Give(o) })
+	m.schedule(2*Latency, func() { n.Deliver(o) })
 }
--- a/internal/standin/mesher/slopes_test.go
+++ b/internal/standin/mesher/slopes_test.go
@@ -27,26 +27,26 @@
 	"github.com/oriolegw/oriolegw/internal/promoter"
 	"github.com/oriolegw/oriolegw/internal/router"
 	"github.com/oriolegw/oriolegw/internal/standin/mesher"
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/oriolegw/oriolegw/internal/standin/replicator"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
 	"github.com/oriolegw/oriolegw/pkg/orderer"
 	"github.com/shoenig/test/must"
 )
 
-var printSlopes = flag.Bool("slopes", false, "print the costs of control at several sizes")
+var printSlopes = flag.Bool("slopes", false, "print the cost of the control plane at several sizes")
 
-// size is a deployment: groups that grow with the instances, so that the ratio of
-// the developers' page, 2,300 groups to 1,800 instances, is met at each.
+// size is the size of a deployment. The number of groups grows in proportion to the
+// instances.
 type size struct {
 	zones, perZone, groups int
-	// usedShare is how many of the groups callers of one instance use.
+	// usedShare is the fraction of the groups that clients of one instance use.
 	usedShare float64
 }
 
 func (s size) instances() int { return s.zones * s.perZone }
 
-// wide has a region of three zones; each group has a member in each.
-func wide(s size) *configurer.Document { return document(s.groups) }
+// documentFor returns a configuration with the size's number of groups.
+func documentFor(s size) *configurer.Document { return newDocument(s.groups) }
 
 func userSeconds() float64 {
 	var u syscall.Rusage
@@ -62,9 +62,8 @@
 	return float64(s.HeapAlloc)
 }
 
-// TestSlopes prints one line for each figure, "name instances groups value
-// unit", and holds control to its budget of bytes at each size. make slopes runs
-// all sizes, for docs/CAPACITY.md; make test the smallest.
+// TestSlopes checks the control plane's bandwidth budget and prints one line per figure:
+// "name instances groups value unit". Without -slopes it runs only the smallest size.
 func TestSlopes(t *testing.T) {
 	const bytesPerSecond = 9000
 	sizes := []size{{3, 3, 3, 1}}
@@ -72,12 +71,12 @@
 		sizes = append(sizes, size{3, 3, 12, 1}, size{3, 12, 46, 1}, size{3, 48, 184, 1}, size{3, 48, 184, 0.25})
 	}
 	for _, s := range sizes {
-		must.LessEq(t, bytesPerSecond, measure(s))
+		must.LessEq(t, bytesPerSecond, measureControl(s))
 	}
 	if !*printSlopes {
 		return
 	}
-	measureQuestion(t)
+	measureStatusQuery(t)
 	for _, groups := range []int{3, 184, 575, 2300} {
 		measureDocument(groups)
 		measureSlice("observer", &observer.Slice{Instance: "one", Zone: "a"}, groups)
@@ -88,8 +87,8 @@
 	}
 }
 
-// counting counts the bytes of the connections that it opens, both ways.
-type counting struct {
+// countingNetwork counts the bytes sent and received on the connections it opens.
+type countingNetwork struct {
 	networker.Network
 	bytes *atomic.Int64
 }
@@ -99,7 +98,7 @@
 	bytes *atomic.Int64
 }
 
-func (c counting) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (c countingNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	conn, err := c.Network.Dial(ctx, address)
 	return countingConn{conn, c.bytes}, err
 }
@@ -116,11 +115,11 @@
 	return n, err
 }
 
-// measureQuestion tells what a question to a target carries, on the connection
-// that is kept to it, both ways.
-func measureQuestion(t *testing.T) {
+// measureStatusQuery prints the bytes in both directions of a status query on an open
+// connection.
+func measureStatusQuery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, ctx, cancel := wirer.New(1), context.Background(), context.CancelFunc(nil)
+		n, ctx, cancel := netsimulator.New(1), context.Background(), context.CancelFunc(nil)
 		ctx, cancel = context.WithCancel(ctx)
 		m := &replicator.Member{
 			Name: "service-1-1", Group: "service-1", Address: "10.2.0.1:5432", GroupSize: 3,
@@ -131,28 +130,27 @@
 		go func() { ended <- m.Run(ctx) }()
 		synctest.Wait()
 		bytes := &atomic.Int64{}
-		orders := &commander.Postgres{Network: counting{n.Host("10.1.0.1", "a"), bytes}, Application: "entry-a-1"}
-		ask := func() {
-			_, err := orders.Status(ctx, m.Address)
+		commands := &commander.Postgres{Network: countingNetwork{n.Host("10.1.0.1", "a"), bytes}, Application: "entry-a-1"}
+		query := func() {
+			_, err := commands.Status(ctx, m.Address)
 			must.NoError(t, err)
 		}
-		ask() // opens the connection
-		const questions = 100
+		query() // opens the connection
+		const queries = 100
 		before := bytes.Load()
-		for range questions {
-			ask()
+		for range queries {
+			query()
 		}
-		fmt.Printf("%-34s replicas=0 %12d B\n", "observer-bytes-per-question", (bytes.Load()-before)/questions)
-		orders.Close()
+		fmt.Printf("%-34s replicas=0 %12d B\n", "observer-bytes-per-question", (bytes.Load()-before)/queries)
+		commands.Close()
 		cancel()
 		<-ended
 	})
 }
 
-// measureSlice tells what one slice alone takes for an event, and what it keeps,
-// with all groups known.
+// measureSlice prints one slice's CPU time per event and its memory with all groups known.
 func measureSlice(name string, s controller.Slice, groups int) {
-	d := document(groups)
+	d := newDocument(groups)
 	before := liveBytes()
 	now := time.Unix(1_000_000, 0)
 	s.Step(now, configurer.Activated{Version: 1, Document: d})
@@ -172,7 +170,7 @@
 	const ticks = 100
 	cpu := userSeconds()
 	for range ticks {
-		now = now.Add(time.Millisecond) // what was observed stays fresh
+		now = now.Add(time.Millisecond) // observations stay fresh
 		s.Step(now, controller.Tick{})
 	}
 	tick := (userSeconds() - cpu) / ticks
@@ -185,13 +183,13 @@
 	runtime.KeepAlive(s)
 }
 
-// measure runs a mesh of the size and returns its bytes per second and instance.
-func measure(s size) float64 {
-	d := wide(s)
+// measureControl runs a mesh of the size and returns its bytes per second and instance.
+func measureControl(s size) float64 {
+	d := documentFor(s)
 	before := liveBytes()
 	m := mesher.New(mesher.Plan{
 		Seed: 1, Zones: zones[:s.zones], PerZone: s.perZone, Document: d,
-		Used: func(*mesher.Node) []string {
+		UsedServices: func(*mesher.Node) []string {
 			var out []string
 			for _, v := range d.Services[:int(float64(s.groups)*s.usedShare)] {
 				out = append(out, v.Name)
@@ -201,44 +199,44 @@
 	})
 	m.Run(30 * time.Second)
 	const span = 30 * time.Second
-	was, cpu := m.Counts, userSeconds()
+	previous, cpu := m.Totals, userSeconds()
 	m.Run(span)
 	cpu = userSeconds() - cpu
 	seconds, nodes := span.Seconds(), float64(s.instances())
-	each := func(n int) float64 { return float64(n) / seconds / nodes }
-	show := func(name string, value float64, unit string) {
+	perInstance := func(n int) float64 { return float64(n) / seconds / nodes }
+	printFigure := func(name string, value float64, unit string) {
 		fmt.Printf("%-34s instances=%-4d groups=%-4d used=%-4.2f %12.3f %s\n", name, s.instances(), s.groups, s.usedShare, value, unit)
 	}
-	c := m.Counts
-	show("control-events", each(c.Events-was.Events), "1/s/instance")
-	show("control-cpu", 100*cpu/seconds/nodes, "%-of-a-core/instance")
-	show("control-cpu-per-event", 1e6*cpu/float64(c.Events-was.Events), "us")
-	show("observer-questions", each(c.Questions-was.Questions), "1/s/instance")
-	show("peers-exchanges", each(c.Exchanges-was.Exchanges), "1/s/instance")
-	show("peers-announces", each(c.Announces-was.Announces), "1/s/instance")
-	bytesEach := 2 * float64(c.Bytes-was.Bytes) / seconds / nodes
-	show("peers-bytes-both-ends", bytesEach, "B/s/instance")
-	if n := c.Exchanges - was.Exchanges; n > 0 {
-		show("peers-bytes-per-exchange", float64(c.Bytes-was.Bytes)/float64(n), "B")
+	c := m.Totals
+	printFigure("control-events", perInstance(c.Events-previous.Events), "1/s/instance")
+	printFigure("control-cpu", 100*cpu/seconds/nodes, "%-of-a-core/instance")
+	printFigure("control-cpu-per-event", 1e6*cpu/float64(c.Events-previous.Events), "us")
+	printFigure("observer-questions", perInstance(c.StatusQueries-previous.StatusQueries), "1/s/instance")
+	printFigure("peers-exchanges", perInstance(c.Exchanges-previous.Exchanges), "1/s/instance")
+	printFigure("peers-announces", perInstance(c.Announcements-previous.Announcements), "1/s/instance")
+	bytesPerInstance := 2 * float64(c.Bytes-previous.Bytes) / seconds / nodes
+	printFigure("peers-bytes-both-ends", bytesPerInstance, "B/s/instance")
+	if n := c.Exchanges - previous.Exchanges; n > 0 {
+		printFigure("peers-bytes-per-exchange", float64(c.Bytes-previous.Bytes)/float64(n), "B")
 	}
-	show("knowledge-age-mean", 1e3*meanAge(m, m.Plan.Used(nil)).Seconds(), "ms")
-	show("store-reads", float64(c.StoreReads-was.StoreReads)/seconds, "1/s/fleet")
-	show("store-watches", float64(c.StoreWatches-was.StoreWatches)/seconds, "1/s/fleet")
-	show("list-calls", float64(c.ListCalls-was.ListCalls)/seconds, "1/s/fleet")
-	show("control-memory", (liveBytes()-before)/nodes/1024, "KiB/instance")
+	printFigure("knowledge-age-mean", 1e3*meanAge(m, m.Plan.UsedServices(nil)).Seconds(), "ms")
+	printFigure("store-reads", float64(c.StoreReads-previous.StoreReads)/seconds, "1/s/fleet")
+	printFigure("store-watches", float64(c.StoreWatches-previous.StoreWatches)/seconds, "1/s/fleet")
+	printFigure("list-calls", float64(c.ListCalls-previous.ListCalls)/seconds, "1/s/fleet")
+	printFigure("control-memory", (liveBytes()-before)/nodes/1024, "KiB/instance")
 	runtime.KeepAlive(m)
 	m.Run(20 * time.Millisecond)
-	measureChange(m, d, show)
-	return bytesEach
+	measureChange(m, d, printFigure)
+	return bytesPerInstance
 }
 
-// meanAge is that of what instances know of the members of groups in use.
+// meanAge returns the mean age of the nodes' observations of the used groups' members.
 func meanAge(m *mesher.Mesh, used []string) time.Duration {
 	sum, n := time.Duration(0), 0
-	for _, x := range m.Live() {
+	for _, x := range m.RunningNodes() {
 		for _, v := range used {
 			for k := range zones {
-				sum += m.Now.Sub(x.Seen[fmt.Sprintf("%s/%s-%d", v, v, k+1)])
+				sum += m.Now.Sub(x.LastObserved[fmt.Sprintf("%s/%s-%d", v, v, k+1)])
 				n++
 			}
 		}
@@ -249,11 +247,11 @@
 	return sum / time.Duration(n)
 }
 
-// measureChange publishes a document and a leaving sign, and tells how long
-// each took to reach everyone and what it cost.
-func measureChange(m *mesher.Mesh, d *configurer.Document, show func(string, float64, string)) {
+// measureChange publishes a configuration and a leaving mark, and prints the time until
+// each reached all nodes and its cost.
+func measureChange(m *mesher.Mesh, d *configurer.Document, printFigure func(string, float64, string)) {
 	nodes := float64(len(m.Nodes))
-	was, start := m.Counts, m.Now
+	previous, start := m.Totals, m.Now
 	changed := *d
 	changed.Services = append([]configurer.Service(nil), d.Services...)
 	changed.Services[len(d.Services)/2].Connections++
@@ -261,31 +259,31 @@
 	for behind := true; behind && m.Now.Sub(start) < time.Minute; {
 		m.Run(10 * time.Millisecond)
 		behind = false
-		for _, n := range m.Live() {
-			behind = behind || n.InForce() < v
+		for _, n := range m.RunningNodes() {
+			behind = behind || n.ActiveVersion() < v
 		}
 	}
-	show("configuration-in-force-everywhere", 1e3*m.Now.Sub(start).Seconds(), "ms")
+	printFigure("configuration-in-force-everywhere", 1e3*m.Now.Sub(start).Seconds(), "ms")
 	m.Run(5 * time.Second)
-	show("configuration-fetches-per-change", float64(m.Counts.Fetches-was.Fetches)/nodes, "1/instance")
-	show("configuration-bytes-per-change", float64(m.Counts.FetchBytes-was.FetchBytes)/nodes, "B/instance")
-	show("configuration-announces-per-change", float64(m.Counts.Announces-was.Announces)/nodes, "1/instance")
-	start, was = m.Now, m.Counts
+	printFigure("configuration-fetches-per-change", float64(m.Totals.Fetches-previous.Fetches)/nodes, "1/instance")
+	printFigure("configuration-bytes-per-change", float64(m.Totals.FetchBytes-previous.FetchBytes)/nodes, "B/instance")
+	printFigure("configuration-announces-per-change", float64(m.Totals.Announcements-previous.Announcements)/nodes, "1/instance")
+	start, previous = m.Now, m.Totals
 	m.List = append(m.List, lister.Instance{Name: "service-1-2", Kind: lister.KindTarget, Zone: "b", State: lister.StateLeaving})
 	for behind := true; behind && m.Now.Sub(start) < time.Minute; {
 		m.Run(10 * time.Millisecond)
 		behind = false
-		for _, n := range m.Live() {
-			behind = behind || len(n.Leaving) == 0
+		for _, n := range m.RunningNodes() {
+			behind = behind || len(n.LeavingTargets) == 0
 		}
 	}
-	show("drain-sign-everywhere", 1e3*m.Now.Sub(start).Seconds(), "ms")
-	show("drain-announces-per-sign", float64(m.Counts.Announces-was.Announces)/nodes, "1/instance")
+	printFigure("drain-sign-everywhere", 1e3*m.Now.Sub(start).Seconds(), "ms")
+	printFigure("drain-announces-per-sign", float64(m.Totals.Announcements-previous.Announcements)/nodes, "1/instance")
 }
 
-// encode writes a document without the spaces of its canonical form, with a
-// line for each service: 2,300 groups fit the store's megabyte only so.
-func encode(d *configurer.Document) []byte {
+// encodeCompact encodes a configuration without indentation, one line per service, to
+// fit the largest one within the store's value limit.
+func encodeCompact(d *configurer.Document) []byte {
 	var out bytes.Buffer
 	if err := json.Compact(&out, configurer.Encode(d)); err != nil {
 		panic(err)
@@ -293,9 +291,9 @@
 	return bytes.ReplaceAll(out.Bytes(), []byte(`{"name":"service-`), []byte("\n"+`{"name":"service-`))
 }
 
-// measureDocument tells what a document weighs.
+// measureDocument prints the sizes of a configuration and its patch, and their CPU time.
 func measureDocument(groups int) {
-	text := encode(document(groups))
+	text := encodeCompact(newDocument(groups))
 	const rounds = 5
 	cpu := userSeconds()
 	for range rounds {
@@ -305,14 +303,14 @@
 	}
 	cpu = userSeconds() - cpu
 	fmt.Printf("%-34s groups=%-4d %12d B\n", "configuration-document", groups, len(text))
-	fmt.Printf("%-34s groups=%-4d %12d B\n", "configuration-document-indented", groups, len(configurer.Encode(document(groups))))
-	next := document(groups)
+	fmt.Printf("%-34s groups=%-4d %12d B\n", "configuration-document-indented", groups, len(configurer.Encode(newDocument(groups))))
+	next := newDocument(groups)
 	next.Services[groups/2].Connections++
-	changed := encode(next)
-	cpuDifference := userSeconds()
-	difference := configurer.MakePatch(text, changed)
-	cpuDifference = userSeconds() - cpuDifference
-	fmt.Printf("%-34s groups=%-4d %12d B\n", "configuration-difference", groups, difference.Size())
-	fmt.Printf("%-34s groups=%-4d %12.3f ms\n", "configuration-difference-cpu", groups, 1e3*cpuDifference)
+	changed := encodeCompact(next)
+	patchCPU := userSeconds()
+	patch := configurer.MakePatch(text, changed)
+	patchCPU = userSeconds() - patchCPU
+	fmt.Printf("%-34s groups=%-4d %12d B\n", "configuration-difference", groups, patch.Size())
+	fmt.Printf("%-34s groups=%-4d %12.3f ms\n", "configuration-difference-cpu", groups, 1e3*patchCPU)
 	fmt.Printf("%-34s groups=%-4d %12.3f ms\n", "configuration-decode-cpu", groups, 1e3*cpu/rounds)
 }
--- a/internal/standin/wirer/conn.go
+++ b/internal/standin/netsimulator/conn.go
@@ -1,4 +1,4 @@
-package wirer
+package netsimulator
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"github.com/go-faster/errors"
 )
 
-// window is how much one direction of a connection holds before Write blocks.
-const window = 256 << 10
+// maxBufferedBytes is the number of unread bytes per direction at which Write blocks.
+const maxBufferedBytes = 256 << 10
 
 type (
-	// conn is one end of a connection.
+	// conn is one end of a simulated connection.
 	conn struct {
 		net           *Net
 		local, remote *Host
@@ -27,21 +27,21 @@
 		writeDeadline deadline
 	}
 
-	// stream is one direction: chunks that become readable when their time has
-	// come and the way is not cut.
+	// stream is one direction of a connection. Its chunks become readable at their
+	// arrival time, unless the hosts are partitioned.
 	stream struct {
-		mutex    sync.Mutex
-		chunks   []chunk
-		size     int
-		last     time.Time
-		finished bool  // the writer closed
-		failure  error // reset
-		changed  chan struct{}
+		mutex         sync.Mutex
+		chunks        []chunk
+		bufferedBytes int
+		lastArrival   time.Time
+		closed        bool  // the writer has closed its end
+		err           error // set when the connection was reset or closed locally
+		changed       chan struct{}
 	}
 
 	chunk struct {
-		data []byte
-		at   time.Time
+		data      []byte
+		arrivesAt time.Time
 	}
 
 	deadline struct {
@@ -51,18 +51,18 @@
 	}
 )
 
-func pair(n *Net, from, to *Host, port int, listening string) (a, b *conn) {
-	x, y := &stream{changed: make(chan struct{})}, &stream{changed: make(chan struct{})}
+func newConnPair(n *Net, from, to *Host, port int, listenAddress string) (a, b *conn) {
+	inbound, outbound := &stream{changed: make(chan struct{})}, &stream{changed: make(chan struct{})}
 	name := net.JoinHostPort(from.IP, strconv.Itoa(40000+port))
-	a = &conn{net: n, local: from, remote: to, name: name, peer: listening, in: x, out: y}
-	b = &conn{net: n, local: to, remote: from, name: listening, peer: name, in: y, out: x}
+	a = &conn{net: n, local: from, remote: to, name: name, peer: listenAddress, in: inbound, out: outbound}
+	b = &conn{net: n, local: to, remote: from, name: listenAddress, peer: name, in: outbound, out: inbound}
 	for _, c := range []*conn{a, b} {
 		c.readDeadline.changed, c.writeDeadline.changed = make(chan struct{}), make(chan struct{})
 	}
 	return a, b
 }
 
-func (s *stream) wake() {
+func (s *stream) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -75,14 +75,15 @@
 	d.changed = make(chan struct{})
 }
 
-// passed reports whether the deadline is over.
+// passed reports whether the deadline has passed.
 func (d *deadline) passed() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return !d.at.IsZero() && !time.Now().Before(d.at)
 }
 
-// context ends at the deadline; changed is closed when the deadline moves.
+// context returns a context that ends at the deadline, and a channel that is closed when
+// the deadline changes.
 func (d *deadline) context() (context.Context, context.CancelFunc, chan struct{}) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -97,56 +98,56 @@
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
 	for {
-		wait, changed, err := c.in.look()
+		wait, changed, err := c.in.peek()
 		if err != nil {
 			return 0, err
 		}
-		cut, network := false, (chan struct{})(nil)
-		if wait == 0 { // something is due: is the way open?
-			if cut, network = c.net.stalled(c.remote, c.local); !cut {
+		partitioned, networkChanged := false, (chan struct{})(nil)
+		if wait == 0 { // data has arrived unless the hosts are partitioned
+			if partitioned, networkChanged = c.net.partitioned(c.remote, c.local); !partitioned {
 				if n, err := c.in.pop(p); n > 0 || err != nil {
 					return n, err
 				}
 				continue
 			}
 		}
-		if err := c.sleep(&c.readDeadline, wait, changed, network); err != nil {
+		if err := c.waitForChange(&c.readDeadline, wait, changed, networkChanged); err != nil {
 			return 0, err
 		}
 	}
 }
 
-// look tells the state of the head: wait 0 means that something is due, -1 that nothing is
-// on its way.
-func (s *stream) look() (wait time.Duration, changed chan struct{}, err error) {
+// peek returns the time until the next chunk or the end of the stream arrives: 0 if it has,
+// -1 if nothing is in flight.
+func (s *stream) peek() (wait time.Duration, changed chan struct{}, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch {
-	case s.failure != nil:
-		return 0, nil, s.failure
-	case len(s.chunks) == 0 && s.finished:
-		return max(0, time.Until(s.last)), s.changed, nil
+	case s.err != nil:
+		return 0, nil, s.err
+	case len(s.chunks) == 0 && s.closed:
+		return max(0, time.Until(s.lastArrival)), s.changed, nil
 	case len(s.chunks) == 0:
 		return -1, s.changed, nil
 	}
-	return max(0, time.Until(s.chunks[0].at)), s.changed, nil
+	return max(0, time.Until(s.chunks[0].arrivesAt)), s.changed, nil
 }
 
-// Pending reports that data, or the end of the stream, has arrived.
+// Pending reports whether data or the end of the stream has arrived.
 func (c *conn) Pending() bool {
-	wait, _, err := c.in.look()
+	wait, _, err := c.in.peek()
 	if err != nil {
 		return true
 	}
-	cut, _ := c.net.stalled(c.remote, c.local)
-	return wait == 0 && !cut
+	partitioned, _ := c.net.partitioned(c.remote, c.local)
+	return wait == 0 && !partitioned
 }
 
 func (s *stream) pop(p []byte) (int, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.chunks) == 0 {
-		if s.finished {
+		if s.closed {
 			return 0, io.EOF
 		}
 		return 0, nil
@@ -156,13 +157,13 @@
 	if len(s.chunks[0].data) == 0 {
 		s.chunks = s.chunks[1:]
 	}
-	s.size -= n
-	s.wake()
+	s.bufferedBytes -= n
+	s.notify()
 	return n, nil
 }
 
-func (c *conn) sleep(d *deadline, wait time.Duration, changed, network chan struct{}) error {
-	ctx, cancel, moved := d.context()
+func (c *conn) waitForChange(d *deadline, wait time.Duration, changed, networkChanged chan struct{}) error {
+	ctx, cancel, deadlineChanged := d.context()
 	defer cancel()
 	var due <-chan time.Time
 	if wait > 0 {
@@ -173,70 +174,70 @@
 	select {
 	case <-due:
 	case <-changed:
-	case <-network:
-	case <-moved:
+	case <-networkChanged:
+	case <-deadlineChanged:
 	case <-ctx.Done():
 		return os.ErrDeadlineExceeded
 	}
 	return nil
 }
 
-// Write implements net.Conn. As on a socket, nothing is written once the deadline is over.
+// Write implements net.Conn. As on a socket, it writes nothing after the deadline.
 func (c *conn) Write(p []byte) (int, error) {
 	if c.writeDeadline.passed() {
 		return 0, os.ErrDeadlineExceeded
 	}
 	s := c.out
 	for {
-		// The network's mutex goes before that of a stream.
+		// Lock order: the network's mutex before a stream's.
 		delay := c.net.latency(c.local, c.remote)
 		s.mutex.Lock()
-		if s.failure != nil || s.finished {
-			err := s.failure
+		if s.err != nil || s.closed {
+			err := s.err
 			s.mutex.Unlock()
 			if err == nil {
 				err = net.ErrClosed
 			}
 			return 0, err
 		}
-		if s.size < window {
+		if s.bufferedBytes < maxBufferedBytes {
 			at := time.Now().Add(delay)
-			if at.Before(s.last) {
-				at = s.last
+			if at.Before(s.lastArrival) {
+				at = s.lastArrival
 			}
-			s.last = at
-			s.chunks = append(s.chunks, chunk{data: append([]byte(nil), p...), at: at})
-			s.size += len(p)
-			s.wake()
+			s.lastArrival = at
+			s.chunks = append(s.chunks, chunk{data: append([]byte(nil), p...), arrivesAt: at})
+			s.bufferedBytes += len(p)
+			s.notify()
 			s.mutex.Unlock()
-			if c.net.Tap != nil {
-				c.net.Tap(c.local, c.remote, p)
+			if c.net.OnSend != nil {
+				c.net.OnSend(c.local, c.remote, p)
 			}
 			return len(p), nil
 		}
 		changed := s.changed
 		s.mutex.Unlock()
-		if err := c.sleep(&c.writeDeadline, -1, changed, nil); err != nil {
+		if err := c.waitForChange(&c.writeDeadline, -1, changed, nil); err != nil {
 			return 0, err
 		}
 	}
 }
 
-// CloseWrite ends this end's direction: the other end reads what was sent, then
-// io.EOF, and may still answer.
+// CloseWrite closes the sending direction: the peer reads what was sent, then io.EOF, and
+// may still send.
 func (c *conn) CloseWrite() error {
 	delay := c.net.latency(c.local, c.remote)
 	c.out.mutex.Lock()
 	defer c.out.mutex.Unlock()
-	if !c.out.finished {
-		c.out.finished = true
-		c.out.last = time.Now().Add(delay)
-		c.out.wake()
+	if !c.out.closed {
+		c.out.closed = true
+		c.out.lastArrival = time.Now().Add(delay)
+		c.out.notify()
 	}
 	return nil
 }
 
-// Close implements net.Conn: the other end reads what was sent, then io.EOF.
+// Close implements net.Conn: the peer reads what was sent, then io.EOF.
 func (c *conn) Close() error {
 	_ = c.CloseWrite()
 	c.in.fail(net.ErrClosed)
@@ -249,13 +250,13 @@
 func (s *stream) fail(err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.failure == nil {
-		s.failure = err
-		s.wake()
+	if s.err == nil {
+		s.err = err
+		s.notify()
 	}
 }
 
-// reset fails both directions at once, for both ends.
+// reset fails both directions with ECONNRESET.
 func (c *conn) reset() {
 	err := errors.Wrap(syscall.ECONNRESET, c.peer)
 	c.in.fail(err)
--- a/internal/standin/wirer/wirer.go
+++ b/internal/standin/netsimulator/netsimulator.go
@@ -1,9 +1,8 @@
-// Package wirer is a network in memory for tests: hosts, one-way latencies
-// between availability zones, cuts that stall connections without closing them,
-// and hosts that die. It implements networker.Network, so that the code of an
-// instance, a target and the platform runs on it unchanged, under the virtual
-// clock of testing/synctest.
-package wirer
+// Package netsimulator simulates a network in memory for tests: hosts, one-way latencies between
+// availability zones, partitions that stall connections without closing them, and host
+// failures. It implements networker.Network and runs under the virtual clock of
+// testing/synctest.
+package netsimulator
 
 import (
 	"context"
@@ -17,24 +16,24 @@
 )
 
 type (
-	// Net is the whole network. Set Latency before the first connection.
+	// Net is a simulated network. Set Latency before the first connection.
 	Net struct {
 		// Latency returns the one-way delay between two hosts; nil means none.
 		Latency func(from, to *Host) time.Duration
-		// Tap, when set, is told of all that hosts send.
-		Tap func(from, to *Host, sent []byte)
+		// OnSend, when set, is called with all data that hosts send.
+		OnSend func(from, to *Host, sent []byte)
 
-		mutex     sync.Mutex
-		hosts     map[string]*Host
-		listeners map[string]*listener
-		conns     map[*conn]struct{}
-		cuts      map[[2]string]bool
-		changed   chan struct{}
-		random    *rand.Rand
-		nextPort  int
+		mutex      sync.Mutex
+		hosts      map[string]*Host
+		listeners  map[string]*listener
+		conns      map[*conn]struct{}
+		partitions map[[2]string]bool
+		changed    chan struct{}
+		random     *rand.Rand
+		nextPort   int
 	}
 
-	// Host is one machine; it implements networker.Network.
+	// Host is one machine on the network; it implements networker.Network.
 	Host struct {
 		IP   string
 		Zone string
@@ -55,19 +54,19 @@
 var (
 	_ networker.Network = (*Host)(nil)
 
-	// ErrRefused is what a dial to an address without listener gets.
+	// ErrRefused is returned by Dial when nothing listens on the address.
 	ErrRefused = errors.New("connection refused")
 )
 
-// New returns an empty network; the seed drives its jitter.
+// New returns an empty network; seed initializes the random source of Jitter.
 func New(seed uint64) *Net {
 	return &Net{
 		hosts: map[string]*Host{}, listeners: map[string]*listener{}, conns: map[*conn]struct{}{},
-		cuts: map[[2]string]bool{}, changed: make(chan struct{}), random: rand.New(rand.NewPCG(seed, seed)),
+		partitions: map[[2]string]bool{}, changed: make(chan struct{}), random: rand.New(rand.NewPCG(seed, seed)),
 	}
 }
 
-// Host adds a machine.
+// Host returns the host with the IP, adding it if it is new.
 func (n *Net) Host(ip, zone string) *Host {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -79,27 +78,29 @@
 	return h
 }
 
-// Cut stalls all traffic between a and b, both ways. Each is an IP or a zone.
-func (n *Net) Cut(a, b string) { n.change(func() { n.cuts[[2]string{a, b}] = true }) }
+// Partition stalls all traffic between a and b in both directions; each is an IP or a zone.
+func (n *Net) Partition(a, b string) { n.update(func() { n.partitions[[2]string{a, b}] = true }) }
 
-// CutOneWay stalls the traffic from a to b only.
-func (n *Net) CutOneWay(a, b string) { n.change(func() { n.cuts[[2]string{a, "> " + b}] = true }) }
+// PartitionOneWay stalls the traffic from a to b only.
+func (n *Net) PartitionOneWay(a, b string) {
+	n.update(func() { n.partitions[[2]string{a, "> " + b}] = true })
+}
 
-// Heal ends a cut; what was stalled is delivered.
+// Heal removes the partition between a and b; stalled data is delivered.
 func (n *Net) Heal(a, b string) {
-	n.change(func() {
-		delete(n.cuts, [2]string{a, b})
-		delete(n.cuts, [2]string{b, a})
-		delete(n.cuts, [2]string{a, "> " + b})
+	n.update(func() {
+		delete(n.partitions, [2]string{a, b})
+		delete(n.partitions, [2]string{b, a})
+		delete(n.partitions, [2]string{a, "> " + b})
 	})
 }
 
-// HealAll ends every cut.
-func (n *Net) HealAll() { n.change(func() { n.cuts = map[[2]string]bool{} }) }
+// HealAll removes all partitions.
+func (n *Net) HealAll() { n.update(func() { n.partitions = map[[2]string]bool{} }) }
 
-// Kill resets all connections of a host and refuses new ones, until Revive.
+// Kill resets all connections of a host and refuses new ones until Revive.
 func (n *Net) Kill(ip string) {
-	n.change(func() {
+	n.update(func() {
 		n.hosts[ip].dead = true
 		for c := range n.conns {
 			if c.local.IP == ip || c.remote.IP == ip {
@@ -110,9 +111,9 @@
 }
 
 // Revive lets a killed host listen and dial again.
-func (n *Net) Revive(ip string) { n.change(func() { n.hosts[ip].dead = false }) }
+func (n *Net) Revive(ip string) { n.update(func() { n.hosts[ip].dead = false }) }
 
-func (n *Net) change(f func()) {
+func (n *Net) update(f func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	f()
@@ -120,14 +121,14 @@
 	n.changed = make(chan struct{})
 }
 
-// stalled reports whether traffic from one host to another is cut, and a
+// partitioned reports whether traffic from one host to another is stalled, and returns a
 // channel that is closed when that may have changed.
-func (n *Net) stalled(from, to *Host) (bool, chan struct{}) {
+func (n *Net) partitioned(from, to *Host) (bool, chan struct{}) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for _, f := range []string{from.IP, from.Zone} {
 		for _, t := range []string{to.IP, to.Zone} {
-			if n.cuts[[2]string{f, t}] || n.cuts[[2]string{t, f}] || n.cuts[[2]string{f, "> " + t}] {
+			if n.partitions[[2]string{f, t}] || n.partitions[[2]string{t, f}] || n.partitions[[2]string{f, "> " + t}] {
 				return true, n.changed
 			}
 		}
@@ -142,18 +143,19 @@
 	return n.Latency(from, to)
 }
 
-// Jitter returns a random duration up to limit, from the network's seed.
+// Jitter returns a random duration in [0, limit].
 func (n *Net) Jitter(limit time.Duration) time.Duration {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return time.Duration(n.random.Int64N(int64(limit) + 1))
 }
 
-// travel waits for a message to get from one host to another.
-func (n *Net) travel(ctx context.Context, from, to *Host) error {
+// waitForDelivery blocks for the latency from one host to another, and while they are
+// partitioned.
+func (n *Net) waitForDelivery(ctx context.Context, from, to *Host) error {
 	for {
-		cut, changed := n.stalled(from, to)
-		if !cut {
+		partitioned, changed := n.partitioned(from, to)
+		if !partitioned {
 			break
 		}
 		select {
@@ -183,20 +185,20 @@
 	if to == nil || dead {
 		return nil, errors.Wrapf(ErrRefused, "dial %s", address)
 	}
-	if err := n.travel(ctx, h, to); err != nil {
+	if err := n.waitForDelivery(ctx, h, to); err != nil {
 		return nil, errors.Wrapf(err, "dial %s", address)
 	}
 	n.mutex.Lock()
 	l := n.listeners[address]
 	if l == nil || to.dead {
 		n.mutex.Unlock()
-		if err := n.travel(ctx, to, h); err != nil {
+		if err := n.waitForDelivery(ctx, to, h); err != nil {
 			return nil, errors.Wrapf(err, "dial %s", address)
 		}
 		return nil, errors.Wrapf(ErrRefused, "dial %s", address)
 	}
 	n.nextPort++
-	a, b := pair(n, h, to, n.nextPort, address)
+	a, b := newConnPair(n, h, to, n.nextPort, address)
 	n.conns[a], n.conns[b] = struct{}{}, struct{}{}
 	n.mutex.Unlock()
 	select {
@@ -208,7 +210,7 @@
 		a.reset()
 		return nil, errors.Wrapf(ctx.Err(), "dial %s", address)
 	}
-	if err := n.travel(ctx, to, h); err != nil {
+	if err := n.waitForDelivery(ctx, to, h); err != nil {
 		a.reset()
 		return nil, errors.Wrapf(err, "dial %s", address)
 	}
--- a/internal/standin/player/callers.go
+++ b/internal/standin/player/callers.go
@@ -11,23 +11,23 @@
 	"github.com/oriolegw/oriolegw/internal/standin/stager"
 )
 
-const recoverPoll = 10 * time.Millisecond
+const recoveryPollInterval = 10 * time.Millisecond
 
 var callerCommands = []Command{
 	{
 		Name: "stage", Usage: "[per-zone=N] [seed=N] [latency=D] [jitter=D] [work=D]",
-		Text: "Starts a fleet: the platform, three targets lockers-1 to lockers-3 (1 is the primary) and instances entry-a-1 and so on, in the availability zones a, b and c.",
-		Run:  runStage,
+		Description: "Starts a fleet in the availability zones a, b and c: the platform, the targets lockers-1 (primary) to lockers-3, and instances named entry-a-1 and so on.",
+		Run:         runStage,
 	},
 	{
-		Name: "connect", Usage: "CALLER INSTANCE [token=CALLER|TEXT] [kind=KIND]", Min: 2,
-		Text: "Opens a session; token carries that of another caller. Prints the outcome.",
-		Run:  runConnect,
+		Name: "connect", Usage: "CALLER INSTANCE [token=CALLER|TEXT] [kind=KIND]", MinArgs: 2,
+		Description: "Opens a session; token is that of another caller or a literal. Prints the outcome.",
+		Run:         runConnect,
 	},
 	{
-		Name: "leave", Usage: "CALLER", Min: 1, Text: "Closes a session.",
+		Name: "leave", Usage: "CALLER", MinArgs: 1, Description: "Closes a session.",
 		Run: func(p *Player, a []string) (string, error) {
-			c, err := p.find(a[0])
+			c, err := p.findCaller(a[0])
 			if err != nil {
 				return "", err
 			}
@@ -37,10 +37,10 @@
 		},
 	},
 	{
-		Name: "do", Usage: "CALLER SQL", Min: 2,
-		Text: "Runs a statement and prints its rows, or its outcome: done, not-run CODE, unknown CODE, failed CODE.",
+		Name: "do", Usage: "CALLER SQL", MinArgs: 2,
+		Description: "Runs a statement and prints its rows, or its outcome: done, not-run CODE, unknown CODE, failed CODE.",
 		Run: func(p *Player, a []string) (string, error) {
-			c, err := p.find(a[0])
+			c, err := p.findCaller(a[0])
 			if err != nil {
 				return "", err
 			}
@@ -48,32 +48,32 @@
 		},
 	},
 	{
-		Name: "start", Usage: "CALLER SQL", Min: 2, Text: "Runs a statement in the background; end waits for it.",
+		Name: "start", Usage: "CALLER SQL", MinArgs: 2, Description: "Runs a statement in the background; end waits for it.",
 		Run: runStart,
 	},
 	{
-		Name: "end", Usage: "CALLER", Min: 1, Text: "Waits for the statement that start began and prints as do does.",
+		Name: "end", Usage: "CALLER", MinArgs: 1, Description: "Waits for the caller's background statement and prints as do does.",
 		Run: func(p *Player, a []string) (string, error) {
-			c, err := p.find(a[0])
+			c, err := p.findCaller(a[0])
 			if err != nil {
 				return "", err
 			}
-			if c.done == nil {
-				return "", errors.New("nothing was started")
+			if c.background == nil {
+				return "", errors.New("no background statement is running")
 			}
-			r := <-c.done
-			c.done = nil
+			r := <-c.background
+			c.background = nil
 			return r, nil
 		},
 	},
 	{
-		Name: "cancel", Usage: "CALLER INSTANCE", Min: 2, Text: "Sends the caller's cancel request to an instance.",
+		Name: "cancel", Usage: "CALLER INSTANCE", MinArgs: 2, Description: "Sends the caller's cancel request to an instance.",
 		Run: runCancel,
 	},
 	{
-		Name: "sleep", Usage: "D", Min: 1, Text: "Lets virtual time pass.",
+		Name: "sleep", Usage: "D", MinArgs: 1, Description: "Advances virtual time.",
 		Run: func(_ *Player, a []string) (string, error) {
-			d, err := duration(a[0])
+			d, err := parseDuration(a[0])
 			if err == nil {
 				time.Sleep(d)
 			}
@@ -81,21 +81,21 @@
 		},
 	},
 	{
-		Name: "committed", Usage: "KEY", Min: 1,
-		Text: "Prints how often targets committed the key, by their own records, and whether the primary shows it.",
-		Run:  runCommitted,
+		Name: "committed", Usage: "KEY", MinArgs: 1,
+		Description: "Prints how many times targets committed the key, by their journals, and the primary's value.",
+		Run:         runCommitted,
 	},
 	{
-		Name: "recovered", Usage: "CALLER D", Min: 2,
-		Text: "Writes with the caller until a write is done, for at most D of virtual time, and prints the time that took.",
-		Run:  runRecovered,
+		Name: "recovered", Usage: "CALLER D", MinArgs: 2,
+		Description: "Retries writes until one succeeds, for at most D of virtual time, and prints the time taken.",
+		Run:         runRecovered,
 	},
 }
 
 func runStage(p *Player, a []string) (string, error) {
-	_, named := options(a)
+	_, options := splitOptions(a)
 	plan := stager.Plan{Log: p.Log, ZoneLatency: time.Millisecond, ClientLatency: 3 * time.Millisecond}
-	for k, v := range named {
+	for k, v := range options {
 		n, _ := strconv.Atoi(v)
 		d, _ := time.ParseDuration(v)
 		switch k {
@@ -110,7 +110,7 @@
 		case "work":
 			plan.ExecutionTime = d
 		default:
-			return "", errors.Errorf("no option %q", k)
+			return "", errors.Errorf("unknown option %q", k)
 		}
 	}
 	f, err := stager.Start(p.ctx, plan)
@@ -122,39 +122,39 @@
 }
 
 func runConnect(p *Player, a []string) (string, error) {
-	words, named := options(a)
+	words, options := splitOptions(a)
 	if len(words) < 2 {
 		return "", errors.New("usage: connect CALLER INSTANCE")
 	}
-	e, err := p.entry(words[1])
+	e, err := p.findInstance(words[1])
 	if err != nil {
 		return "", err
 	}
 	parameters := map[string]string{}
-	if t := named["token"]; t != "" {
-		if o := p.caller[t]; o != nil {
+	if t := options["token"]; t != "" {
+		if o := p.callers[t]; o != nil {
 			t = o.token
 		}
 		parameters["oriole.token"] = t
 	}
-	if k := named["kind"]; k != "" {
+	if k := options["kind"]; k != "" {
 		parameters["oriole.kind"] = k
 	}
 	conn, err := p.fleet.Connect(p.ctx, e, stager.DefaultService, parameters)
 	if err != nil {
-		return outcome(err) + "\n", nil
+		return formatOutcome(err) + "\n", nil
 	}
-	p.caller[words[0]] = &caller{service: stager.DefaultService, entry: e, conn: conn, token: conn.PgConn().ParameterStatus("oriole.token")}
+	p.callers[words[0]] = &caller{service: stager.DefaultService, instance: e, conn: conn, token: conn.PgConn().ParameterStatus("oriole.token")}
 	return "done\n", nil
 }
 
-// query runs a statement and returns its rows or outcome. Scripts write text in
-// double quotes, since testscript takes the single ones.
+// query runs a statement and returns its rows and outcome. Double quotes in sql become
+// single quotes, which testscript reserves for itself.
 func (p *Player) query(c *caller, sql string) string {
 	sql = strings.ReplaceAll(sql, `"`, "'")
 	rows, err := c.conn.Query(p.ctx, sql, pgx.QueryExecModeSimpleProtocol)
 	if err != nil {
-		return outcome(err) + "\n"
+		return formatOutcome(err) + "\n"
 	}
 	var b strings.Builder
 	for rows.Next() {
@@ -168,29 +168,29 @@
 	if t := c.conn.PgConn().ParameterStatus("oriole.token"); t != "" {
 		c.token = t
 	}
-	b.WriteString(outcome(rows.Err()) + "\n")
+	b.WriteString(formatOutcome(rows.Err()) + "\n")
 	return b.String()
 }
 
 func runStart(p *Player, a []string) (string, error) {
-	c, err := p.find(a[0])
+	c, err := p.findCaller(a[0])
 	if err != nil {
 		return "", err
 	}
-	if c.done != nil {
-		return "", errors.New("end the other statement first")
+	if c.background != nil {
+		return "", errors.New("a background statement is already running")
 	}
-	c.done = make(chan string, 1)
-	go func() { c.done <- p.query(c, strings.Join(a[1:], " ")) }()
+	c.background = make(chan string, 1)
+	go func() { c.background <- p.query(c, strings.Join(a[1:], " ")) }()
 	return "", nil
 }
 
 func runCancel(p *Player, a []string) (string, error) {
-	c, err := p.find(a[0])
+	c, err := p.findCaller(a[0])
 	if err != nil {
 		return "", err
 	}
-	e, err := p.entry(a[1])
+	e, err := p.findInstance(a[1])
 	if err != nil {
 		return "", err
 	}
@@ -220,18 +220,18 @@
 }
 
 func runRecovered(p *Player, a []string) (string, error) {
-	limit, err := duration(a[1])
+	limit, err := parseDuration(a[1])
 	if err != nil {
 		return "", err
 	}
 	started := time.Now()
 	for n := 0; time.Since(started) < limit; n++ {
-		c, err := p.find(a[0])
+		c, err := p.findCaller(a[0])
 		if err != nil {
 			return "", err
 		}
 		if c.conn.IsClosed() {
-			if c.conn, err = p.fleet.Connect(p.ctx, c.entry, c.service, nil); err != nil {
+			if c.conn, err = p.fleet.Connect(p.ctx, c.instance, c.service, nil); err != nil {
 				return "", err
 			}
 		}
@@ -239,7 +239,7 @@
 		if p.query(c, sql) == "done\n" {
 			return fmt.Sprintf("after %v\n", time.Since(started).Round(time.Millisecond)), nil
 		}
-		time.Sleep(recoverPoll)
+		time.Sleep(recoveryPollInterval)
 	}
-	return "", errors.Errorf("no write was done within %v", limit)
+	return "", errors.Errorf("no write succeeded within %v", limit)
 }
