--- a/internal/standin/player/faults.go
+++ b/internal/standin/player/faults.go
@@ -13,13 +13,13 @@
 
 var faultCommands = []Command{
 	{
-		Name: "crash", Usage: "TARGET|INSTANCE|primary", Min: 1, Text: "Ends a process as a crash does.",
+		Name: "crash", Usage: "TARGET|INSTANCE|primary", MinArgs: 1, Description: "Crashes a process.",
 		Run: func(p *Player, a []string) (string, error) {
-			if e, err := p.entry(a[0]); err == nil {
+			if e, err := p.findInstance(a[0]); err == nil {
 				p.fleet.KillInstance(e)
 				return "", nil
 			}
-			t, err := p.target(a[0])
+			t, err := p.findTarget(a[0])
 			if err == nil {
 				p.fleet.KillTarget(t)
 				return t.Name + "\n", nil
@@ -28,14 +28,14 @@
 		},
 	},
 	{
-		Name: "restart", Usage: "TARGET|INSTANCE", Min: 1,
-		Text: "Starts a killed process again: a target with its log, an instance with nothing.",
+		Name: "restart", Usage: "TARGET|INSTANCE", MinArgs: 1,
+		Description: "Restarts a crashed process: a target with its log, an instance without state.",
 		Run: func(p *Player, a []string) (string, error) {
-			if e, err := p.entry(a[0]); err == nil {
+			if e, err := p.findInstance(a[0]); err == nil {
 				p.fleet.StartInstance(e)
 				return "", nil
 			}
-			t, err := p.target(a[0])
+			t, err := p.findTarget(a[0])
 			if err == nil {
 				p.fleet.RestartTarget(t)
 			}
@@ -43,48 +43,48 @@
 		},
 	},
 	{
-		Name: "cut", Usage: "A B", Min: 2, Text: "Stalls all traffic between two places: zones, platform, targets or instances.",
+		Name: "cut", Usage: "A B", MinArgs: 2, Description: "Stalls all traffic between two endpoints: zones, platform, targets or instances.",
 		Run: func(p *Player, a []string) (string, error) {
-			p.fleet.Network.Cut(p.place(a[0]), p.place(a[1]))
+			p.fleet.Network.Partition(p.resolveEndpoint(a[0]), p.resolveEndpoint(a[1]))
 			return "", nil
 		},
 	},
 	{
-		Name: "heal", Usage: "[A B]", Text: "Ends one cut, or all; what was stalled is delivered.",
+		Name: "heal", Usage: "[A B]", Description: "Removes one cut, or all; stalled data is delivered.",
 		Run: func(p *Player, a []string) (string, error) {
 			if len(a) < 2 {
 				p.fleet.Network.HealAll()
 				return "", nil
 			}
-			p.fleet.Network.Heal(p.place(a[0]), p.place(a[1]))
+			p.fleet.Network.Heal(p.resolveEndpoint(a[0]), p.resolveEndpoint(a[1]))
 			return "", nil
 		},
 	},
-	targetFault("freeze", "", "Stops a target; its connections stay open.", func(t *stager.Target, _ string) error {
+	newTargetFault("freeze", "", "Suspends a target; its connections stay open.", func(t *stager.Target, _ string) error {
 		t.Faults.Freeze()
 		return nil
 	}),
-	targetFault("thaw", "", "Lets a frozen target go on.", func(t *stager.Target, _ string) error {
+	newTargetFault("thaw", "", "Resumes a frozen target.", func(t *stager.Target, _ string) error {
 		t.Faults.Unfreeze()
 		return nil
 	}),
-	targetFault("silence", "", "Makes the target's open connections go silent for good.", func(t *stager.Target, _ string) error {
+	newTargetFault("silence", "", "Stops all responses on the target's open connections permanently.", func(t *stager.Target, _ string) error {
 		t.BlackholeConnections()
 		return nil
 	}),
-	targetFault("lose-answer", "", "Loses the answer to the target's next write, after its effect.", func(t *stager.Target, _ string) error {
+	newTargetFault("lose-answer", "", "Drops the response to the target's next write after it takes effect.", func(t *stager.Target, _ string) error {
 		t.Faults.DropNextResponse()
 		return nil
 	}),
-	targetFault("lag", "D", "Delays when a replica shows what it has received.", delay((*replicator.Faults).SetReplayLag)),
-	targetFault("stream-lag", "D", "Delays what a replica receives.", delay((*replicator.Faults).SetStreamLag)),
-	targetFault("slow", "D", "Adds to the time of each statement.", delay((*replicator.Faults).SetStatementDelay)),
+	newTargetFault("lag", "D", "Sets the delay before a replica applies what it has received.", delayFault((*replicator.Faults).SetReplayLag)),
+	newTargetFault("stream-lag", "D", "Sets the replication delay of a replica.", delayFault((*replicator.Faults).SetStreamLag)),
+	newTargetFault("slow", "D", "Adds D to the duration of each statement.", delayFault((*replicator.Faults).SetStatementDelay)),
 	{
-		Name: "store", Usage: "down|up|slow D|lose-answers N|lapse", Min: 1, Text: "Throws the faults of the platform's store.",
+		Name: "store", Usage: "down|up|slow D|lose-answers N|lapse", MinArgs: 1, Description: "Injects faults into the platform's store.",
 		Run: runStore,
 	},
 	{
-		Name: "primary", Text: "Prints the primary of the newest term, and that term.",
+		Name: "primary", Description: "Prints the primary of the highest term, and that term.",
 		Run: func(p *Player, _ []string) (string, error) {
 			t := p.fleet.Primary(stager.DefaultService)
 			if t == nil {
@@ -95,22 +95,22 @@
 	},
 }
 
-func targetFault(name, usage, text string, throw func(t *stager.Target, argument string) error) Command {
+func newTargetFault(name, usage, text string, inject func(t *stager.Target, argument string) error) Command {
 	return Command{
-		Name: name, Usage: strings.TrimSpace("TARGET|primary " + usage), Text: text, Min: 1 + len(strings.Fields(usage)),
+		Name: name, Usage: strings.TrimSpace("TARGET|primary " + usage), Description: text, MinArgs: 1 + len(strings.Fields(usage)),
 		Run: func(p *Player, a []string) (string, error) {
-			t, err := p.target(a[0])
+			t, err := p.findTarget(a[0])
 			if err != nil {
 				return "", err
 			}
-			return "", throw(t, strings.Join(a[1:], " "))
+			return "", inject(t, strings.Join(a[1:], " "))
 		},
 	}
 }
 
-func delay(set func(*replicator.Faults, time.Duration)) func(*stager.Target, string) error {
+func delayFault(set func(*replicator.Faults, time.Duration)) func(*stager.Target, string) error {
 	return func(t *stager.Target, s string) error {
-		d, err := duration(s)
+		d, err := parseDuration(s)
 		if err == nil {
 			set(&t.Faults, d)
 		}
@@ -130,7 +130,7 @@
 	case "up":
 		change = func(f *storer.Faults) { *f = storer.Faults{} }
 	case "slow":
-		d, err := duration(argument)
+		d, err := parseDuration(argument)
 		if err != nil {
 			return "", err
 		}
@@ -138,14 +138,14 @@
 	case "lose-answers":
 		n := 0
 		if _, err := fmt.Sscan(argument, &n); err != nil {
-			return "", errors.Wrap(err, "number of answers")
+			return "", errors.Wrap(err, "number of responses")
 		}
 		change = func(f *storer.Faults) { f.LoseResponses = n }
 	case "lapse":
 		p.fleet.Store.ExpireLeases()
 		return "", nil
 	default:
-		return "", errors.Errorf("no store fault %q", a[0])
+		return "", errors.Errorf("unknown store fault %q", a[0])
 	}
 	p.fleet.Store.SetFaults(change)
 	return "", nil
--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -1,6 +1,5 @@
-// Package player plays scenarios in a small language of its own over testscript:
-// a line is a command, and commands stage a fleet, act as callers, throw faults
-// and state what is expected. All of it happens on virtual time.
+// Package player runs scenario scripts for testscript on virtual time. Its commands start
+// a fleet, act as clients and inject faults.
 package player
 
 import (
@@ -17,49 +16,49 @@
 )
 
 type (
-	// Player holds the state of one scenario: the fleet and the callers. Make it
-	// inside the bubble and call Do for each line.
+	// Player holds the fleet and the client sessions of one scenario. Create it inside
+	// the synctest bubble and call Do for each line.
 	Player struct {
 		Log log.Logger
 
-		ctx    context.Context
-		fleet  *stager.Fleet
-		caller map[string]*caller
+		ctx     context.Context
+		fleet   *stager.Fleet
+		callers map[string]*caller
 	}
 
-	// Command is one word of the language, described for readers.
+	// Command is one command of the scenario language with its documentation.
 	Command struct {
-		Name, Usage, Text string
-		// Min is the least number of arguments.
-		Min int
-		Run func(p *Player, a []string) (string, error)
+		Name, Usage, Description string
+		// MinArgs is the minimum number of arguments.
+		MinArgs int
+		Run     func(p *Player, a []string) (string, error)
 	}
 
-	// caller is one session, by the name that the scenario gave it.
+	// caller is a named client session of the scenario.
 	caller struct {
-		service string
-		entry   *stager.Instance
-		conn    *pgx.Conn
-		token   string
-		done    chan string // what a statement in the background printed
+		service    string
+		instance   *stager.Instance
+		conn       *pgx.Conn
+		token      string
+		background chan string // receives the output of the background statement
 	}
 )
 
-// Commands lists the language.
+// Commands returns all commands, sorted by name.
 func Commands() []Command {
 	all := append(append([]Command{}, callerCommands...), faultCommands...)
 	sort.Slice(all, func(i, j int) bool { return all[i].Name < all[j].Name })
 	return all
 }
 
-// New makes a player; Close ends what it started.
+// New returns a player; the caller must close it.
 func New(ctx context.Context, logger log.Logger) *Player {
-	return &Player{Log: logger, ctx: ctx, caller: map[string]*caller{}}
+	return &Player{Log: logger, ctx: ctx, callers: map[string]*caller{}}
 }
 
-// Close ends the callers and the fleet.
+// Close closes the sessions and stops the fleet.
 func (p *Player) Close() {
-	for _, c := range p.caller {
+	for _, c := range p.callers {
 		if c.conn != nil {
 			_ = c.conn.Close(p.ctx)
 		}
@@ -69,38 +68,38 @@
 	}
 }
 
-// Do plays one line and returns what it prints.
+// Do runs one line and returns its output.
 func (p *Player) Do(line []string) (string, error) {
 	for _, c := range Commands() {
 		if c.Name != line[0] {
 			continue
 		}
 		a := line[1:]
-		if len(a) < c.Min {
+		if len(a) < c.MinArgs {
 			return "", errors.Errorf("usage: %s %s", c.Name, c.Usage)
 		}
 		if p.fleet == nil && c.Name != "stage" {
-			return "", errors.New("a scenario begins with stage")
+			return "", errors.New("a scenario must begin with stage")
 		}
 		return c.Run(p, a)
 	}
-	return "", errors.Errorf("no command %q", line[0])
+	return "", errors.Errorf("unknown command %q", line[0])
 }
 
-// options splits name=value arguments from the others.
-func options(a []string) (words []string, named map[string]string) {
-	named = map[string]string{}
+// splitOptions separates name=value arguments from the others.
+func splitOptions(a []string) (words []string, options map[string]string) {
+	options = map[string]string{}
 	for _, s := range a {
 		if k, v, ok := strings.Cut(s, "="); ok {
-			named[k] = v
+			options[k] = v
 			continue
 		}
 		words = append(words, s)
 	}
-	return words, named
+	return words, options
 }
 
-func duration(s string) (time.Duration, error) {
+func parseDuration(s string) (time.Duration, error) {
 	d, err := time.ParseDuration(s)
 	if err != nil {
 		return 0, errors.Wrap(err, "duration")
@@ -108,15 +107,15 @@
 	return d, nil
 }
 
-func (p *Player) find(name string) (*caller, error) {
-	c := p.caller[name]
+func (p *Player) findCaller(name string) (*caller, error) {
+	c := p.callers[name]
 	if c == nil || c.conn == nil {
 		return nil, errors.Errorf("no caller %q: connect it first", name)
 	}
 	return c, nil
 }
 
-func (p *Player) entry(name string) (*stager.Instance, error) {
+func (p *Player) findInstance(name string) (*stager.Instance, error) {
 	for _, e := range p.fleet.Instances {
 		if e.Name == name || e.Name == "entry-"+name {
 			return e, nil
@@ -125,7 +124,7 @@
 	return nil, errors.Errorf("no instance %q", name)
 }
 
-func (p *Player) target(name string) (*stager.Target, error) {
+func (p *Player) findTarget(name string) (*stager.Target, error) {
 	if name == "primary" {
 		if t := p.fleet.Primary(stager.DefaultService); t != nil {
 			return t, nil
@@ -138,18 +137,19 @@
 	return nil, errors.Errorf("no target %q", name)
 }
 
-// place returns what a cut names: a zone, "platform", or a process's IP.
-func (p *Player) place(name string) string {
-	if e, err := p.entry(name); err == nil {
+// resolveEndpoint returns the IP of the named process; other names, zones and "platform",
+// are returned as they are.
+func (p *Player) resolveEndpoint(name string) string {
+	if e, err := p.findInstance(name); err == nil {
 		return e.IP
 	}
-	if t, err := p.target(name); err == nil {
+	if t, err := p.findTarget(name); err == nil {
 		return t.IP
 	}
 	return name
 }
 
-func outcome(err error) string {
+func formatOutcome(err error) string {
 	o, code := stager.OutcomeOf(err)
 	if code == "" {
 		return string(o)
--- a/internal/standin/player/player_test.go
+++ b/internal/standin/player/player_test.go
@@ -15,54 +15,52 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-var verbose = flag.Bool("logs", false, "print the logs of the staged processes")
+var verbose = flag.Bool("logs", false, "print the logs of the fleet's processes")
 
 type (
-	line struct {
-		words []string
-		reply chan reply
+	request struct {
+		words    []string
+		response chan response
 	}
 
-	reply struct {
+	response struct {
 		text string
 		err  error
 	}
 
-	// script is the T that testscript wants, over one that runs in the bubble's
-	// parent.
-	script struct{ *testing.T }
+	// testscriptT implements testscript.T with the test outside the bubble.
+	testscriptT struct{ *testing.T }
 )
 
-func (s script) Run(_ string, f func(testscript.T)) { f(s) }
-func (s script) Parallel()                          {}
-func (s script) Verbose() bool                      { return testing.Verbose() }
+func (s testscriptT) Run(_ string, f func(testscript.T)) { f(s) }
+func (s testscriptT) Parallel()                          {}
+func (s testscriptT) Verbose() bool                      { return testing.Verbose() }
 
-// TestScenarios plays each script of testdata. testscript reads the scripts on a
-// goroutine outside the bubble; the bubble takes one line after the other from a
-// channel. While it waits for the next line its clock stands still, so that the
-// time that passes in a scenario is what its lines say, in every run.
+// TestScenarios runs each script of testdata. testscript runs outside the bubble and sends
+// it one line at a time; while the bubble waits on that channel, its clock doesn't advance,
+// so scenarios are deterministic.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(files) == 0 {
 		t.Fatal("no scenarios")
 	}
 	for _, f := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(f), ".txtar"), func(t *testing.T) { play(t, f) })
+		t.Run(strings.TrimSuffix(filepath.Base(f), ".txtar"), func(t *testing.T) { runScenario(t, f) })
 	}
 }
 
-func play(t *testing.T, file string) {
-	lines, ended := make(chan line), make(chan struct{})
+func runScenario(t *testing.T, file string) {
+	requests, ended := make(chan request), make(chan struct{})
 	go func() {
 		defer close(ended)
-		defer close(lines)
-		testscript.RunT(script{t}, testscript.Params{Files: []string{file}, Cmds: commands(lines)})
+		defer close(requests)
+		testscript.RunT(testscriptT{t}, testscript.Params{Files: []string{file}, Cmds: commands(requests)})
 	}()
-	synctest.Test(t, func(*testing.T) { bubble(lines) })
+	synctest.Test(t, func(*testing.T) { runPlayer(requests) })
 	<-ended
 }
 
-func bubble(lines chan line) {
+func runPlayer(requests chan request) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 	defer cancel()
 	logger := log.NewNopLogger()
@@ -71,21 +69,21 @@
 	}
 	p := player.New(ctx, logger)
 	defer p.Close()
-	for l := range lines {
+	for l := range requests {
 		text, err := p.Do(l.words)
-		l.reply <- reply{text: text, err: err}
+		l.response <- response{text: text, err: err}
 	}
 }
 
-// commands makes a testscript command of each command of the player. A failure
-// of the command itself fails the script, and "!" expects one.
-func commands(lines chan line) map[string]func(*testscript.TestScript, bool, []string) {
+// commands returns a testscript command for each command of the player. An error fails
+// the script, unless the line is negated with "!".
+func commands(requests chan request) map[string]func(*testscript.TestScript, bool, []string) {
 	out := map[string]func(*testscript.TestScript, bool, []string){}
 	for _, c := range player.Commands() {
 		out[c.Name] = func(ts *testscript.TestScript, neg bool, a []string) {
-			l := line{words: append([]string{c.Name}, a...), reply: make(chan reply, 1)}
-			lines <- l
-			r := <-l.reply
+			l := request{words: append([]string{c.Name}, a...), response: make(chan response, 1)}
+			requests <- l
+			r := <-l.response
 			_, _ = ts.Stdout().Write([]byte(r.text))
 			if (r.err != nil) != neg {
 				ts.Fatalf("%s: error %v", c.Name, r.err)
--- a/internal/standin/replicator/control_test.go
+++ b/internal/standin/replicator/control_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/go-kit/log"
 	"github.com/oriolegw/oriolegw/internal/commander"
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/oriolegw/oriolegw/internal/standin/replicator"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
 	"github.com/shoenig/test/must"
 )
 
@@ -19,7 +19,7 @@
 type testGroup struct {
 	ctx     context.Context
 	t       *testing.T
-	net     *wirer.Net
+	net     *netsimulator.Net
 	control *commander.Postgres
 	members []*replicator.Member
 }
@@ -27,7 +27,7 @@
 func runWithGroup(t *testing.T, run func(g *testGroup)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		g := &testGroup{ctx: ctx, t: t, net: wirer.New(1)}
+		g := &testGroup{ctx: ctx, t: t, net: netsimulator.New(1)}
 		g.control = &commander.Postgres{Network: g.net.Host("10.0.0.9", "a"), Application: "entry"}
 		done := make(chan error)
 		for i := range 3 {
--- a/internal/standin/replicator/replication_test.go
+++ b/internal/standin/replicator/replication_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/go-kit/log"
 	"github.com/jackc/pgx/v5/pgproto3"
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/oriolegw/oriolegw/internal/standin/replicator"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
 	"github.com/shoenig/test/must"
 )
 
@@ -18,7 +18,7 @@
 func TestPrimaryAnswersStartupBeforeStreamRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		n := wirer.New(1)
+		n := netsimulator.New(1)
 		m := &replicator.Member{Name: "m1", Address: "10.0.0.1:5432", Network: n.Host("10.0.0.1", "a"), Log: log.NewNopLogger()}
 		m.Bootstrap(m.Address)
 		done := make(chan error, 1)
--- a/internal/standin/soaker/faults.go
+++ b/internal/standin/soaker/faults.go
@@ -59,7 +59,7 @@
 			}
 			for _, t := range s.fleet.Members {
 				if t != p {
-					s.fleet.Network.Cut(p.IP, t.IP)
+					s.fleet.Network.Partition(p.IP, t.IP)
 				}
 			}
 		},
@@ -72,7 +72,7 @@
 			zone := zones[n%len(zones)]
 			for _, o := range append([]string{"platform"}, zones...) {
 				if o != zone {
-					s.fleet.Network.Cut(zone, o)
+					s.fleet.Network.Partition(zone, o)
 				}
 			}
 		},
@@ -130,14 +130,14 @@
 
 func (s *Soak) isolate(e *stager.Instance) {
 	for _, t := range s.fleet.Members {
-		s.fleet.Network.Cut(e.IP, t.IP)
+		s.fleet.Network.Partition(e.IP, t.IP)
 	}
 	for _, o := range s.fleet.Instances {
 		if o != e {
-			s.fleet.Network.Cut(e.IP, o.IP)
+			s.fleet.Network.Partition(e.IP, o.IP)
 		}
 	}
-	s.fleet.Network.Cut(e.IP, "platform")
+	s.fleet.Network.Partition(e.IP, "platform")
 }
 
 func (s *Soak) thawTargets() {
--- a/internal/standin/stager/stager.go
+++ b/internal/standin/stager/stager.go
@@ -21,8 +21,8 @@
 	"github.com/oriolegw/oriolegw/internal/loader"
 	"github.com/oriolegw/oriolegw/internal/runner"
 	"github.com/oriolegw/oriolegw/internal/standin/keeper"
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/oriolegw/oriolegw/internal/standin/replicator"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
 	"github.com/oriolegw/oriolegw/internal/storer"
 	"github.com/uber-go/tally/v4"
 )
@@ -58,7 +58,7 @@
 	// Fleet is a running fleet.
 	Fleet struct {
 		Plan      Plan
-		Network   *wirer.Net
+		Network   *netsimulator.Net
 		Store     *storer.Memory
 		Platform  *keeper.Keeper
 		Document  *configurer.Document
@@ -127,7 +127,7 @@
 // Start starts the fleet of a plan. The caller must Close it.
 func Start(ctx context.Context, p Plan) (*Fleet, error) {
 	p.setDefaults()
-	f := &Fleet{Plan: p, Network: wirer.New(p.Seed), Store: storer.NewMemory(), Document: &configurer.Document{Users: p.Users}, ended: make(chan error)}
+	f := &Fleet{Plan: p, Network: netsimulator.New(p.Seed), Store: storer.NewMemory(), Document: &configurer.Document{Users: p.Users}, ended: make(chan error)}
 	f.ctx, f.cancel = context.WithCancel(ctx)
 	f.Network.Latency = f.latency
 	f.Platform = &keeper.Keeper{Address: platformIP + ":7000", Network: f.Network.Host(platformIP, "platform"), Store: f.Store, Log: p.Log}
@@ -170,7 +170,7 @@
 	}
 }
 
-func (f *Fleet) latency(from, to *wirer.Host) time.Duration {
+func (f *Fleet) latency(from, to *netsimulator.Host) time.Duration {
 	var d time.Duration
 	switch {
 	case from == to:
--- a/internal/starter/describe.go
+++ b/internal/starter/describe.go
@@ -46,7 +46,7 @@
 	for _, p := range f.Members {
 		d.Members = append(d.Members, f.describeProcess(p))
 	}
-	for _, p := range f.Entries {
+	for _, p := range f.Instances {
 		e := f.describeProcess(p)
 		e.Settings = f.SettingsFile(p)
 		d.Entries = append(d.Entries, e)
--- a/internal/starter/faults.go
+++ b/internal/starter/faults.go
@@ -63,25 +63,25 @@
 )
 
 // Recoverable reports whether the process keeps running after Recover.
-func (x Fault) Recoverable() bool { return x.Signal == "" || x.Undo != "" }
+func (f Fault) Recoverable() bool { return f.Signal == "" || f.Undo != "" }
 
 // Inject injects the fault into a process.
-func (x Fault) Inject(ctx context.Context, p *Process) error {
-	if x.Signal != "" {
-		return p.signal(x.Signal)
+func (f Fault) Inject(ctx context.Context, p *Process) error {
+	if f.Signal != "" {
+		return p.signal(f.Signal)
 	}
-	return p.post(ctx, x.Body)
+	return p.post(ctx, f.Body)
 }
 
 // Recover reverts the fault, if that needs a request or a signal.
-func (x Fault) Recover(ctx context.Context, p *Process) error {
+func (f Fault) Recover(ctx context.Context, p *Process) error {
 	switch {
-	case x.Undo == "":
+	case f.Undo == "":
 		return nil
-	case x.Signal != "":
-		return p.signal(x.Undo)
+	case f.Signal != "":
+		return p.signal(f.Undo)
 	}
-	return p.post(ctx, x.Undo)
+	return p.post(ctx, f.Undo)
 }
 
 func (p *Process) signal(name string) error {
--- a/internal/starter/starter.go
+++ b/internal/starter/starter.go
@@ -34,7 +34,7 @@
 	// ServiceName is the name of the service that the fleet serves.
 	ServiceName = "lockers"
 
-	// Port offsets from FirstPort; each process adds its index.
+	// platformPort and the others are port offsets from FirstPort; each process adds its index.
 	platformPort    = 0
 	memberPort      = 10
 	memberPagesPort = 20
@@ -44,18 +44,18 @@
 )
 
 type (
-	// Fleet is the set of started processes. Set Programs, Work and FirstPort, then call
-	// Start, which sets the other exported fields.
+	// Fleet is the set of started processes. Set ProgramDirectory, WorkDirectory and
+	// FirstPort, then call Start, which sets the other exported fields.
 	Fleet struct {
-		// ProgramDirectory is the directory of the built programs, Work the directory for
-		// settings and logs.
+		// ProgramDirectory is the directory of the built programs, WorkDirectory the directory
+		// for settings and logs.
 		ProgramDirectory, WorkDirectory string
 		// FirstPort is the lowest port used; 0 means DefaultFirstPort.
 		FirstPort int
 
-		Platform Process
-		Members  []Process
-		Entries  []Process
+		Platform  Process
+		Members   []Process
+		Instances []Process
 
 		processes []*Process
 	}
@@ -64,8 +64,8 @@
 	Process struct {
 		Name string
 		Zone string
-		// Address serves clients, Peers serves other instances, and Pages serves
-		// status pages or fault injection over HTTP.
+		// Address serves clients, PeerAddress other instances, and PagesAddress status
+		// pages or fault injection over HTTP.
 		Address, PeerAddress, PagesAddress string
 		PID                                int
 
@@ -103,8 +103,8 @@
 	if err := f.publishConfiguration(ctx); err != nil {
 		return err
 	}
-	for i := range f.Entries {
-		if err := f.startEntry(&f.Entries[i]); err != nil {
+	for i := range f.Instances {
+		if err := f.startEntry(&f.Instances[i]); err != nil {
 			return err
 		}
 	}
@@ -114,13 +114,13 @@
 // assignAddresses sets the names and addresses of all processes.
 func (f *Fleet) assignAddresses() {
 	f.Platform = Process{Name: "platform", Address: f.address(platformPort), PagesAddress: f.address(platformPort)}
-	f.Members, f.Entries = nil, nil
+	f.Members, f.Instances = nil, nil
 	for i, z := range zones {
 		f.Members = append(f.Members, Process{
 			Name: fmt.Sprintf("%s-%d", ServiceName, i+1), Zone: z,
 			Address: f.address(memberPort + i), PagesAddress: f.address(memberPagesPort + i),
 		})
-		f.Entries = append(f.Entries, Process{
+		f.Instances = append(f.Instances, Process{
 			Name: "entry-" + z, Zone: z,
 			Address: f.address(callersPort + i), PagesAddress: f.address(entryPagesPort + i), PeerAddress: f.address(peersPort + i),
 		})
@@ -142,7 +142,7 @@
 // listen would otherwise show only as a readiness timeout.
 func (f *Fleet) checkPorts() error {
 	var inUse []string
-	for _, p := range append(append([]Process{f.Platform}, f.Members...), f.Entries...) {
+	for _, p := range append(append([]Process{f.Platform}, f.Members...), f.Instances...) {
 		for _, a := range p.addresses() {
 			l, err := net.Listen("tcp", a)
 			if err != nil {
@@ -246,8 +246,8 @@
 func (f *Fleet) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for i := range f.Entries {
-		if err := f.awaitEntry(ctx, &f.Entries[i]); err != nil {
+	for i := range f.Instances {
+		if err := f.awaitEntry(ctx, &f.Instances[i]); err != nil {
 			return err
 		}
 	}
--- a/internal/storer/gateway.go
+++ b/internal/storer/client.go
@@ -42,16 +42,16 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.client.CloseIdleConnections() }
 
-func (g *Client) send(ctx context.Context, path string, request any) (*http.Response, error) {
+func (c *Client) send(ctx context.Context, path string, request any) (*http.Response, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode request")
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+g.Address+path, bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(err, "create request")
 	}
-	a, err := g.client.Do(r)
+	a, err := c.client.Do(r)
 	if err != nil {
 		return nil, errors.Wrap(ErrUnavailable, err.Error())
 	}
@@ -171,9 +171,9 @@
 }
 
 // Watch implements Store.
-func (c *Client) Watch(ctx context.Context, prefix string, since int64, changed func(Pair)) error {
+func (c *Client) Watch(ctx context.Context, prefix string, after int64, changed func(Pair)) error {
 	a, err := c.send(ctx, PathWatch, WireWatch{Create: WireWatchCreate{
-		Key: []byte(prefix), RangeEnd: rangeEnd(prefix), StartRevision: since + 1,
+		Key: []byte(prefix), RangeEnd: rangeEnd(prefix), StartRevision: after + 1,
 	}})
 	if err != nil {
 		return err
--- a/internal/storer/contract_test.go
+++ b/internal/storer/contract_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/go-kit/log"
 	"github.com/oriolegw/oriolegw/internal/standin/keeper"
+	"github.com/oriolegw/oriolegw/internal/standin/netsimulator"
 	"github.com/oriolegw/oriolegw/internal/standin/platformer"
-	"github.com/oriolegw/oriolegw/internal/standin/wirer"
 	"github.com/oriolegw/oriolegw/internal/storer"
 	"github.com/oriolegw/oriolegw/platform"
 	"github.com/shoenig/test/must"
@@ -143,12 +143,12 @@
 	}
 }
 
-// TestGateway runs the contract over the HTTP protocol against the simulated platform.
-func TestGateway(t *testing.T) {
+// TestClient runs the contract over the HTTP protocol against the simulated platform.
+func TestClient(t *testing.T) {
 	for _, c := range contract {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n, m := wirer.New(1), storer.NewMemory()
+				n, m := netsimulator.New(1), storer.NewMemory()
 				ctx, cancel := context.WithCancel(context.Background())
 				k := &keeper.Keeper{Address: "10.0.0.1:7000", Network: n.Host("10.0.0.1", "platform"), Store: m, Log: log.NewNopLogger()}
 				done := make(chan error, 1)
@@ -172,7 +172,7 @@
 	for _, c := range contract {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n, m := wirer.New(1), storer.NewMemory()
+				n, m := netsimulator.New(1), storer.NewMemory()
 				ctx, cancel := context.WithCancel(context.Background())
 				p := &platformer.Platform{Address: "10.0.0.1:7000", Network: n.Host("10.0.0.1", "platform"), Store: m}
 				done := make(chan error, 1)
--- a/internal/storer/memory.go
+++ b/internal/storer/memory.go
@@ -311,12 +311,12 @@
 }
 
 // Watch implements Store.
-func (m *Memory) Watch(ctx context.Context, prefix string, since int64, changed func(Pair)) error {
+func (m *Memory) Watch(ctx context.Context, prefix string, after int64, changed func(Pair)) error {
 	if err := m.begin(ctx, "watch"); err != nil {
 		return err
 	}
 	// Each change increments the revision, so revisions are indexes into the history.
-	next := int(min(max(since, 0), int64(len(m.history))))
+	next := int(min(max(after, 0), int64(len(m.history))))
 	for {
 		batch := append([]Pair(nil), m.history[next:]...)
 		next = len(m.history)
--- a/internal/storer/storer.go
+++ b/internal/storer/storer.go
@@ -1,5 +1,5 @@
 // Package storer defines the interface of the platform's key-value store: reads,
-// compare-and-swap, leases and watches. Gateway implements it over HTTP, Memory in memory
+// compare-and-swap, leases and watches. Client implements it over HTTP, Memory in memory
 // for tests. contract_test.go holds the tests that all implementations must pass.
 package storer
 
--- a/internal/summarizer/page.go
+++ b/internal/summarizer/page.go
@@ -42,7 +42,7 @@
 		Served, Failed int
 		FailedPercent  float64
 		Worst          second
-		LossRows       []lossRow
+		OutageRows     []outageRow
 	}
 
 	// second counts the statements of one second.
@@ -57,8 +57,8 @@
 		GroupsText string
 	}
 
-	// lossRow combines the losses of one dependency on all instances.
-	lossRow struct {
+	// outageRow combines the outages of one dependency on all instances.
+	outageRow struct {
 		Dependency, Cause string
 		First, Last       time.Time
 		Instances, Open   int
@@ -98,7 +98,7 @@
 
 // Write writes the report as one HTML page with embedded plots.
 func (r *Report) Write(w io.Writer) error {
-	p := page{Report: r, LossRows: r.lossRows()}
+	p := page{Report: r, OutageRows: r.outageRows()}
 	for _, c := range r.Causes[:min(maxCauseRows, len(r.Causes))] {
 		p.Causes = append(p.Causes, causeRow{c, c.groupsText()})
 	}
@@ -169,28 +169,28 @@
 	return fmt.Sprintf("%d, most in %s (%d)", len(names), names[0], c.Groups[names[0]])
 }
 
-// lossRows combines the losses by dependency.
-func (r *Report) lossRows() []lossRow {
-	rows := map[string]*lossRow{}
+// outageRows combines the outages by dependency.
+func (r *Report) outageRows() []outageRow {
+	rows := map[string]*outageRow{}
 	instances := map[[2]string]bool{}
-	for _, l := range r.Outages {
-		row, ok := rows[l.Dependency]
+	for _, o := range r.Outages {
+		row, ok := rows[o.Dependency]
 		if !ok {
-			row = &lossRow{Dependency: l.Dependency, Cause: l.Cause, First: l.At}
-			rows[l.Dependency] = row
+			row = &outageRow{Dependency: o.Dependency, Cause: o.Cause, First: o.At}
+			rows[o.Dependency] = row
 		}
-		if key := [2]string{l.Dependency, l.Instance}; !instances[key] {
+		if key := [2]string{o.Dependency, o.Instance}; !instances[key] {
 			instances[key] = true
 			row.Instances++
 		}
-		if l.Until.IsZero() {
+		if o.Until.IsZero() {
 			row.Open++
 		}
-		if l.Until.After(row.Last) {
-			row.Last = l.Until
+		if o.Until.After(row.Last) {
+			row.Last = o.Until
 		}
 	}
-	var list []lossRow
+	var list []outageRow
 	for _, name := range slices.Sorted(maps.Keys(rows)) {
 		list = append(list, *rows[name])
 	}
--- a/internal/summarizer/summarizer.go
+++ b/internal/summarizer/summarizer.go
@@ -32,7 +32,8 @@
 		Failures map[int]int
 		// Series holds event counts by name and second since From.
 		Series map[string]map[int]int
-		// Latency and Wait are in milliseconds, by second since From; Groups is the latency by group.
+		// Latency and Wait are in milliseconds, by second since From; Groups is the latency by
+		// group.
 		Latency, Wait  map[int]*hdrhistogram.Histogram
 		Groups         map[string]*hdrhistogram.Histogram
 		Causes         []Cause
--- a/internal/throttler/throttler.go
+++ b/internal/throttler/throttler.go
@@ -37,7 +37,7 @@
 func (t *Throttler) Unlimited() bool { return t.interval == 0 }
 
 // RecordSend records that a statement was sent to the member.
-func (p *Throttler) RecordSend(now time.Time) { p.scheduleNext(now) }
+func (t *Throttler) RecordSend(now time.Time) { t.scheduleNext(now) }
 
 // RecordRejection records that the member rejected a statement because its queue was full.
 func (t *Throttler) RecordRejection(now time.Time) {
--- a/internal/throttler/throttler_test.go
+++ b/internal/throttler/throttler_test.go
@@ -98,31 +98,31 @@
 // The throttler must reduce the rejections of an overloaded member without reducing its
 // throughput.
 func TestSaturation(t *testing.T) {
-	unpaced, paced := simulate(false), simulate(true)
-	t.Logf("without: %+v, with: %+v", unpaced, paced)
-	must.Greater(t, 10*unpaced.served, unpaced.rejected)
-	must.Less(t, paced.served/3, paced.rejected)
-	must.Greater(t, unpaced.served*95/100, paced.served)
+	unthrottled, throttled := simulate(false), simulate(true)
+	t.Logf("without: %+v, with: %+v", unthrottled, throttled)
+	must.Greater(t, 10*unthrottled.served, unthrottled.rejected)
+	must.Less(t, throttled.served/3, throttled.rejected)
+	must.Greater(t, unthrottled.served*95/100, throttled.served)
 }
 
 // The limit is lifted two successes after a single rejection.
 func TestRecovery(t *testing.T) {
-	var p throttler.Throttler
+	var limiter throttler.Throttler
 	now := time.Unix(1, 0)
-	must.Eq(t, 0, p.Delay(now))
-	p.RecordRejection(now)
-	must.Greater(t, 0, p.Delay(now))
-	p.RecordSuccess()
-	p.RecordSuccess()
-	must.Eq(t, 0, p.Delay(now))
+	must.Eq(t, 0, limiter.Delay(now))
+	limiter.RecordRejection(now)
+	must.Greater(t, 0, limiter.Delay(now))
+	limiter.RecordSuccess()
+	limiter.RecordSuccess()
+	must.Eq(t, 0, limiter.Delay(now))
 }
 
 // Rejections of statements that were in flight together count once.
 func TestConcurrentRejectionsCountOnce(t *testing.T) {
-	var p throttler.Throttler
+	var limiter throttler.Throttler
 	now := time.Unix(1, 0)
 	for range 10 {
-		p.RecordRejection(now)
+		limiter.RecordRejection(now)
 	}
-	must.LessEq(t, 30*time.Millisecond, p.Delay(now))
+	must.LessEq(t, 30*time.Millisecond, limiter.Delay(now))
 }
--- a/internal/tracker/group.go
+++ b/internal/tracker/group.go
@@ -269,7 +269,7 @@
 // RequiredPosition returns the minimum log position for a replica to serve a read that arrived at
 // the given time, on a route other than RulePrimary. It uses the oldest proof within the
 // staleness bound, and returns false if there is none: only the primary can serve then.
-func (g *Group) RequiredPosition(arrived Timestamp, r Route, own LastCommit) (orderer.Position, bool) {
+func (g *Group) RequiredPosition(arrived Timestamp, r Route, lastCommit LastCommit) (orderer.Position, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	i, _ := slices.BinarySearchFunc(g.proofs, arrived-r.Staleness, func(p FreshnessProof, t Timestamp) int {
@@ -279,17 +279,17 @@
 		return orderer.Position{}, false
 	}
 	need := g.proofs[i]
-	if r.Rule != RuleReadYourWrites || own.Position.IsZero() || need.At >= own.At {
+	if r.Rule != RuleReadYourWrites || lastCommit.Position.IsZero() || need.At >= lastCommit.At {
 		return need.Position, true
 	}
 	// A failover may have rolled back the reported position of a commit. A proof newer
 	// than the commit covers it with a position that replicas can reach.
 	for _, p := range g.proofs[i:] {
-		if p.At >= own.At && own.Position.Compare(p.Position) > 0 {
+		if p.At >= lastCommit.At && lastCommit.Position.Compare(p.Position) > 0 {
 			return p.Position, true
 		}
 	}
-	return orderer.Max(need.Position, own.Position), true
+	return orderer.Max(need.Position, lastCommit.Position), true
 }
 
 // ReadCandidates returns the members that may have reached a position, by expected latency. It
--- a/internal/tracker/group_test.go
+++ b/internal/tracker/group_test.go
@@ -44,7 +44,7 @@
 }
 
 // The required position is that of the oldest proof within the staleness bound.
-func TestNeed(t *testing.T) {
+func TestRequiredPosition(t *testing.T) {
 	g := groupWithProofs(3000)
 	mustNeed(t, g, at(3000), bounded, tracker.LastCommit{}, pos(1, 1500))
 	mustNeed(t, g, at(3050), bounded, tracker.LastCommit{}, pos(1, 1600))
@@ -57,7 +57,7 @@
 
 // A session's reads require its last commit, unless a newer proof covers it. A position
 // that a failover rolled back is not required once the new primary has a proof.
-func TestNeedReadYourWrites(t *testing.T) {
+func TestRequiredPositionReadYourWrites(t *testing.T) {
 	g := groupWithProofs(3000)
 	commit := tracker.LastCommit{Position: pos(1, 2950), At: at(2960)}
 	mustNeed(t, g, at(3000), readYourWrites, commit, pos(1, 2950))
@@ -70,7 +70,7 @@
 
 // The nearest replica is preferred. Lagging, failed, draining and slow members are ranked
 // lower or omitted, and are tried again later.
-func TestReaders(t *testing.T) {
+func TestReadCandidates(t *testing.T) {
 	need := pos(1, 10)
 	t.Run("nearest first", func(t *testing.T) {
 		must.Eq(t, "q", newGroup().ReadCandidates(at(0), need)[0])
@@ -137,7 +137,7 @@
 
 // A member whose latency rises from 30 to 300 ms counts as queueing only while this
 // instance has a statement in flight there.
-func TestQueued(t *testing.T) {
+func TestIsQueueing(t *testing.T) {
 	g := newGroup()
 	for range 20 {
 		g.RecordSend("p")
--- a/internal/tracker/model.go
+++ b/internal/tracker/model.go
@@ -24,7 +24,7 @@
 
 type (
 	// Timestamp is a time on a clock that includes suspended time, relative to an arbitrary
-	// origin. Stamps of different machines are not comparable.
+	// origin. Timestamps of different machines are not comparable.
 	Timestamp = time.Duration
 
 	// Route maps a database name to a group.
@@ -34,7 +34,8 @@
 		Rule     Rule
 		// Staleness is the maximum staleness of a read.
 		Staleness time.Duration
-		// Timeout bounds one statement; LatencyObjective is the target duration of a whole operation.
+		// Timeout bounds one statement; LatencyObjective is the target duration of a whole
+		// operation.
 		Timeout, LatencyObjective time.Duration
 		// Priority orders routes that compete for the same members; 0 is the highest.
 		Priority int
--- a/internal/watcher/entries.go
+++ b/internal/watcher/entries.go
@@ -78,8 +78,8 @@
 			changed = w.applyMember(storer.Pair{Key: key}) || changed
 		}
 	}
-	for key, held := range w.duties {
-		if held && !seen[key] {
+	for key, owned := range w.owned {
+		if owned && !seen[key] {
 			w.applyPair(storer.Pair{Key: key})
 		}
 	}
@@ -99,7 +99,7 @@
 			w.Log("event", "member-dropped", "member", e.ID, "group", e.Group)
 			delete(w.entries, key)
 			changed = true
-		} else if e.missingSince != 0 && !e.Leaving && w.isGone(e) {
+		} else if e.missingSince != 0 && !e.Leaving && w.isMissing(e) {
 			e.Leaving, e.Missing = true, true
 			changed = true
 		}
@@ -118,7 +118,9 @@
 	return e.missingSince
 }
 
-func (w *Watcher) isGone(e *entry) bool { return w.storeReachable() && w.Clock() >= w.missingFrom(e) }
+func (w *Watcher) isMissing(e *entry) bool {
+	return w.storeReachable() && w.Clock() >= w.missingFrom(e)
+}
 
 // storeReachable reports whether the store answers this instance or a peer that sends it
 // updates.
@@ -130,7 +132,7 @@
 	list := make([]tracker.Member, 0, len(w.entries))
 	for _, e := range w.entries {
 		m := e.Member
-		if e.missingSince != 0 && w.isGone(e) {
+		if e.missingSince != 0 && w.isMissing(e) {
 			m.Leaving, m.Missing = true, true
 		}
 		list = append(list, m)
--- a/internal/watcher/peers.go
+++ b/internal/watcher/peers.go
@@ -33,18 +33,18 @@
 // pollPeers requests updates from peers while the store is unavailable, or while they watch
 // it for this instance.
 func (w *Watcher) pollPeers(ctx context.Context, updates chan<- update) error {
-	pause := peerPollStartDelay
+	delay := peerPollStartDelay
 	for {
-		if err := sleeper.Sleep(ctx, pause); err != nil {
+		if err := sleeper.Sleep(ctx, delay); err != nil {
 			return err
 		}
-		pause = initialPeerPollInterval
-		follows := w.FollowsPeers != nil && w.FollowsPeers() && w.state.Load() != nil
-		if !w.storeDown.Load() && !follows || w.RequestState == nil {
+		delay = initialPeerPollInterval
+		followsPeers := w.FollowsPeers != nil && w.FollowsPeers() && w.state.Load() != nil
+		if !w.storeDown.Load() && !followsPeers || w.RequestState == nil {
 			continue
 		}
 		if w.state.Load() != nil {
-			pause = peerPollInterval
+			delay = peerPollInterval
 		}
 		n, err := w.RequestState(ctx, w.revisionOfState())
 		if err != nil {
@@ -114,12 +114,12 @@
 	if w.state.Load() == nil {
 		w.deletionsSince = u.revision
 	}
-	held := make(map[string]bool, len(u.pairs))
+	present := make(map[string]bool, len(u.pairs))
 	for _, p := range u.pairs {
-		held[p.Key] = true
+		present[p.Key] = true
 	}
 	for key := range w.pairs {
-		if !held[key] {
+		if !present[key] {
 			w.recordDeletion(key, u.revision)
 		}
 	}
@@ -127,7 +127,7 @@
 
 // recordDeletion records that a key was deleted at or before a revision.
 func (w *Watcher) recordDeletion(key string, revision int64) {
-	if _, held := w.pairs[key]; !held {
+	if _, known := w.pairs[key]; !known {
 		return
 	}
 	delete(w.pairs, key)
@@ -140,17 +140,17 @@
 
 // ChangesSince returns the changes after a revision, or the whole state if the deletions since then
 // are no longer known.
-func (n *StoreState) ChangesSince(revision int64) (pairs []storer.Pair, partial bool) {
-	if revision < n.DeletionsSince || revision == 0 {
-		return n.Pairs, false
+func (s *StoreState) ChangesSince(revision int64) (pairs []storer.Pair, partial bool) {
+	if revision < s.DeletionsSince || revision == 0 {
+		return s.Pairs, false
 	}
-	for _, p := range n.Pairs {
+	for _, p := range s.Pairs {
 		if p.Revision > revision {
 			pairs = append(pairs, p)
 		}
 	}
-	for _, g := range n.Deletions {
-		if _, recreated := slices.BinarySearchFunc(n.Pairs, g.Key, func(p storer.Pair, key string) int { return strings.Compare(p.Key, key) }); g.Revision > revision && !recreated {
+	for _, g := range s.Deletions {
+		if _, recreated := slices.BinarySearchFunc(s.Pairs, g.Key, func(p storer.Pair, key string) int { return strings.Compare(p.Key, key) }); g.Revision > revision && !recreated {
 			pairs = append(pairs, storer.Pair{Key: g.Key})
 		}
 	}
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// pollWaitFraction is the long-poll timeout as a fraction of MaxPropagationDelay. The rest is left
-	// to detect a silent connection and to read a new snapshot.
+	// pollWaitFraction is the long-poll timeout as a fraction of MaxPropagationDelay. The rest is
+	// left to detect a silent connection and to read a new snapshot.
 	pollWaitFraction = 0.65
 	// minRetryDelay and maxRetryDelay bound the exponential backoff of failed calls.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
-	// followerRetryFraction is the retry delay, as a fraction of MaxPropagationDelay, while peers can
-	// report that the store is available again.
+	// followerRetryFraction is the retry delay, as a fraction of MaxPropagationDelay, while peers
+	// can report that the store is available again.
 	followerRetryFraction = 0.5
 	// registrationGrace is how long after an outage of the store members may take to
 	// register again.
@@ -35,8 +35,8 @@
 	// leavingTimeout is how long after its announcement a leaving member may still be sent
 	// work.
 	leavingTimeout = 6 * time.Second
-	// batchDelayFraction is the delay after a change, as a fraction of MaxPropagationDelay, that lets one
-	// call return several consecutive changes, such as those of a failover.
+	// batchDelayFraction is the delay after a change, as a fraction of MaxPropagationDelay, that
+	// lets one call return several consecutive changes, such as those of a failover.
 	batchDelayFraction = 0.1
 	// startupBatchDelay replaces it for startupPeriod after the first start of the fleet,
 	// when all members register.
@@ -66,7 +66,7 @@
 		// FirstStart is set when the whole fleet starts for the first time.
 		FirstStart bool
 		// ConfigurationKey is the key of the configuration; the others are the key prefixes
-		// of members, duties and instances.
+		// of members, ownership records and instances.
 		ConfigurationKey, MemberPrefix, OwnershipPrefix, InstancePrefix string
 
 		DecodeConfiguration func(value []byte) (*tracker.Configuration, error)
@@ -108,7 +108,7 @@
 		peerUpdateAt tracker.Timestamp
 		version      int64
 		entries      map[string]*entry
-		duties       map[string]bool
+		owned        map[string]bool
 		outage       bool
 		restoredAt   tracker.Timestamp
 		// storeSeenAt is when the store last answered. changedSince is the earliest time at
@@ -168,7 +168,7 @@
 
 // Run watches the store until the context ends.
 func (w *Watcher) Run(ctx context.Context) error {
-	w.entries, w.duties, w.pairs = map[string]*entry{}, map[string]bool{}, map[string]storer.Pair{}
+	w.entries, w.owned, w.pairs = map[string]*entry{}, map[string]bool{}, map[string]storer.Pair{}
 	w.storeDown.Store(true)
 	updates := make(chan update)
 	ended := make(chan error, 2)
@@ -193,7 +193,7 @@
 func (w *Watcher) poll(ctx context.Context, updates chan<- update) error {
 	var revision int64
 	snapshot := true
-	pause := minRetryDelay
+	delay := minRetryDelay
 	startedAt := w.Clock()
 	for {
 		if w.followsReader() {
@@ -230,15 +230,15 @@
 			// changes.
 			snapshot = true
 			if w.followsPeer() {
-				pause = max(pause, time.Duration(followerRetryFraction*float64(w.MaxPropagationDelay)))
+				delay = max(delay, time.Duration(followerRetryFraction*float64(w.MaxPropagationDelay)))
 			}
-			if err := sleeper.Sleep(ctx, pause/2+rand.N(pause/2)); err != nil {
+			if err := sleeper.Sleep(ctx, delay/2+rand.N(delay/2)); err != nil {
 				return err
 			}
-			pause = min(2*pause, maxRetryDelay)
+			delay = min(2*delay, maxRetryDelay)
 			continue
 		}
-		pause = minRetryDelay
+		delay = minRetryDelay
 		if snapshot || len(u.pairs) > 0 {
 			revision = next
 			if err := sleeper.Sleep(ctx, w.batchDelay(startedAt)); err != nil {
@@ -306,7 +306,7 @@
 	case p.Key == w.ConfigurationKey:
 		w.applyConfiguration(p)
 	case strings.HasPrefix(p.Key, w.OwnershipPrefix):
-		w.duties[p.Key] = p.Revision > 0
+		w.owned[p.Key] = p.Revision > 0
 		w.OnOwnership(p)
 	case strings.HasPrefix(p.Key, w.MemberPrefix):
 		return w.applyMember(p)
--- a/internal/watcher/watcher_test.go
+++ b/internal/watcher/watcher_test.go
@@ -27,7 +27,7 @@
 	pairs   map[string]storer.Pair
 	watcher *watcher.Watcher
 
-	follows atomic.Bool
+	followsPeers atomic.Bool
 
 	mutex     sync.Mutex
 	peerState *watcher.StoreState
@@ -62,7 +62,7 @@
 					f.members[m.ID] = m
 				}
 			},
-			OnOwnership: func(storer.Pair) {}, Log: func(...any) {}, RequestState: f.requestState, FollowsPeers: f.follows.Load,
+			OnOwnership: func(storer.Pair) {}, Log: func(...any) {}, RequestState: f.requestState, FollowsPeers: f.followsPeers.Load,
 		}
 		f.watcher = w
 		ended := make(chan error, 1)
@@ -81,16 +81,16 @@
 
 // decodeMember parses "ready" or "leaving", optionally followed by "@" and the start time.
 func decodeMember(key string, value []byte, revision int64) (tracker.Member, error) {
-	state, born, _ := strings.Cut(string(value), "@")
+	state, startTime, _ := strings.Cut(string(value), "@")
 	if state != "ready" && state != "leaving" {
 		return tracker.Member{}, errors.New("unknown state")
 	}
 	m := tracker.Member{ID: strings.TrimPrefix(key, "member/"), Leaving: state == "leaving", Revision: revision}
-	if born == "" {
+	if startTime == "" {
 		return m, nil
 	}
 	var err error
-	m.StartTime, err = strconv.ParseInt(born, 10, 64)
+	m.StartTime, err = strconv.ParseInt(startTime, 10, 64)
 	return m, err
 }
 
@@ -303,11 +303,11 @@
 
 // An instance that follows peers makes no calls to the store, and reads it again once no
 // peer reports that it can reach the store.
-func TestFollow(t *testing.T) {
+func TestFollowPeers(t *testing.T) {
 	runFixture(t, func(t *testing.T, f *fixture) {
 		n := watcher.StoreState{Revision: 1, Sender: "peer", ConfirmedAt: time.Hour, SenderIsReader: true}
 		f.setPeerState(n)
-		f.follows.Store(true)
+		f.followsPeers.Store(true)
 		time.Sleep(4 * time.Second)
 		f.put(t, "configuration", "20")
 		n.Revision = f.pairs["configuration"].Revision
@@ -337,9 +337,9 @@
 // Followers retry an unavailable store at a reduced rate, to keep within its rate limit when
 // it is available again.
 func TestFollowersReduceRetries(t *testing.T) {
-	listCalls := func(t *testing.T, follows bool) (n int) {
+	listCalls := func(t *testing.T, followsPeers bool) (n int) {
 		runFixture(t, func(t *testing.T, f *fixture) {
-			f.follows.Store(follows)
+			f.followsPeers.Store(followsPeers)
 			f.setPeerState(watcher.StoreState{Revision: 2, Sender: "peer"})
 			f.store.SetFaults(func(x *storer.Faults) { x.Down = true })
 			time.Sleep(3 * time.Second)
@@ -427,7 +427,7 @@
 }
 
 // ChangesSince returns only changes, or the whole state if deletions are no longer retained.
-func TestSince(t *testing.T) {
+func TestChangesSince(t *testing.T) {
 	n := &watcher.StoreState{
 		Revision: 9, Pairs: []storer.Pair{{Key: "a", Revision: 3}, {Key: "b", Revision: 8}},
 		Deletions: []watcher.Deletion{{Key: "b", Revision: 6}, {Key: "c", Revision: 7}}, DeletionsSince: 5,
--- a/pkg/refuser/reasons.go
+++ b/pkg/refuser/reasons.go
@@ -102,7 +102,7 @@
 	BadStartUp = &Reason{
 		Code: "OR504", Name: "bad-start-up", Since: "0.1", SQLState: "08P01", Outcome: NotRun, Fatal: true,
 		Title: "start-up not understood",
-		Text:  "The first messages of the connection violate the protocol, or use a version other than 3.0 and 3.2. The detail says what was received.",
+		Text:  "The first messages of the connection violate the protocol, or use a version other than 3.0 and 3.2. The detail names what was received.",
 	}
 	StartUpTimeout = &Reason{
 		Code: "OR505", Name: "start-up-timeout", Since: "0.1", SQLState: "08006", Outcome: NotRun, Fatal: true, RetryAfter: time.Second,
@@ -172,4 +172,4 @@
 }
 
 // Retired lists the codes of removed reasons, which must not be reused.
-var Retired = []string{}
+var RetiredCodes = []string{}
--- a/pkg/refuser/refuser.go
+++ b/pkg/refuser/refuser.go
@@ -11,7 +11,7 @@
 )
 
 type (
-	// Outcome says whether a refused request may have run.
+	// Outcome is whether a refused request may have run.
 	Outcome string
 
 	// Reason describes one reason for a refusal.
--- a/pkg/refuser/refuser_test.go
+++ b/pkg/refuser/refuser_test.go
@@ -24,7 +24,7 @@
 			must.RegexMatch(t, regexp.MustCompile(`^OR\d{3}$`), r.Code)
 			must.RegexMatch(t, regexp.MustCompile(`^[a-z]+(-[a-z]+)*$`), r.Name)
 			must.False(t, seen[r.Code] || seen[r.Name])
-			must.False(t, slices.Contains(refuser.Retired, r.Code))
+			must.False(t, slices.Contains(refuser.RetiredCodes, r.Code))
 			must.NotEq(t, "", r.Title)
 			must.NotEq(t, "", r.Text)
 			must.NotEq(t, "", r.Since)
--- a/pkg/sealer/sealer.go
+++ b/pkg/sealer/sealer.go
@@ -36,7 +36,7 @@
 	}
 )
 
-// The errors of Open and Check.
+// The errors of Open and Validate.
 var (
 	ErrMalformed    = errors.New("malformed token")
 	ErrVersion      = errors.New("unsupported token version")
--- a/pkg/verifier/verifier_test.go
+++ b/pkg/verifier/verifier_test.go
@@ -10,11 +10,11 @@
 func TestVerifier(t *testing.T) {
 	v, err := verifier.New("open sesame")
 	must.NoError(t, err)
-	again, err := verifier.Parse(v.String())
+	parsed, err := verifier.Parse(v.String())
 	must.NoError(t, err)
-	must.True(t, again.Matches("open sesame"))
-	must.False(t, again.Matches("open sesam"))
-	must.False(t, again.Matches(""))
+	must.True(t, parsed.Matches("open sesame"))
+	must.False(t, parsed.Matches("open sesam"))
+	must.False(t, parsed.Matches(""))
 }
 
 func TestMalformed(t *testing.T) {
