--- a/Makefile
+++ b/Makefile
@@ -30,6 +30,9 @@
 	cd tools && go build -o $@ mvdan.cc/gofumpt
 
 # gopls renames an identifier in every use: build/tools/gopls rename -w FILE:LINE:COLUMN NAME
+.PHONY: gopls
+gopls: $(TOOLS)/gopls
+
 $(TOOLS)/gopls: tools/gopls/go.mod
 	cd tools/gopls && go build -o $@ golang.org/x/tools/gopls
 
--- a/internal/accountant/wire.go
+++ b/internal/accountant/wire.go
@@ -63,7 +63,7 @@
 
 // toCounts decodes counts by slot and ignores more slots than a window has.
 func toCounts(w []uint32) (counts []int) {
-	for _, n := range w[max(0, len(w)-limiter.Slots):] {
+	for _, n := range w[max(0, len(w)-limiter.WindowSlots):] {
 		counts = append(counts, int(n))
 	}
 	return counts
--- a/internal/configurer/slice.go
+++ b/internal/configurer/slice.go
@@ -146,7 +146,7 @@
 func (s *Slice) Step(now time.Time, e controller.Event) []controller.Action {
 	switch e := e.(type) {
 	case lister.ViewChanged:
-		s.isWatcher = lister.Contains(lister.Top(watchKey, s.Zone, watchersPerZone, e.Instances), s.Instance)
+		s.isWatcher = lister.Contains(lister.TopInZone(watchKey, s.Zone, watchersPerZone, e.Instances), s.Instance)
 	case controller.Tick:
 		return s.callStore(now)
 	case PeerVersion:
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -82,7 +82,7 @@
 		host := n.Host("10.8.0.1", "b")
 		h.pool = &lender.Pool{Group: h.trackedGroup, Network: host, Codec: platform.LineCodec{}, ClientName: "test", Clock: h.clock}
 		h.pool.Configure(20, nil)
-		c := &tracker.Configuration{Version: 1, Routes: routes, TransactionIdle: time.Second}
+		c := &tracker.Configuration{Version: 1, Routes: routes, TransactionIdleTimeout: time.Second}
 		b := &dispatcher.Backend{Group: h.trackedGroup, Pool: h.pool, ReportSuspect: func(string) {}}
 		none := func(dispatcher.Reason) {}
 		h.server = &dispatcher.Server{
--- a/internal/dispatcher/server.go
+++ b/internal/dispatcher/server.go
@@ -159,8 +159,8 @@
 func (s *Server) closesAll() bool  { return s.shutdownPhase.Load() >= phaseCloseAll }
 
 func (s *Server) transactionIdleTimeout() time.Duration {
-	if c := s.Configuration(); c != nil && c.TransactionIdle > 0 {
-		return c.TransactionIdle
+	if c := s.Configuration(); c != nil && c.TransactionIdleTimeout > 0 {
+		return c.TransactionIdleTimeout
 	}
 	return defaultTransactionIdleTimeout
 }
--- a/internal/elector/supervisor.go
+++ b/internal/elector/supervisor.go
@@ -66,10 +66,10 @@
 		PrimaryChanged func()
 		Log            func(fields ...any)
 
-		members         map[string]*memberState
-		primary         string
-		leaderlessSince tracker.Timestamp
-		orderedAt       tracker.Timestamp
+		members            map[string]*memberState
+		primary            string
+		leaderlessSince    tracker.Timestamp
+		promotionOrderedAt tracker.Timestamp
 		// announcedLeave are the members that announced to leave, or whose address was reused. They
 		// have departed once they are no longer registered.
 		announcedLeave map[string]bool
@@ -153,7 +153,7 @@
 		sv.Log("event", "move-begins", "group", sv.Group.Name, "reason", d.Reason, "primary", v.Primary)
 		to, err := sv.changePrimary(ctx, v, d.Reason)
 		sv.Log("event", "move-ended", "group", sv.Group.Name, "reason", d.Reason, "from", v.Primary, "to", to,
-			"outcome", outcome(err), "ms", (sv.Clock() - start).Milliseconds())
+			"outcome", outcomeText(err), "ms", (sv.Clock() - start).Milliseconds())
 		if err != nil {
 			_ = sleeper.Sleep(ctx, retryDelay)
 		}
@@ -193,10 +193,11 @@
 	}
 	sv.recordedAt, sv.recordOutdated = now, false
 	_, err := sv.NextFencingToken(ctx, State{Members: addresses, PromotionPending: sv.promotionPending, Leader: sv.lastLeader})
-	sv.Log("event", "roster", "group", sv.Group.Name, "members", len(addresses), "outcome", outcome(err))
+	sv.Log("event", "roster", "group", sv.Group.Name, "members", len(addresses), "outcome", outcomeText(err))
 }
 
-func outcome(err error) string {
+// outcomeText returns the "outcome" of a log line: the error, or "done".
+func outcomeText(err error) string {
 	if err == nil {
 		return "done"
 	}
@@ -287,7 +288,7 @@
 // buildView determines the primary from the members' statuses and returns the group's view.
 func (sv *Supervisor) buildView() View {
 	now := sv.Clock()
-	v := View{Now: now, PromotionOrderedAt: sv.orderedAt, ProcessStart: sv.ProcessStart, RebalanceInterval: sv.rebalanceInterval}
+	v := View{Now: now, PromotionOrderedAt: sv.promotionOrderedAt, ProcessStart: sv.ProcessStart, RebalanceInterval: sv.rebalanceInterval}
 	if sv.primary == "" {
 		sv.primary = sv.Group.Primary()
 	}
--- a/internal/launcher/launcher.go
+++ b/internal/launcher/launcher.go
@@ -197,7 +197,7 @@
 
 func (i *Instance) newWatcher() *watcher.Watcher {
 	return &watcher.Watcher{
-		Source: i.Platform.Store, Clock: i.Clock, MaxPropagationDelay: i.Settings.MaxApplyDelay, FirstStart: i.Settings.ColdStart,
+		Source: i.Platform.Store, Clock: i.Clock, MaxPropagationDelay: i.Settings.MaxApplyDelay, ColdStart: i.Settings.ColdStart,
 		ConfigurationKey: i.Platform.ConfigurationKey, MemberPrefix: i.Platform.MemberPrefix, OwnershipPrefix: elector.OwnershipPrefix, InstancePrefix: exchanger.InstancePrefix,
 		DecodeConfiguration: i.Platform.DecodeConfiguration, DecodeMember: i.Platform.DecodeMember,
 		OnConfiguration: i.applyConfiguration, OnMembers: i.applyMembers, OnOwnership: i.elector.HandleRecord, Log: i.stateLog.Log,
@@ -264,7 +264,7 @@
 	b := &backend{clock: i.Clock, codec: i.Platform.MemberCodec, log: i.stateLog.Log, suspects: make(chan string, 1), proofExpired: make(chan struct{}, 1), primaryUnknown: make(chan struct{}, 1)}
 	b.commitHolders = func() ([]string, bool) { return i.commitHolders(group) }
 	b.Backend = dispatcher.Backend{Group: g, ReportSuspect: b.reportSuspect, Pool: &lender.Pool{
-		Group: g, Network: i.Network, Codec: i.Platform.MemberCodec, ClientName: i.Settings.Name, Clock: i.Clock, NoteOpened: i.recordConnect(group), MaintainedByOwner: true,
+		Group: g, Network: i.Network, Codec: i.Platform.MemberCodec, ClientName: i.Settings.Name, Clock: i.Clock, NoteOpened: i.recordConnect(group), MaintainedExternally: true,
 		NoteBroken: i.recordIdleLoss(group), NoteLent: i.recordCheckout,
 		NotePacing: func(member string, hasCapacity bool) {
 			i.stateLog.Log("event", "room", "group", group, "member", member, "room", hasCapacity)
--- a/internal/launcher/soak_test.go
+++ b/internal/launcher/soak_test.go
@@ -223,7 +223,7 @@
 // publishConfiguration publishes a configuration, if the store is available.
 func (s *soak) publishConfiguration(withAddedRoute bool) {
 	c := tracker.Configuration{
-		Version: s.version + 7, TransactionIdle: 3 * time.Second, Routes: map[string]tracker.Route{},
+		Version: s.version + 7, TransactionIdleTimeout: 3 * time.Second, Routes: map[string]tracker.Route{},
 		Groups: map[string]tracker.GroupSettings{"g": {Connections: 12, SyncReplicas: 1}},
 	}
 	for _, r := range baseRoutes {
--- a/internal/limiter/ledger.go
+++ b/internal/limiter/ledger.go
@@ -19,8 +19,7 @@
 		Incarnation uint64
 		// ExpectedInstances, when set, lists the instances that run operations. The fallback rates
 		// of those that don't report here are reserved: an instance may be isolated or report to
-		// another accountant. So several accountants share the limits without knowing of each
-		// other.
+		// another accountant. So several accountants share the limits without coordination.
 		ExpectedInstances func() []string
 
 		// openedAt is when the accounts were opened, initialInstances which instances ran
@@ -95,7 +94,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, r := range l.reporters {
-		if now-r.lastReport < Slots*slotTime {
+		if now-r.lastReport < WindowSlots*slotTime {
 			return
 		}
 	}
--- a/internal/limiter/window.go
+++ b/internal/limiter/window.go
@@ -5,13 +5,13 @@
 const (
 	// slotTime is the width of a slot, Slots the number of slots in a window. They cover the
 	// window of the default limits and the delay until an operation is reported.
-	slotTime = 500 * time.Millisecond
-	Slots    = 12
+	slotTime    = 500 * time.Millisecond
+	WindowSlots = 12
 )
 
 // window counts operations by time slot. The zero value is an empty window.
 type window struct {
-	counts [Slots]int
+	counts [WindowSlots]int
 	// newest is the number of the newest slot since the epoch of Timestamp.
 	newest int64
 }
@@ -20,19 +20,19 @@
 func (w *window) add(at Timestamp, n int) {
 	slot := int64(at / slotTime)
 	w.roll(slot)
-	if slot > w.newest-Slots {
-		w.counts[slot%Slots] += n
+	if slot > w.newest-WindowSlots {
+		w.counts[slot%WindowSlots] += n
 	}
 }
 
 // roll advances the window to a newest slot and drops the counts that fall out of it.
 func (w *window) roll(slot int64) {
 	for ; w.newest < slot; w.newest++ {
-		if slot-w.newest >= Slots {
-			w.counts, w.newest = [Slots]int{}, slot
+		if slot-w.newest >= WindowSlots {
+			w.counts, w.newest = [WindowSlots]int{}, slot
 			return
 		}
-		w.counts[(w.newest+1)%Slots] = 0
+		w.counts[(w.newest+1)%WindowSlots] = 0
 	}
 }
 
@@ -51,9 +51,9 @@
 	if w.sum(now) == 0 {
 		return nil
 	}
-	list := make([]int, 0, Slots)
-	for i := range int64(Slots) {
-		if n := w.counts[(w.newest+1+i)%Slots]; n != 0 || len(list) > 0 {
+	list := make([]int, 0, WindowSlots)
+	for i := range int64(WindowSlots) {
+		if n := w.counts[(w.newest+1+i)%WindowSlots]; n != 0 || len(list) > 0 {
 			list = append(list, n)
 		}
 	}
@@ -76,8 +76,8 @@
 // undo removes the newest operation, if any.
 func (w *window) undo(now Timestamp) {
 	w.roll(int64(now / slotTime))
-	for i := range int64(Slots) {
-		if n := &w.counts[(w.newest+Slots-i)%Slots]; *n > 0 {
+	for i := range int64(WindowSlots) {
+		if n := &w.counts[(w.newest+WindowSlots-i)%WindowSlots]; *n > 0 {
 			*n--
 			return
 		}
--- a/internal/lister/lister_test.go
+++ b/internal/lister/lister_test.go
@@ -34,7 +34,7 @@
 	share := map[string]int{}
 	for k := range keys {
 		key := fmt.Sprint(k)
-		before, after := lister.Top(key, "a", 3, all), lister.Top(key, "a", 3, all[1:])
+		before, after := lister.TopInZone(key, "a", 3, all), lister.TopInZone(key, "a", 3, all[1:])
 		for _, i := range before {
 			share[i.Name]++
 			must.True(t, i.Name == all[0].Name || lister.Contains(after, i.Name))
--- a/internal/lister/ranker.go
+++ b/internal/lister/ranker.go
@@ -12,8 +12,8 @@
 	return ranker.Rank(key, instances, func(i Instance) string { return i.Name })
 }
 
-// Top returns the n highest ranked instances of a zone for the key.
-func Top(key, zone string, n int, instances []Instance) []Instance {
+// TopInZone returns the n highest ranked instances of a zone for the key.
+func TopInZone(key, zone string, n int, instances []Instance) []Instance {
 	var inside []Instance
 	for _, i := range instances {
 		if i.Zone == zone {
--- a/internal/lister/slice.go
+++ b/internal/lister/slice.go
@@ -13,8 +13,8 @@
 const (
 	// watchers is how many instances of a zone read the list frequently. Two, so that the
 	// zone notices a leaving instance even if one of them fails.
-	watchers = 2
-	watchKey = "instance-list"
+	watchers       = 2
+	watcherRankKey = "instance-list"
 	// watcherReadInterval is the read interval of the watchers. A leaving instance must be
 	// noticed within three seconds.
 	watcherReadInterval = time.Second
@@ -42,10 +42,12 @@
 		Self   Instance
 		Random *rand.Rand
 
-		reading      bool
-		nextRead     time.Time
-		failures     int
-		listed       map[string]Instance
+		// reading is set while a Read is in progress.
+		reading  bool
+		nextRead time.Time
+		failures int
+		listed   map[string]Instance
+		// contacted and unresponsive hold peers by name.
 		contacted    map[string]contacted
 		unresponsive map[string]*unresponsive
 		view         []Instance
@@ -53,11 +55,13 @@
 		nextExpiry time.Time
 	}
 
+	// contacted is a peer that called or was listed by another peer, and when.
 	contacted struct {
 		instance Instance
 		at       time.Time
 	}
 
+	// unresponsive is the probe state of an instance whose calls failed.
 	unresponsive struct {
 		failures   int
 		probeDelay time.Duration
@@ -134,9 +138,9 @@
 		}
 		return s.updateView(now)
 	case PeerSeen:
-		return s.handleSeen(now, e.Instance)
+		return s.handlePeerSeen(now, e.Instance)
 	case PeerCalled:
-		return s.handleCalled(now, e)
+		return s.handlePeerCalled(now, e)
 	}
 	return nil
 }
@@ -161,7 +165,7 @@
 
 // readInterval returns the time until this instance reads the list again.
 func (s *Slice) readInterval() time.Duration {
-	if s.listed == nil || Contains(Top(watchKey, s.Self.Zone, watchers, s.view), s.Self.Name) {
+	if s.listed == nil || Contains(TopInZone(watcherRankKey, s.Self.Zone, watchers, s.view), s.Self.Name) {
 		return watcherReadInterval
 	}
 	return s.addJitter(max(minReadInterval, time.Duration(len(s.view))*readIntervalPerInstance))
@@ -172,7 +176,7 @@
 	return d*3/4 + time.Duration(s.Random.Int64N(int64(d)/2+1))
 }
 
-func (s *Slice) handleSeen(now time.Time, i Instance) []controller.Action {
+func (s *Slice) handlePeerSeen(now time.Time, i Instance) []controller.Action {
 	if i.Name == s.Self.Name || i.Address == "" {
 		return nil
 	}
@@ -186,7 +190,7 @@
 	return s.updateView(now)
 }
 
-func (s *Slice) handleCalled(now time.Time, e PeerCalled) []controller.Action {
+func (s *Slice) handlePeerCalled(now time.Time, e PeerCalled) []controller.Action {
 	u := s.unresponsive[e.Name]
 	if e.OK {
 		if u == nil {
@@ -261,6 +265,7 @@
 	return out
 }
 
+// scheduleUpdate schedules a recomputation of the view no later than at.
 func (s *Slice) scheduleUpdate(at time.Time) {
 	if s.nextExpiry.IsZero() || at.Before(s.nextExpiry) {
 		s.nextExpiry = at
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -25,8 +25,8 @@
 	// with the number of groups (docs/CAPACITY.md).
 	maxPollsPerSecond = 100
 	// idlePollsPerSecond and fallbackPollsPerSecond limit the polls of idle groups and of
-	// groups polled as a fallback. The latter keeps an instance cut off from many
-	// observers from neglecting the groups that others rely on it to poll.
+	// groups polled as a fallback. The latter ensures that an instance partitioned from many
+	// observers still polls the groups that it observes for others.
 	idlePollsPerSecond     = 25
 	fallbackPollsPerSecond = 15
 
@@ -135,7 +135,7 @@
 
 // ShardObservers returns the observers of a shard in a zone, given the instance list.
 func ShardObservers(shard uint32, zone string, instances []lister.Instance) []lister.Instance {
-	return lister.Top("observe/"+strconv.Itoa(int(shard)), zone, ObserversPerShard, instances)
+	return lister.TopInZone("observe/"+strconv.Itoa(int(shard)), zone, ObserversPerShard, instances)
 }
 
 // Step implements controller.Slice.
--- a/internal/promoter/performer.go
+++ b/internal/promoter/performer.go
@@ -27,6 +27,7 @@
 		Store     storer.Store
 	}
 
+	// wireRecord is the stored form of Record.
 	wireRecord struct {
 		Term    uint64 `json:"term"`
 		Owner   string `json:"owner"`
@@ -34,8 +35,8 @@
 	}
 )
 
-// Key returns the store key of a group's record.
-func Key(service string) string { return keyPrefix + service }
+// RecordKey returns the store key of a group's record.
+func RecordKey(service string) string { return keyPrefix + service }
 
 // Perform implements controller.Performer.
 func (p *Performer) Perform(ctx context.Context, a controller.Action) (controller.Event, bool) {
@@ -83,7 +84,7 @@
 	defer cancel()
 	out := IntentRecorded{Service: a.Service, Attempt: a.Attempt}
 	for range maxSwapAttempts {
-		now, err := p.Store.Get(ctx, Key(a.Service))
+		now, err := p.Store.Get(ctx, RecordKey(a.Service))
 		if err != nil {
 			continue
 		}
@@ -110,7 +111,7 @@
 	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
 	out := Published{Service: a.Service, Record: a.Record}
-	now, err := p.Store.Get(ctx, Key(a.Service))
+	now, err := p.Store.Get(ctx, RecordKey(a.Service))
 	if err != nil {
 		return out
 	}
--- a/internal/promoter/slice.go
+++ b/internal/promoter/slice.go
@@ -25,17 +25,18 @@
 	// rankDelay exceeds the duration of a promotion, so that the next in rank starts only if the
 	// first has failed.
 	rankDelay = 150 * time.Millisecond
-	// rankJitter separates instances that do not know of each other.
+	// rankJitter separates instances that have not discovered each other.
 	rankJitter    = 100 * time.Millisecond
 	peerReportTTL = 3 * time.Second
-	// takenIntentDelay lets the promoter with the recorded intent finish.
+	// takenIntentDelay is the wait after another promoter's intent, so that it can finish.
 	takenIntentDelay = 700 * time.Millisecond
 	retryDelay       = 300 * time.Millisecond
 	// stallCooldown doubles with each change for a stall, up to maxStallCooldown, so that
 	// replication lag does not cause repeated changes.
 	stallCooldown    = 3 * time.Second
 	maxStallCooldown = 60 * time.Second
-	// repairDelay lets the promoter reach the members first.
+	// repairDelay is how long a member must need repair before it is repaired, so that the
+	// promoter can reach it first.
 	repairDelay     = 300 * time.Millisecond
 	repairInterval  = time.Second
 	maxStatusAge    = time.Second
@@ -73,16 +74,18 @@
 		slice         *Slice
 		view          *detector.View
 		agreedFailure *detector.FailureAgreed
-		leaving       map[string]bool
+		// leaving lists the members that announced their shutdown.
+		leaving map[string]bool
 		// peers are the other instances that monitor the group, by name.
 		peers map[string]peer
 		// newestStoredTerm is the newest term seen in the store.
 		newestStoredTerm uint64
 		// startAt is when the next attempt starts; zero without a reason.
-		startAt      time.Time
-		notBefore    time.Time
-		stallChanges int
-		attempt      *attempt
+		startAt time.Time
+		// cooldownUntil is the earliest start of the next attempt.
+		cooldownUntil time.Time
+		stallChanges  int
+		attempt       *attempt
 		// unpublished is the record to be stored, zero if none.
 		unpublished     Record
 		publishing      bool
@@ -104,7 +107,7 @@
 		s.handleReport(now, e)
 	case detector.FailureAgreed:
 		if g := s.groups[e.Service]; g != nil {
-			g.handleAgreed(e)
+			g.handleFailureAgreed(e)
 			return g.step(now)
 		}
 	case drainer.TargetLeaving:
@@ -202,7 +205,7 @@
 	return h.Sum64()
 }
 
-func (g *group) handleAgreed(e detector.FailureAgreed) {
+func (g *group) handleFailureAgreed(e detector.FailureAgreed) {
 	if e.Active {
 		g.agreedFailure = &e
 	} else if g.agreedFailure != nil && g.agreedFailure.Term == e.Term && g.agreedFailure.Member == e.Member {
@@ -226,8 +229,8 @@
 	}
 	if g.startAt.IsZero() {
 		from := now
-		if g.notBefore.After(from) {
-			from = g.notBefore
+		if g.cooldownUntil.After(from) {
+			from = g.cooldownUntil
 		}
 		g.startAt = from.Add(g.startDelay(now))
 	}
@@ -326,11 +329,13 @@
 	return k.Failures == 0 && !k.StatusAt.IsZero() && now.Sub(k.StatusAt) < maxStatusAge
 }
 
+// needsRepair reports whether member i does not follow primary p in the newest term.
 func (g *group) needsRepair(i, p int) bool {
 	s := g.view.Members[i].Status
 	return s.Term < g.view.Term() || s.Role != commander.RoleReplica || s.Following != g.view.Service.Members[p].Address
 }
 
+// followOrder returns the order for member i to follow primary p.
 func (g *group) followOrder(i, p int, term uint64) Order {
 	m := g.view.Service.Members[i]
 	return Order{
@@ -362,7 +367,7 @@
 	return out
 }
 
-// handleOrdered handles the result of an order and emits it as an observation.
+// handleOrdered processes the result of an order and emits it as an observation.
 func (g *group) handleOrdered(now time.Time, e OrderResult) []controller.Action {
 	if e.Order.Attempt == 0 && e.Order.Kind == OrderStatus {
 		g.statusPending[e.Order.Member] = false
@@ -379,6 +384,7 @@
 	return out
 }
 
+// isCurrent reports whether an attempt is the running one.
 func (g *group) isCurrent(attempt uint64) bool { return g.attempt != nil && g.attempt.id == attempt }
 
 func isRefused(err error) bool { return errors.Is(err, commander.ErrRefused) }
--- a/internal/relayer/session.go
+++ b/internal/relayer/session.go
@@ -77,9 +77,9 @@
 		Prober *prober.Prober
 		// Drainer closes the session when the instance shuts down; may be nil.
 		Drainer *Drainer
-		// Explainer records routing decisions; may be nil.
-		Explainer *router.DecisionLog
-		Log       log.Logger
+		// DecisionLog records routing decisions; may be nil.
+		DecisionLog *router.DecisionLog
+		Log         log.Logger
 		// Count increments the named metric.
 		Count func(name string)
 
--- a/internal/runner/sessions.go
+++ b/internal/runner/sessions.go
@@ -20,8 +20,8 @@
 	cancels   canceller.Table
 }
 
-// Explainer returns the record of recent routing decisions and their reasons.
-func (i *Instance) Explainer() *router.DecisionLog { return &i.sessions.explainer }
+// DecisionLog returns the record of recent routing decisions and their reasons.
+func (i *Instance) DecisionLog() *router.DecisionLog { return &i.sessions.explainer }
 
 // initialize must be called before the first session.
 func (s *sessions) initialize(i *Instance, post func(controller.Event)) {
@@ -37,7 +37,7 @@
 	s.Connected = time.Now()
 	s.HasToken = parameters[relayer.ParameterToken] != ""
 	s.Drainer, s.PreferenceSeed = &i.drain.sessionDrainer, router.PreferenceSeed(i.Settings.Name)
-	s.Explainer, s.Prober = &i.sessions.explainer, &i.sessions.prober
+	s.DecisionLog, s.Prober = &i.sessions.explainer, &i.sessions.prober
 	s.RequestWatermark = func(service string) { i.sessions.post(router.WatermarkWanted{Service: service}) }
 	key, err := i.sessions.cancels.Add(s)
 	if err != nil {
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// Cancels returns the table of the clients' cancel keys.
-func (i *Instance) Cancels() *canceller.Table { return &i.sessions.cancels }
+// CancelKeys returns the table of the clients' cancel keys.
+func (i *Instance) CancelKeys() *canceller.Table { return &i.sessions.cancels }
 
 // cancelRequest handles a client's cancel request, to which the protocol has no reply.
 func (i *Instance) cancelRequest(ctx context.Context, pid, secret uint32) {
--- a/internal/standin/failer/promoter_test.go
+++ b/internal/standin/failer/promoter_test.go
@@ -48,7 +48,7 @@
 
 // intentRecorded is the step after the promotion's intent was written to the store.
 func intentRecorded(f *stager.Fleet) string {
-	p, err := f.Store.Get(f.Context(), promoter.Key(stager.DefaultService))
+	p, err := f.Store.Get(f.Context(), promoter.RecordKey(stager.DefaultService))
 	if err != nil || p.Revision == 0 {
 		return ""
 	}
@@ -59,7 +59,7 @@
 
 // checkPromotionRecord verifies that the store's record of the group is the last promotion.
 func checkPromotionRecord(f *stager.Fleet) []checker.Violation {
-	p, err := f.Store.Get(f.Context(), promoter.Key(stager.DefaultService))
+	p, err := f.Store.Get(f.Context(), promoter.RecordKey(stager.DefaultService))
 	primary := failer.Primary(f)
 	want := fmt.Sprintf(`{"term":%d,"owner":%q,"primary":%q}`, primary.Status().Term, primary.Status().Owner, primary.Name)
 	if err != nil || string(p.Value) != want {
--- a/internal/standin/mesher/mesher_test.go
+++ b/internal/standin/mesher/mesher_test.go
@@ -137,7 +137,7 @@
 func watchers(m *mesher.Mesh) []*mesher.Node {
 	var out []*mesher.Node
 	for _, z := range zones {
-		for _, i := range lister.Top("configuration", z, 2, m.List) {
+		for _, i := range lister.TopInZone("configuration", z, 2, m.List) {
 			out = append(out, m.Node(i.Name))
 		}
 	}
--- a/internal/standin/platformer/platformer.go
+++ b/internal/standin/platformer/platformer.go
@@ -136,7 +136,7 @@
 		writeJSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
 		return
 	}
-	list, revision, err := p.Store.Changes(r.Context(), q.Get("prefix"), after, time.Duration(wait)*time.Millisecond)
+	list, revision, err := p.Store.WaitForChanges(r.Context(), q.Get("prefix"), after, time.Duration(wait)*time.Millisecond)
 	if err != nil {
 		writeError(w, err)
 		return
@@ -281,7 +281,7 @@
 	}
 	document := map[string]any{
 		"version": c.Version, "routes": routes, "services": services,
-		"limits": map[string]any{"tx_idle_ms": c.TransactionIdle.Milliseconds()},
+		"limits": map[string]any{"tx_idle_ms": c.TransactionIdleTimeout.Milliseconds()},
 	}
 	if customers != nil {
 		tenants := []any{}
--- a/internal/storer/memory.go
+++ b/internal/storer/memory.go
@@ -36,11 +36,13 @@
 		LoseResponses int
 	}
 
+	// entry is a pair with the lease that deletes it.
 	entry struct {
 		pair  Pair
 		lease Lease
 	}
 
+	// leaseState is the TTL and expiry of a lease.
 	leaseState struct {
 		ttl       time.Duration
 		expiresAt time.Time
@@ -102,8 +104,8 @@
 	return nil
 }
 
-// loseAnswer returns an error if the response to a completed write is to be lost.
-func (m *Memory) loseAnswer() error {
+// loseResponse returns an error if the response to a completed write is to be lost.
+func (m *Memory) loseResponse() error {
 	if m.faults.LoseResponses > 0 {
 		m.faults.LoseResponses--
 		return errors.Wrap(ErrUnavailable, "response lost")
@@ -194,7 +196,7 @@
 	now = Pair{Key: p.Key, Value: append([]byte(nil), p.Value...), Revision: m.revision}
 	m.pairs[p.Key] = entry{pair: now, lease: lease}
 	m.appendHistory(now)
-	if err := m.loseAnswer(); err != nil {
+	if err := m.loseResponse(); err != nil {
 		return Pair{}, false, err
 	}
 	return now, true, nil
@@ -210,7 +212,7 @@
 		return false, nil
 	}
 	m.removeKey(p.Key)
-	return true, m.loseAnswer()
+	return true, m.loseResponse()
 }
 
 // Grant implements Store.
@@ -268,9 +270,9 @@
 	return list, int64(len(m.history)), nil
 }
 
-// Changes waits for changes after a revision and returns them with the revision to continue
+// WaitForChanges waits for changes after a revision and returns them with the revision to continue
 // from.
-func (m *Memory) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]Pair, int64, error) {
+func (m *Memory) WaitForChanges(ctx context.Context, prefix string, after int64, wait time.Duration) ([]Pair, int64, error) {
 	if err := m.begin(ctx, "watch"); err != nil {
 		return nil, 0, err
 	}
--- a/internal/tracker/model.go
+++ b/internal/tracker/model.go
@@ -52,8 +52,8 @@
 		Customers *identifier.Directory
 		// AppliedAt is when this instance applied the version.
 		AppliedAt Timestamp
-		// TransactionIdle is the idle timeout of transactions.
-		TransactionIdle time.Duration
+		// TransactionIdleTimeout is the idle timeout of transactions.
+		TransactionIdleTimeout time.Duration
 	}
 
 	// GroupSettings is the configuration of a group.
