--- a/internal/allocator/decide.go
+++ b/internal/allocator/decide.go
@@ -24,12 +24,10 @@
 	PeakComplete bool
 }
 
-// desiredConnections returns how many connections this instance should hold.
-// Without load it is one per member plus a spare, at most the fair share: the budget divided by
-// one more than the holders, which leaves a share for the next instance. Under load it grows
-// to the fair share and, by half of the free connections in excess of a fair share, beyond it;
-// it shrinks again when less than a fair share is free. Connections unused for idleTimeout are
-// released in any case.
+// desiredConnections returns how many connections to hold. Without load: one per member and a
+// spare, at most the fair share Budget/(Holders+1), which leaves a share for the next instance.
+// Under load: the fair share, then growth by half of what is free beyond a share, reversed when
+// less than a share is free. Connections unused for idleTimeout are released.
 func desiredConnections(p shareState) int {
 	fairShare := max(1, p.Budget/(p.Holders+1))
 	base := min(p.Members+1, fairShare)
